--- a/shaletiller/adapter.py
+++ b/shaletiller/adapter.py
@@ -46,8 +46,12 @@
 
 def _entry(row: list[Any]) -> i.NodeEntry:
     return i.NodeEntry(
-        node=row[0], zone=_at(row, 1, ""), kind=_at(row, 2, ""), shard=int(_at(row, 3, 0)),
-        state=i.NodeState(_at(row, 4, i.NodeState.READY.value)), weight=float(_at(row, 5, 1)),
+        node=row[0],
+        zone=_at(row, 1, ""),
+        kind=_at(row, 2, ""),
+        shard=int(_at(row, 3, 0)),
+        state=i.NodeState(_at(row, 4, i.NodeState.READY.value)),
+        weight=float(_at(row, 5, 1)),
         started_ms=float(_at(row, 6, 0)),
     )
 
@@ -59,16 +63,30 @@
 def _request(v: list[Any]) -> i.Event:
     bits = int(_at(v, 4, 0))
     return i.Request(
-        request=v[0], shard=int(_at(v, 1, 0)), extent=_at(v, 2, ""), plan=_at(v, 3, ""),
-        repeat=bool(bits & REPEAT_BIT), write=bool(bits & WRITE_BIT), expires_in_ms=float(v[5]),
-        volume=_at(v, 6, ""), volume_hosts=int(_at(v, 7, 1)), service=v[8], units=float(_at(v, 9, 1)),
+        request=v[0],
+        shard=int(_at(v, 1, 0)),
+        extent=_at(v, 2, ""),
+        plan=_at(v, 3, ""),
+        repeat=bool(bits & REPEAT_BIT),
+        write=bool(bits & WRITE_BIT),
+        expires_in_ms=float(v[5]),
+        volume=_at(v, 6, ""),
+        volume_hosts=int(_at(v, 7, 1)),
+        service=v[8],
+        units=float(_at(v, 9, 1)),
     )
 
 
 def _attempted(v: list[Any]) -> i.Event:
     return i.Attempted(
-        request=v[0], attempt=int(v[1]), node=v[2], outcome=OUTCOMES[v[3]], lag_ms=float(_at(v, 4, 0)),
-        over=bool(_at(v, 5, False)), used=float(_at(v, 6, 0)), from_others=float(_at(v, 7, 0)),
+        request=v[0],
+        attempt=int(v[1]),
+        node=v[2],
+        outcome=OUTCOMES[v[3]],
+        lag_ms=float(_at(v, 4, 0)),
+        over=bool(_at(v, 5, False)),
+        used=float(_at(v, 6, 0)),
+        from_others=float(_at(v, 7, 0)),
         report=_report(_at(v, 8, None)),
     )
 
--- a/shaletiller/config.py
+++ b/shaletiller/config.py
@@ -220,7 +220,8 @@
     if held_mb > limits.memory_mb * NVME_MEMORY_PART:
         raise ConfigError(
             f"nvme.toml: front.connections: with queue_depth they may hold {held_mb:.0f} MB, "
-            f"at most {limits.memory_mb * NVME_MEMORY_PART:.0f} are allowed")
+            f"at most {limits.memory_mb * NVME_MEMORY_PART:.0f} are allowed"
+        )
     for at, space in enumerate(nvme.front.namespace):
         key = f"nvme.toml: front.namespace[{at}]"
         for name, value in (("read_class", space.read_class), ("write_class", space.write_class)):
@@ -285,7 +286,8 @@
     admin = env.get("EDGE_ADMIN") or told.admin
     name = _check_name(env.get("EDGE_NAME") or told.name)
     return Config(
-        name=name, operator=_operator(env, name),
+        name=name,
+        operator=_operator(env, name),
         listen=read_address(env.get("EDGE_LISTEN") or told.listen, "EDGE_LISTEN"),
         discovery=read_address(env.get("EDGE_DISCOVERY") or told.discovery, "EDGE_DISCOVERY"),
         seed=_seed(told.seed),
@@ -293,8 +295,12 @@
         peer_listen=read_address(told.peer_listen, "peer_listen") if told.peer_listen else None,
         peers=tuple(read_address(each, f"peers[{at}]") for at, each in enumerate(told.peers or ())),
         peers_all=read_address(told.peers_all, "peers_all") if told.peers_all else None,
-        known=told.known or ServerList(), settings=settings, nvme=nvme, telemetry=_telemetry(env),
-        admin=read_address(admin, "EDGE_ADMIN") if admin else None, state_dir=env.get("TMPDIR") or "/tmp",
+        known=told.known or ServerList(),
+        settings=settings,
+        nvme=nvme,
+        telemetry=_telemetry(env),
+        admin=read_address(admin, "EDGE_ADMIN") if admin else None,
+        state_dir=env.get("TMPDIR") or "/tmp",
     )
 
 
--- a/shaletiller/core/admit.py
+++ b/shaletiller/core/admit.py
@@ -15,9 +15,18 @@
     def __call__(self, exchange: Exchange, left_ms: float | None = None) -> None:
         """`left_ms`: what is left of its time, where it has waited."""
         call = exchange.call
-        self._decide(i.Request(
-            request=call.id, shard=call.shard, extent=call.key, plan=call.plan, service=call.service,
-            volume=call.volume, units=call.units,
-            expires_in_ms=call.timeout_ms if left_ms is None else left_ms,
-            volume_hosts=call.hosts, repeat=call.repeat, write=call.write,
-        ))
+        self._decide(
+            i.Request(
+                request=call.id,
+                shard=call.shard,
+                extent=call.key,
+                plan=call.plan,
+                service=call.service,
+                volume=call.volume,
+                units=call.units,
+                expires_in_ms=call.timeout_ms if left_ms is None else left_ms,
+                volume_hosts=call.hosts,
+                repeat=call.repeat,
+                write=call.write,
+            )
+        )
--- a/shaletiller/core/book.py
+++ b/shaletiller/core/book.py
@@ -14,7 +14,11 @@
 
 class Book:
     def __init__(
-        self, clock: Clock, relay: Relay, decide: Callable[[i.Event], None], counts: dict[str, int],
+        self,
+        clock: Clock,
+        relay: Relay,
+        decide: Callable[[i.Event], None],
+        counts: dict[str, int],
     ) -> None:
         self._clock = clock
         self._relay = relay
@@ -33,8 +37,16 @@
         if reply.outcome is i.Outcome.OK:
             self._relay(exchange, Answer(Verdict.SERVED, reply.body))
         lag_ms = attempt.ended_ms - attempt.sent_ms if reply.lag_ms is None else reply.lag_ms
-        self._decide(i.Attempted(
-            request=exchange.call.id, attempt=attempt.number, node=attempt.node, outcome=reply.outcome,
-            lag_ms=lag_ms, over=exchange.over, used=reply.used,
-            from_others=reply.from_others, report=reply.report,
-        ))
+        self._decide(
+            i.Attempted(
+                request=exchange.call.id,
+                attempt=attempt.number,
+                node=attempt.node,
+                outcome=reply.outcome,
+                lag_ms=lag_ms,
+                over=exchange.over,
+                used=reply.used,
+                from_others=reply.from_others,
+                report=reply.report,
+            )
+        )
--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -53,12 +53,17 @@
         self.send = Send(clock, self.book)
         self.take_in = TakeIn(settings, clock, self.table, self.send.out)
         self._doers: dict[type, Callable[[Any], None]] = {
-            i.Send: self._on_send, i.Refuse: self._on_refuse, i.Fail: self._on_fail,
-            i.Cancel: self._on_cancel, i.SetTimer: self._on_timer, i.Probe: self._on_probe,
+            i.Send: self._on_send,
+            i.Refuse: self._on_refuse,
+            i.Fail: self._on_fail,
+            i.Cancel: self._on_cancel,
+            i.SetTimer: self._on_timer,
+            i.Probe: self._on_probe,
             i.Tell: lambda act: self.tell(act.peer, act.data),
             i.Subscribe: lambda act: None,  # the list is watched all the time
             i.FetchList: self._on_fetch_list,
-            i.CloseIdle: self._on_close_idle, i.Log: lambda act: log(act.line),
+            i.CloseIdle: self._on_close_idle,
+            i.Log: lambda act: log(act.line),
         }
 
     # ---- what happens
@@ -82,7 +87,11 @@
         self.decide(i.ClientLeft(exchange.call.id))
 
     def nodes(
-        self, kind: i.ListKind, version: int, places: tuple[Place, ...], late_ms: float = 0.0,
+        self,
+        kind: i.ListKind,
+        version: int,
+        places: tuple[Place, ...],
+        late_ms: float = 0.0,
     ) -> None:
         """News of the node list, told so long ago at the most; a node out by hand stays gone to the route
         and the module."""
--- a/shaletiller/core/figures.py
+++ b/shaletiller/core/figures.py
@@ -18,5 +18,7 @@
     told = [name.split(".")[1] for name in counts if name.startswith("results.")]
     found = [
         f"edge.results.{service}.{word}={counts.get(f'results.{service}.{word}', 0)}"
-        for service in dict.fromkeys([*classes, *told]) for word in RESULT.values()]
+        for service in dict.fromkeys([*classes, *told])
+        for word in RESULT.values()
+    ]
     return found + [f"edge.{name}={value}" for name, value in gauges.items()]
--- a/shaletiller/core/model.py
+++ b/shaletiller/core/model.py
@@ -124,7 +124,8 @@
     An attempt that cannot be written within `start_within_ms` is not written at all."""
 
     async def attempt(
-        self, address: str, call: Call, timeout_ms: float, start_within_ms: float = inf) -> Reply: ...
+        self, address: str, call: Call, timeout_ms: float, start_within_ms: float = inf
+    ) -> Reply: ...
 
     def retune(self, settings: i.Settings) -> None: ...
 
--- a/shaletiller/core/send.py
+++ b/shaletiller/core/send.py
@@ -20,13 +20,18 @@
         self.out: dict[tuple[str, int], Attempt] = {}
 
     def __call__(
-        self, exchange: Exchange, attempt: Attempt, place: Place, timeout_ms: float,
+        self,
+        exchange: Exchange,
+        attempt: Attempt,
+        place: Place,
+        timeout_ms: float,
         start_within_ms: float = math.inf,
     ) -> None:
         left_ms = exchange.deadline_ms - self._clock.now_ms()
         wait_ms = min(timeout_ms, left_ms) if timeout_ms > 0 else left_ms
         task = asyncio.ensure_future(
-            place.back.attempt(place.address, exchange.call, wait_ms, start_within_ms))
+            place.back.attempt(place.address, exchange.call, wait_ms, start_within_ms)
+        )
         attempt.task = task
         self.out[exchange.call.id, attempt.number] = attempt
         timer = self._clock.call_later(wait_ms, self.stop, attempt, i.Outcome.TIMEOUT)
--- a/shaletiller/core/take_in.py
+++ b/shaletiller/core/take_in.py
@@ -13,7 +13,10 @@
 
 class TakeIn:
     def __init__(
-        self, settings: i.Settings, clock: Clock, table: dict[str, Exchange],
+        self,
+        settings: i.Settings,
+        clock: Clock,
+        table: dict[str, Exchange],
         out: Container[tuple[str, int]],
     ) -> None:
         self._classes = {spec.name: spec for spec in settings.classes}
--- a/shaletiller/fleet/core.py
+++ b/shaletiller/fleet/core.py
@@ -76,8 +76,14 @@
     """One member.  Times are milliseconds of its own clock, which carries on the Unix epoch without steps."""
 
     def __init__(
-        self, me: int, members: Sequence[str], now_ms: float, options: Options, outlet: Outlet,
-        seed: int = 0, name: str = "",
+        self,
+        me: int,
+        members: Sequence[str],
+        now_ms: float,
+        options: Options,
+        outlet: Outlet,
+        seed: int = 0,
+        name: str = "",
     ) -> None:
         if not 0 <= me < len(members):
             raise ValueError(f"me: wants one of the {len(members)} members, got {me}")
@@ -92,13 +98,28 @@
         self.reader = codec.Reader(group, me, len(members))
         self.broadcasts = Broadcasts(len(members))
         self.membership = Membership(
-            me, len(members), self.life, options.timing, self._random.getrandbits(32), self._say,
-            self._rumor, outlet.member)
+            me,
+            len(members),
+            self.life,
+            options.timing,
+            self._random.getrandbits(32),
+            self._say,
+            self._rumor,
+            outlet.member,
+        )
         self.verdicts = Verdicts(self._word, outlet.verdict)
         self.membership.digest = lambda: self.verdicts.digest
         self.leases = Leases(
-            me, self.life, len(members), self.terms, now_ms, self._say, self.membership.alive,
-            outlet.share, lambda: self.connected)
+            me,
+            self.life,
+            len(members),
+            self.terms,
+            now_ms,
+            self._say,
+            self.membership.alive,
+            outlet.share,
+            lambda: self.connected,
+        )
         self._out: dict[int, list[bytes]] = {}
         self._own: deque[Known] = deque()
         self._synced: dict[int, float] = {}
@@ -127,7 +148,13 @@
     # ---- what the gateway asks
 
     def asked(
-        self, limit: str, of: Amount, units: float, most: float, now_ms: float, settle_ms: float = 0.0,
+        self,
+        limit: str,
+        of: Amount,
+        units: float,
+        most: float,
+        now_ms: float,
+        settle_ms: float = 0.0,
         even: Amount = NOTHING,
     ) -> None:
         """A request wants to spend of a limit, see Leases.asked."""
--- a/shaletiller/fleet/leases.py
+++ b/shaletiller/fleet/leases.py
@@ -152,9 +152,16 @@
     sent."""
 
     def __init__(
-        self, me: int, life: int, members: int, terms: Terms, born_ms: float,
-        say: Callable[[int, Known], None], alive: Callable[[], tuple[int, ...]],
-        changed: Callable[[str, Share], None], connected: Callable[[], bool] = lambda: True,
+        self,
+        me: int,
+        life: int,
+        members: int,
+        terms: Terms,
+        born_ms: float,
+        say: Callable[[int, Known], None],
+        alive: Callable[[], tuple[int, ...]],
+        changed: Callable[[str, Share], None],
+        connected: Callable[[], bool] = lambda: True,
     ) -> None:
         self.me, self.life, self.members, self.terms = me, life, members, terms
         self._born_ms = born_ms
@@ -170,8 +177,16 @@
 
     # ---- what a member may spend
 
-    def asked(self, limit: str, of: Amount, units: float, most: float, now_ms: float,
-              settle_ms: float = 0.0, even: Amount = NOTHING) -> None:
+    def asked(
+        self,
+        limit: str,
+        of: Amount,
+        units: float,
+        most: float,
+        now_ms: float,
+        settle_ms: float = 0.0,
+        even: Amount = NOTHING,
+    ) -> None:
         """A request of so many units wants to spend of a limit; `changed` is called for one met anew.
 
         `most` is the units of the largest request.  `even` makes the limit `available`: it is what this
@@ -208,8 +223,10 @@
     def granted(self) -> dict[str, tuple[Amount, Amount]]:
         """For each limit that this member grants: what is pledged to it and what it has leased, at the last
         tick."""
-        return {limit: (self._sum(pool.pledged, self._now), self._sum(pool.granted, self._now))
-                for limit, pool in self._pools.items()}
+        return {
+            limit: (self._sum(pool.pledged, self._now), self._sum(pool.granted, self._now))
+            for limit, pool in self._pools.items()
+        }
 
     _now = 0.0
 
@@ -241,8 +258,10 @@
             own = own.most(ledger.even)
         ends = sorted(end for end in set(ledger.held.ends()) if end > now_ms)
         starts = [now_ms, *ends]
-        return Share(own, tuple((end, own.plus(ledger.held.at(start)))
-                                for start, end in zip(starts, ends, strict=False)))
+        return Share(
+            own,
+            tuple((end, own.plus(ledger.held.at(start))) for start, end in zip(starts, ends, strict=False)),
+        )
 
     def _tell(self, limit: str, ledger: _Ledger, now_ms: float) -> None:
         share = self._share(ledger, now_ms)
@@ -271,7 +290,8 @@
         need = self._need(ledger, now_ms)
         free = self._own(ledger, now_ms)
         return (need.rate > free.rate or need.burst > free.burst) and (
-            now_ms - ledger.wants_ms >= self.terms.round_ms)
+            now_ms - ledger.wants_ms >= self.terms.round_ms
+        )
 
     # ---- asking
 
@@ -283,8 +303,10 @@
     def _want(self, limit: str, ledger: _Ledger, now_ms: float) -> None:
         ledger.wants_ms = now_ms
         more = self._need(ledger, now_ms).less(self._own(ledger, now_ms))
-        self._say(self.granter(limit), Want(
-            limit, self._next(now_ms), *to_wire(more), *to_wire(ledger.of), int(ledger.settle_ms)))
+        self._say(
+            self.granter(limit),
+            Want(limit, self._next(now_ms), *to_wire(more), *to_wire(ledger.of), int(ledger.settle_ms)),
+        )
 
     def tick(self, now_ms: float) -> None:
         """To be called several times a round."""
@@ -357,7 +379,12 @@
             self.table.take_over(limit)
 
     def stands(
-        self, limit: str, was: tuple[int, int] | None, leased: Amount, at_ms: float, now_ms: float,
+        self,
+        limit: str,
+        was: tuple[int, int] | None,
+        leased: Amount,
+        at_ms: float,
+        now_ms: float,
     ) -> None:
         """The table is this granter's: `was` (member and life) before it, who had leased so much by `at_ms`
         of its own clock and leases nothing more.  None where nothing was known: then owners' pledges to
@@ -405,8 +432,17 @@
         """The holder's part of what is pledged by max-min fairness over those that want, as far as it is free
         for the whole of a lease."""
         end_ms = self._lease_end(now_ms)
-        whens = sorted({now_ms, *(at for steps in (*pool.pledged.values(), *pool.granted.values())
-                                  for at in steps.ends() if now_ms < at < end_ms)})
+        whens = sorted(
+            {
+                now_ms,
+                *(
+                    at
+                    for steps in (*pool.pledged.values(), *pool.granted.values())
+                    for at in steps.ends()
+                    if now_ms < at < end_ms
+                ),
+            }
+        )
         free, pooled = None, None
         for when_ms in whens:
             pledged = self._sum(pool.pledged, when_ms)
@@ -443,8 +479,9 @@
             called_ms = pool.called.get(owner, -math.inf)
             if steps.last_end() < due_ms and now_ms - called_ms >= self.terms.round_ms:
                 pool.called[owner] = now_ms
-                self._say(owner, Call(
-                    limit, self._next(now_ms), *to_wire(pool.of), int(pool.settle_ms), *pool.was))
+                self._say(
+                    owner, Call(limit, self._next(now_ms), *to_wire(pool.of), int(pool.settle_ms), *pool.was)
+                )
 
     @staticmethod
     def _last(pool: _Pool, owner: int) -> Amount:
--- a/shaletiller/fleet/liaison.py
+++ b/shaletiller/fleet/liaison.py
@@ -49,10 +49,20 @@
     has changed, `renew` a node that has started anew, with its `started_ms`."""
 
     def __init__(
-        self, me: int, names: Sequence[str], now_ms: float, settings: i.Settings, options: Options,
-        policies: Mapping[str, Policy], send: Callable[[int, bytes], None],
-        decide: Callable[[i.Event], None], ban: Callable[[str, bool], None],
-        renew: Callable[[str, float], None], seed: int = 0, name: str = "", cold_budgets: bool = True,
+        self,
+        me: int,
+        names: Sequence[str],
+        now_ms: float,
+        settings: i.Settings,
+        options: Options,
+        policies: Mapping[str, Policy],
+        send: Callable[[int, bytes], None],
+        decide: Callable[[i.Event], None],
+        ban: Callable[[str, bool], None],
+        renew: Callable[[str, float], None],
+        seed: int = 0,
+        name: str = "",
+        cold_budgets: bool = True,
     ) -> None:
         self.settings = settings
         self._policies = policies
@@ -94,8 +104,13 @@
         cold = self._cold.get(ask.shard)
         if cold is not None and self._is_cold(cold[1]) and self._cold_budgets:
             self.fleet.asked(
-                f"c:{cold[0]}", Amount(0.0, self.settings.cold_units), ask.units, self.settings.most_units,
-                self._now, settle_ms=self.settings.fall_ms)
+                f"c:{cold[0]}",
+                Amount(0.0, self.settings.cold_units),
+                ask.units,
+                self.settings.most_units,
+                self._now,
+                settle_ms=self.settings.fall_ms,
+            )
 
     def _is_cold(self, started_ms: float) -> bool:
         return started_ms > 0 and self._now - started_ms < self.settings.ramp_ms
@@ -229,14 +244,23 @@
         shares = [fleet.share(limit, now_ms) for limit in fleet.leases.limits()]
         counts = fleet.counts
         return {
-            "fleet.members": len(fleet.membership.alive()), "fleet.configured": len(fleet.names),
-            "fleet.connected": int(fleet.connected), "fleet.superseded": int(fleet.membership.superseded),
-            "fleet.limits": len(shares), "fleet.leases": sum(bool(share.steps) for share in shares),
+            "fleet.members": len(fleet.membership.alive()),
+            "fleet.configured": len(fleet.names),
+            "fleet.connected": int(fleet.connected),
+            "fleet.superseded": int(fleet.membership.superseded),
+            "fleet.limits": len(shares),
+            "fleet.leases": sum(bool(share.steps) for share in shares),
             "fleet.granting": len(fleet.leases.granted()),
             "fleet.verdicts": len(words),
-            **{f"fleet.verdicts.{kind.name.lower()}":
-               sum(word.kind == kind and word.value > 0 for word in words) for kind in Kind},
-            "fleet.sent": counts["sent"], "fleet.sent_bytes": counts["sent_bytes"],
-            "fleet.received": counts["received"], "fleet.held_back": counts["held_back"],
+            **{
+                f"fleet.verdicts.{kind.name.lower()}": sum(
+                    word.kind == kind and word.value > 0 for word in words
+                )
+                for kind in Kind
+            },
+            "fleet.sent": counts["sent"],
+            "fleet.sent_bytes": counts["sent_bytes"],
+            "fleet.received": counts["received"],
+            "fleet.held_back": counts["held_back"],
             **{f"fleet.dropped.{why}": number for why, number in sorted(fleet.reader.dropped.items())},
         }
--- a/shaletiller/fleet/membership.py
+++ b/shaletiller/fleet/membership.py
@@ -84,8 +84,14 @@
     of each member whose state has changed."""
 
     def __init__(
-        self, me: int, members: int, life: int, timing: Timing, seed: int,
-        say: Callable[[int, Known], None], spread: Callable[[Rumor], None],
+        self,
+        me: int,
+        members: int,
+        life: int,
+        timing: Timing,
+        seed: int,
+        say: Callable[[int, Known], None],
+        spread: Callable[[Rumor], None],
         moved: Callable[[int, State, State], None] = lambda member, before, after: None,
     ) -> None:
         self.me, self.life, self.refuted = me, life, 0
@@ -148,8 +154,11 @@
             if now_ms >= peer.until_ms:
                 self._become(member, State.DEAD, peer.life, peer.refuted, now_ms)
         if self._relayed:
-            self._relayed = {nonce: held for nonce, held in self._relayed.items()
-                             if now_ms - held[2] < self.timing.period_ms}
+            self._relayed = {
+                nonce: held
+                for nonce, held in self._relayed.items()
+                if now_ms - held[2] < self.timing.period_ms
+            }
 
     def _woke(self, now_ms: float) -> None:
         """This process stood still, and answers that came meanwhile are yet to be read: what is due for
--- a/shaletiller/fleet/verdicts.py
+++ b/shaletiller/fleet/verdicts.py
@@ -83,7 +83,9 @@
     words have changed."""
 
     def __init__(
-        self, spread: Callable[[Verdict], None], moved: Callable[[str, Kind], None] = lambda node, kind: None,
+        self,
+        spread: Callable[[Verdict], None],
+        moved: Callable[[str, Kind], None] = lambda node, kind: None,
     ) -> None:
         self._spread, self._moved = spread, moved
         self._words: dict[Key, Verdict] = {}
@@ -140,8 +142,11 @@
         return True
 
     def _end_older(self, node: str, life: int) -> None:
-        old = [key for key, word in self._words.items()
-               if word.node == node and word.kind != Kind.BAN and word.life < life]
+        old = [
+            key
+            for key, word in self._words.items()
+            if word.node == node and word.kind != Kind.BAN and word.life < life
+        ]
         for key in old:
             self._drop(key)
             self._moved(node, Kind(key[1]))
@@ -176,26 +181,46 @@
 
     def opinion(self, node: str, kind: Kind, wall_ms: float) -> Opinion | None:
         """What holds of a node now; None where nobody says anything of that kind."""
-        said = [word for key, word in self._words.items() if key[0] == node and key[1] == kind
-                and word.value > 0 and word.until > wall_ms]
+        said = [
+            word
+            for key, word in self._words.items()
+            if key[0] == node and key[1] == kind and word.value > 0 and word.until > wall_ms
+        ]
         if not said:
             return None
-        return Opinion(len({word.observer for word in said}), max(word.value for word in said),
-                       float(max(word.until for word in said)), max(word.life for word in said))
+        return Opinion(
+            len({word.observer for word in said}),
+            max(word.value for word in said),
+            float(max(word.until for word in said)),
+            max(word.life for word in said),
+        )
 
     def agreed(self, node: str, kind: Kind, quorum: int, wall_ms: float) -> Opinion | None:
         """The opinion where enough distinct observers share it; its end is when they are too few."""
-        said = sorted((word for key, word in self._words.items() if key[0] == node and key[1] == kind
-                       and word.value > 0 and word.until > wall_ms), key=lambda word: -word.until)
+        said = sorted(
+            (
+                word
+                for key, word in self._words.items()
+                if key[0] == node and key[1] == kind and word.value > 0 and word.until > wall_ms
+            ),
+            key=lambda word: -word.until,
+        )
         if len({word.observer for word in said}) < quorum:
             return None
-        return Opinion(len(said), max(word.value for word in said), float(said[quorum - 1].until),
-                       max(word.life for word in said))
+        return Opinion(
+            len(said),
+            max(word.value for word in said),
+            float(said[quorum - 1].until),
+            max(word.life for word in said),
+        )
 
     def banned(self, wall_ms: float) -> frozenset[str]:
         """The nodes out by hand."""
-        return frozenset(word.node for key, word in self._words.items()
-                         if key[1] == Kind.BAN and word.value > 0 and word.until > wall_ms)
+        return frozenset(
+            word.node
+            for key, word in self._words.items()
+            if key[1] == Kind.BAN and word.value > 0 and word.until > wall_ms
+        )
 
     def some(self, room: int) -> list[bytes]:
         """Packed words of the map, in turn, as many as fit into so many bytes: what two maps that differ
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -37,8 +37,19 @@
 WATCH_S = 0.02
 BANS_S = 0.2  # how often the bans that the other process of the gateway may have written are looked at
 # What a reload leaves as it was.
-FIXED_KEYS = ("name", "listen", "limits", "peer_listen", "peers", "peers_all",
-              "nvme", "telemetry", "admin", "state_dir", "operator")
+FIXED_KEYS = (
+    "name",
+    "listen",
+    "limits",
+    "peer_listen",
+    "peers",
+    "peers_all",
+    "nvme",
+    "telemetry",
+    "admin",
+    "state_dir",
+    "operator",
+)
 
 
 class Gateway:
@@ -52,13 +63,17 @@
         a_box = config.back_sockets // 2 // max(1, len(config.nvme.box))
         self._boxes = self._nvme_boxes(a_box)
         self.discovery = Discovery(
-            config.discovery, config.known, self._back_of, self.engine.nodes, config.seed, self._clock.now_ms)
+            config.discovery, config.known, self._back_of, self.engine.nodes, config.seed, self._clock.now_ms
+        )
         self.discovery.retune(config.settings)
-        self.front = HttpFront(
-            self.engine, config.front_sockets, lambda: self.discovery.held, self._clock)
+        self.front = HttpFront(self.engine, config.front_sockets, lambda: self.discovery.held, self._clock)
         self.fleet = self._fleet_port()
-        self.peers = Peers(config.peers, config.peers_all, self._heard,
-                           self.fleet.receive if self.fleet is not None else None)
+        self.peers = Peers(
+            config.peers,
+            config.peers_all,
+            self._heard,
+            self.fleet.receive if self.fleet is not None else None,
+        )
         self.engine.tell = self.peers.tell
         self.engine.fetch_list = lambda: self.engine.spawn(self.discovery.fetch())
         self.nvme = self._nvme_front()
@@ -69,10 +84,20 @@
         bans = Path(config.state_dir) / f"shaletiller-{config.name or 'gateway'}-bans.json"
         self.bans = Bans(bans, lambda moved: self.engine.ban(self.bans.held, moved))
         self.promises = self._promise_port()
-        self.admin = Admin({
-            "READY": self._ready, "STATS": self._stats, "DISABLE": self._disable, "ENABLE": self._enable,
-            "DRAIN": lambda words: self._drain(True), "UNDRAIN": lambda words: self._drain(False),
-        }) if config.admin else None
+        self.admin = (
+            Admin(
+                {
+                    "READY": self._ready,
+                    "STATS": self._stats,
+                    "DISABLE": self._disable,
+                    "ENABLE": self._enable,
+                    "DRAIN": lambda words: self._drain(True),
+                    "UNDRAIN": lambda words: self._drain(False),
+                }
+            )
+            if config.admin
+            else None
+        )
 
     # ---- NVMe over TCP: loaded only where it is configured, for it takes CPU at the start
 
@@ -129,9 +154,11 @@
         engine = self.engine
         gauges = {
             "forwards": engine.counts.get("forwards", 0) + len(engine.send.out),  # out: mostly written
-            "outstanding": len(engine.table), "discovered": len(engine.listed),
+            "outstanding": len(engine.table),
+            "discovered": len(engine.listed),
             "ejected": len(engine.banned & engine.listed.keys()),
-            "sighup_applied": self.sighup["applied"], "sighup_rejected": self.sighup["rejected"],
+            "sighup_applied": self.sighup["applied"],
+            "sighup_rejected": self.sighup["rejected"],
             **(self.fleet.figures() if self.fleet is not None else {}),
             **(self.discovery.book.figures(self._clock.now_ms()) if self.fleet is not None else {}),
             **(self.promises.figures() if self.promises is not None else {}),
@@ -255,7 +282,8 @@
             self._longest_ms = max(spec.deadline_ms for spec in config.settings.classes)
             log(f"reload: classes {', '.join(spec.name for spec in config.settings.classes)} from now on")
         self.config = msgspec.structs.replace(
-            self.config, discovery=config.discovery, settings=config.settings)
+            self.config, discovery=config.discovery, settings=config.settings
+        )
         if moved:
             self.discovery.move(config.discovery)  # as it starts, too: the watch begins at the new address
         if moved and self._watch is not None and not self._watch.done():
--- a/shaletiller/interface.py
+++ b/shaletiller/interface.py
@@ -163,7 +163,12 @@
         if not self.plans:
             raise ValueError("plans: at least one plan is needed")
         for name in (
-            "hosts", "mean_units", "most_units", "max_attempts", "conn_idle_ms", "connect_timeout_ms",
+            "hosts",
+            "mean_units",
+            "most_units",
+            "max_attempts",
+            "conn_idle_ms",
+            "connect_timeout_ms",
         ):
             _positive(name, getattr(self, name))
         for name in ("fall_ms", "ramp_ms", "cold_units", "turn_gap_ms", "budget_share", "budget_span_ms"):
@@ -290,8 +295,18 @@
     token: str
 
 
-Event = (NodeList | Request | Attempted | StreamStarted | ClientLeft | Probed | PeerSaid | TimerDue |
-         ShareTold | NodeSeen)
+Event = (
+    NodeList
+    | Request
+    | Attempted
+    | StreamStarted
+    | ClientLeft
+    | Probed
+    | PeerSaid
+    | TimerDue
+    | ShareTold
+    | NodeSeen
+)
 
 
 class Send(Told, frozen=True):
@@ -366,4 +381,3 @@
 
 
 Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | Tell | Subscribe | FetchList | CloseIdle | Log
-
--- a/shaletiller/lab/cli.py
+++ b/shaletiller/lab/cli.py
@@ -28,8 +28,12 @@
 from shaletiller.lab.gateways import LabError
 from shaletiller.lab.guarantees import Outcome
 
-app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False,
-                  help="The laboratory: fleets of gateways, their links and their faults.")
+app = typer.Typer(
+    add_completion=False,
+    no_args_is_help=True,
+    pretty_exceptions_enable=False,
+    help="The laboratory: fleets of gateways, their links and their faults.",
+)
 Json = Annotated[Path | None, typer.Option("--json", help="write the verdict there")]
 Seed = Annotated[int, typer.Option(help="of all that is drawn")]
 
@@ -61,8 +65,9 @@
     if tables and carrier != "tcp":
         raise typer.BadParameter("wants --carrier tcp", param_hint="--tables")
     try:
-        out = asyncio.run(fleet_run.run(
-            gateways, seconds, seed, scenario.load(faults), carrier, tables=tables))
+        out = asyncio.run(
+            fleet_run.run(gateways, seconds, seed, scenario.load(faults), carrier, tables=tables)
+        )
     except (LabError, scenario.ScenarioError) as error:
         typer.echo(f"lab: {error}", err=True)
         raise typer.Exit(2 if isinstance(error, scenario.ScenarioError) else 3) from error
@@ -80,8 +85,9 @@
 ) -> None:
     """Real processes with stores of their own that keep promises for each other, with faults between them."""
     try:
-        out = asyncio.run(promise_run.run(
-            gateways, seconds, seed, scenario.load(faults, "promises"), rate=rate))
+        out = asyncio.run(
+            promise_run.run(gateways, seconds, seed, scenario.load(faults, "promises"), rate=rate)
+        )
     except (LabError, scenario.ScenarioError) as error:
         typer.echo(f"lab: {error}", err=True)
         raise typer.Exit(2 if isinstance(error, scenario.ScenarioError) else 3) from error
@@ -93,15 +99,17 @@
     gateways: Annotated[int, typer.Option(min=5, max=20)] = 5,
     seconds: Annotated[float, typer.Option(min=8, max=3600)] = 15.0,
     seed: Seed = 1,
-    faults: Annotated[str, typer.Option(help=f"{', '.join(scenario.names('discovery'))}; or a file")
-                      ] = "none",
+    faults: Annotated[
+        str, typer.Option(help=f"{', '.join(scenario.names('discovery'))}; or a file")
+    ] = "none",
     alone: Annotated[bool, typer.Option("--alone", help="each gateway alone, as without a fleet")] = False,
     to: Json = None,
 ) -> None:
     """Real processes whose discovery fails, lies or forgets."""
     try:
-        out = asyncio.run(discovery_run.run(
-            gateways, seconds, seed, scenario.load(faults, "discovery"), on=not alone))
+        out = asyncio.run(
+            discovery_run.run(gateways, seconds, seed, scenario.load(faults, "discovery"), on=not alone)
+        )
     except (LabError, scenario.ScenarioError) as error:
         typer.echo(f"lab: {error}", err=True)
         raise typer.Exit(2 if isinstance(error, scenario.ScenarioError) else 3) from error
@@ -136,7 +144,8 @@
         typer.echo(
             f"{'!!' if broken else 'ok'} {told['schedules']} schedules of {gateways} gateways: "
             f"{told['broken']} broke a promise; {told['promises']} outcomes told of {told['keys']} keys, "
-            f"{told['repeats_answered']} repeats got the same answer; answers {told['answers']}")
+            f"{told['repeats_answered']} repeats got the same answer; answers {told['answers']}"
+        )
         for each in told["failures"]:
             typer.echo(f"   seed {each['seed']}: {'; '.join(each['broken'])}")
     if small:
--- a/shaletiller/lab/cost.py
+++ b/shaletiller/lab/cost.py
@@ -64,15 +64,24 @@
     used_s, memory = gateway.usage()
     served = sum(each.status == 200 for each in load.asked)
     cuts = statistics.quantiles(times, n=100)
-    return Cost(rig.on, 1000 * idle_s / idle_span_s, served / span_s, 1e6 * (used_s - cpu_s) / max(1, served),
-                cuts[49], cuts[98], memory)
+    return Cost(
+        rig.on,
+        1000 * idle_s / idle_span_s,
+        served / span_s,
+        1e6 * (used_s - cpu_s) / max(1, served),
+        cuts[49],
+        cuts[98],
+        memory,
+    )
 
 
 async def measure(gateways: int, seconds: float, seed: int, turns: int) -> dict[str, Any]:
     """Both fleets, in turn."""
     with tempfile.TemporaryDirectory() as made:
-        rigs = [Rig(gateways, seed, seconds, Path(made) / str(on), settings=UNLIMITED, on=on)
-                for on in (False, True)]
+        rigs = [
+            Rig(gateways, seed, seconds, Path(made) / str(on), settings=UNLIMITED, on=on)
+            for on in (False, True)
+        ]
         found: list[Cost] = []
         try:
             for rig in rigs:
@@ -93,7 +102,9 @@
     told = [f"{'':24} {'off':>10} {'on':>10}   medians of {len(found['turns']) // 2} turns each"]
     names = [name for name in found["turns"][0] if name != "on"]
     for name in names:
-        off, on = (statistics.median(each[name] for each in found["turns"] if each["on"] is wanted)
-                   for wanted in (False, True))
+        off, on = (
+            statistics.median(each[name] for each in found["turns"] if each["on"] is wanted)
+            for wanted in (False, True)
+        )
         told.append(f"{name.replace('_', ' '):24} {off:10.2f} {on:10.2f}")
     return told
--- a/shaletiller/lab/cut.py
+++ b/shaletiller/lab/cut.py
@@ -123,7 +123,8 @@
     """Whether each key has what was acknowledged of it, or what some later commit wrote."""
     return all(
         found.get(key) == acknowledged.get(key) or any(state.get(key) == found.get(key) for state in later)
-        for key in found.keys() | acknowledged.keys())
+        for key in found.keys() | acknowledged.keys()
+    )
 
 
 def flips(written: Written, scratch: Path, tried: Tried, seed: int, step: int = 1) -> None:
@@ -166,7 +167,7 @@
 
     def write(self, file: int, data: bytes) -> None:
         if self.left == 0 and self._half:
-            super().write(file, data[:len(data) // 2])
+            super().write(file, data[: len(data) // 2])
         self._call()
         super().write(file, data)
 
@@ -236,8 +237,12 @@
     out = Outcome("cut", seed)
     sizes = {path.name: path.stat().st_size for path in _files(store)}
     out.guarantees = [
-        Guarantee("acknowledged and lost, or half-written and believed", 0, len(tried.lost),
-                  note=f"{tried.cuts} cuts, {tried.stops} stops in a compaction"),
+        Guarantee(
+            "acknowledged and lost, or half-written and believed",
+            0,
+            len(tried.lost),
+            note=f"{tried.cuts} cuts, {tried.stops} stops in a compaction",
+        ),
         Guarantee("damage not named", 0, len(tried.unnamed), note=f"{tried.flips} flips, {tried.cuts} cuts"),
     ]
     out.figures = {"files": sizes, "lost": tried.lost[:10], "unnamed": tried.unnamed[:10]}
--- a/shaletiller/lab/fleet_run.py
+++ b/shaletiller/lab/fleet_run.py
@@ -45,16 +45,33 @@
 }
 """
 SETTINGS: dict[str, Any] = {
-    "tick-ms": 2.0, "discovery": "automatic",
+    "tick-ms": 2.0,
+    "discovery": "automatic",
     "classes": [
-        {"name": "read", "target-ms": 300.0, "hard-limit-ms": 900.0, "importance": 1.0,
-         "effect": "read_like"},
-        {"name": "write", "target-ms": 300.0, "hard-limit-ms": 900.0, "importance": 1.0,
-         "effect": "non_idempotent"},
+        {
+            "name": "read",
+            "target-ms": 300.0,
+            "hard-limit-ms": 900.0,
+            "importance": 1.0,
+            "effect": "read_like",
+        },
+        {
+            "name": "write",
+            "target-ms": 300.0,
+            "hard-limit-ms": 900.0,
+            "importance": 1.0,
+            "effect": "non_idempotent",
+        },
     ],
     "contracts": [
-        {"name": "capped", "base-rate": 50.0, "reserve": 50.0, "proportion": 1.0,
-         "ceiling-rate": LIMIT.rate, "burst": LIMIT.burst},
+        {
+            "name": "capped",
+            "base-rate": 50.0,
+            "reserve": 50.0,
+            "proportion": 1.0,
+            "ceiling-rate": LIMIT.rate,
+            "burst": LIMIT.burst,
+        },
         {"name": "free", "base-rate": 50.0, "reserve": 50.0, "proportion": 1.0},
     ],
     "domain": {"mean-units": 4.5, "most-units": 8, "shards": SHARDS + 1, "writes": [False, True]},
@@ -96,8 +113,12 @@
         await (self.wires.start_tcp if self.carrier == "tcp" else self.wires.start_udp)(listens)
         for number, name in enumerate(self.names):
             self.processes[name] = Process(
-                name, self.folder / name, self._config(number, name, listens),
-                self._operator_file(name, listens), self.seed * 100 + number)
+                name,
+                self.folder / name,
+                self._config(number, name, listens),
+                self._operator_file(name, listens),
+                self.seed * 100 + number,
+            )
         processes = self.processes.values()
         await asyncio.gather(*(process.start(self.known(process.name)) for process in processes))
 
@@ -108,16 +129,23 @@
         peers: dict[str, Any] = {}
         if self.carrier == "datagrams":
             ways = [self.wires.udp.get((name, other), listens[name]) for other in self.names]
-            peers = {"peer_listen": f"127.0.0.1:{listens[name]}",
-                     "peers": [f"127.0.0.1:{way}" for way in ways]}
+            peers = {
+                "peer_listen": f"127.0.0.1:{listens[name]}",
+                "peers": [f"127.0.0.1:{way}" for way in ways],
+            }
         settings = {**self.settings, "balancers": self.gateways, "position": number}
         return {"discovery": f"127.0.0.1:{self.discovery.ports[name]}", "settings": settings, **peers}
 
     def _operator_file(self, name: str, listens: dict[str, int]) -> str:
         if not self.on:
             return self.operator
-        lines = [f'carrier "{self.carrier}"', f"term-ms {TERM_MS:.0f}", f"lease-ms {LEASE_MS:.0f}",
-                 f"drift {DRIFT}", self.fleet_lines]
+        lines = [
+            f'carrier "{self.carrier}"',
+            f"term-ms {TERM_MS:.0f}",
+            f"lease-ms {LEASE_MS:.0f}",
+            f"drift {DRIFT}",
+            self.fleet_lines,
+        ]
         if self.carrier == "tcp":
             for other in self.names:
                 port = listens[name] if other == name else self.wires.tcp[name, other]
@@ -179,7 +207,7 @@
     def _discovery(self, fault: Fault) -> None:
         of, (what, *rest) = self.discovery, fault.args
         of.silent, of.empty = what == "silent", what == "empty"
-        of.serves = frozenset(self.names[:int(float(rest[0]))]) if what == "overbooked" else None
+        of.serves = frozenset(self.names[: int(float(rest[0]))]) if what == "overbooked" else None
         if what == "back":
             of.put_back(int(float(rest[0])))
         elif what not in ("silent", "up", "overbooked", "empty"):
@@ -197,8 +225,10 @@
         if fault.verb == "disable":
             self.bans.append((fault.args[0], now_ms(), float("inf")))
         else:
-            self.bans = [(node, since, asked_ms if node == fault.args[0] and until == float("inf") else until)
-                         for node, since, until in self.bans]
+            self.bans = [
+                (node, since, asked_ms if node == fault.args[0] and until == float("inf") else until)
+                for node, since, until in self.bans
+            ]
 
     async def play(self, faults: tuple[Fault, ...]) -> None:
         """Each fault at its time."""
@@ -232,14 +262,30 @@
             for _ in range(2):  # while there are faults, surges of a second or so at each of the others
                 begin_ms = draw.uniform(*SURGES) * end_ms
                 span_ms = min(1_200.0, 0.06 * end_ms)
-                found.append(Stream(name, LIMITED, "capped", "read", LIMIT.rate, begin_ms, begin_ms + span_ms,
-                                    SHARDS, rig.gateways))
+                found.append(
+                    Stream(
+                        name,
+                        LIMITED,
+                        "capped",
+                        "read",
+                        LIMIT.rate,
+                        begin_ms,
+                        begin_ms + span_ms,
+                        SHARDS,
+                        rig.gateways,
+                    )
+                )
     return found
 
 
 async def run(
-    gateways: int, seconds: float, seed: int, scenario: Scenario, carrier: str = "datagrams",
-    folder: Path | None = None, tables: bool = False,
+    gateways: int,
+    seconds: float,
+    seed: int,
+    scenario: Scenario,
+    carrier: str = "datagrams",
+    folder: Path | None = None,
+    tables: bool = False,
 ) -> Outcome:
     """One run and its verdict; `tables`: with granters' tables copied."""
     with tempfile.TemporaryDirectory() as made:
@@ -263,7 +309,10 @@
 
 
 def judge(
-    rig: Rig, load: Load, scenario: Scenario, stats: dict[str, dict[str, int]],
+    rig: Rig,
+    load: Load,
+    scenario: Scenario,
+    stats: dict[str, dict[str, int]],
     usage: dict[str, tuple[float, float]],
 ) -> Outcome:
     """From the records of nodes and clients alone; the gateways' own figures are only shown."""
@@ -274,13 +323,25 @@
     for each in attempts:
         firsts.setdefault(each.request, each.at_ms)
     limited = [
-        Spend(at_ms - rig.began_ms, rig.names.index(asked[request].gateway), "capped",
-              float(asked[request].units))
-        for request, at_ms in firsts.items() if asked[request].stream.volume == LIMITED]
+        Spend(
+            at_ms - rig.began_ms,
+            rig.names.index(asked[request].gateway),
+            "capped",
+            float(asked[request].units),
+        )
+        for request, at_ms in firsts.items()
+        if asked[request].stream.volume == LIMITED
+    ]
     limit = Limit("capped", LIMIT)
-    out.guarantees.append(Guarantee(
-        "over the strict limit", 0.0, overshoot(limited, limit, DRIFT), unit="units",
-        note=f"{len(limited)} requests, {LIMIT.rate:g} units/s, burst {LIMIT.burst:g}"))
+    out.guarantees.append(
+        Guarantee(
+            "over the strict limit",
+            0.0,
+            overshoot(limited, limit, DRIFT),
+            unit="units",
+            note=f"{len(limited)} requests, {LIMIT.rate:g} units/s, burst {LIMIT.burst:g}",
+        )
+    )
     end_ms = rig.seconds * 1000
     first, last = (part * end_ms for part in scenario.span())
     ready_ms = Terms(TERM_MS, LEASE_MS, DRIFT).give_ms + 1_000.0
@@ -295,14 +356,18 @@
             ran[request] = ran.get(request, 0) + times
     twice = [request for request, times in ran.items() if times > 1 and request in writes]
     out.guarantees.append(Guarantee("writes run twice", 0, len(twice), note=f"{len(writes)} writes"))
-    silent = [each for each in load.asked if each.status == 0 and not rig.processes[each.gateway].was_down(
-        each.due_ms - 50.0, each.ended_ms + 50.0)]
-    out.guarantees.append(Guarantee(
-        "unanswered", 0, len(silent), note=f"{len(load.asked)} requests"))
+    silent = [
+        each
+        for each in load.asked
+        if each.status == 0
+        and not rig.processes[each.gateway].was_down(each.due_ms - 50.0, each.ended_ms + 50.0)
+    ]
+    out.guarantees.append(Guarantee("unanswered", 0, len(silent), note=f"{len(load.asked)} requests"))
     out.figures = {
         "statuses": count(str(each.status) for each in load.asked),
         "units_limited": sum(spend.units for spend in limited),
-        "stats": stats, "cpu_s_and_mb": usage,
+        "stats": stats,
+        "cpu_s_and_mb": usage,
         "silent": [f"{each.gateway} {each.why}" for each in silent[:5]],
     }
     out.course = [f"{at / 1000:7.2f} s  {what}" for at, what in rig.course]
@@ -322,16 +387,27 @@
 
 
 def _uses(
-    out: Outcome, limited: list[Spend], lossy: bool, ready_ms: float, first_ms: float, last_ms: float,
+    out: Outcome,
+    limited: list[Spend],
+    lossy: bool,
+    ready_ms: float,
+    first_ms: float,
+    last_ms: float,
     end_ms: float,
 ) -> None:
     """The use of the limit: of the whole run where there are no faults, else before them, while they last,
     and from two terms after the last on."""
     at_least = 0.6 if lossy else 0.95
     if (first_ms >= end_ms or lossy) and end_ms - ready_ms >= SHORTEST_MS:
-        out.guarantees.append(Guarantee(
-            f"use of the limit {'with losses' if lossy else 'without faults'}", at_least,
-            _used(limited, ready_ms, end_ms), "at least", note="of even parts one gateway would use 0.2"))
+        out.guarantees.append(
+            Guarantee(
+                f"use of the limit {'with losses' if lossy else 'without faults'}",
+                at_least,
+                _used(limited, ready_ms, end_ms),
+                "at least",
+                note="of even parts one gateway would use 0.2",
+            )
+        )
     if first_ms >= end_ms or lossy:
         return
     last_ms = max(SURGES[1] * end_ms + 1_200.0, last_ms)
@@ -340,8 +416,9 @@
         out.figures["use_before"] = _used(limited, ready_ms, first_ms)
     out.figures["use_in_trouble"] = _used(limited, first_ms, last_ms)
     if end_ms - healed_ms >= SHORTEST_MS / 2:
-        out.guarantees.append(Guarantee(
-            "use two terms after healing", at_least, _used(limited, healed_ms, end_ms), "at least"))
+        out.guarantees.append(
+            Guarantee("use two terms after healing", at_least, _used(limited, healed_ms, end_ms), "at least")
+        )
 
 
 def _apart(out: Outcome, rig: Rig, limited: list[Spend]) -> None:
@@ -354,9 +431,15 @@
             cut_ms = at
         elif verb == "heal" and cut_ms is not None and at - cut_ms - settle_ms >= 1_000.0:
             mine = [spend for spend in limited if rig.names[spend.member] == LEAD]
-            out.guarantees.append(Guarantee(
-                f"use through {LEAD} while cut off", 0.95 / rig.gateways,
-                _used(mine, cut_ms + settle_ms, at), "at least", note="its own part, less 5%"))
+            out.guarantees.append(
+                Guarantee(
+                    f"use through {LEAD} while cut off",
+                    0.95 / rig.gateways,
+                    _used(mine, cut_ms + settle_ms, at),
+                    "at least",
+                    note="its own part, less 5%",
+                )
+            )
             return
 
 
@@ -369,13 +452,22 @@
         for each in attempts:
             if each.node == node and since_ms <= each.at_ms < until_ms:
                 late[each.gateway] = max(late[each.gateway], each.at_ms - since_ms)
-        apart = {name for name in rig.names
-                 if rig.processes[name].was_down(since_ms, min(until_ms, since_ms + bound_ms))}
+        apart = {
+            name
+            for name in rig.names
+            if rig.processes[name].was_down(since_ms, min(until_ms, since_ms + bound_ms))
+        }
         cut = _cut_at(rig, since_ms, since_ms + bound_ms)
         judged = {name: ms for name, ms in late.items() if name not in apart | cut}
-        out.guarantees.append(Guarantee(
-            f"staleness of the ban of {node}", bound_ms, max(judged.values(), default=0.0), unit="ms",
-            note=f"{len(judged)} gateways" + (f", apart {sorted(apart | cut)}" if apart | cut else "")))
+        out.guarantees.append(
+            Guarantee(
+                f"staleness of the ban of {node}",
+                bound_ms,
+                max(judged.values(), default=0.0),
+                unit="ms",
+                note=f"{len(judged)} gateways" + (f", apart {sorted(apart | cut)}" if apart | cut else ""),
+            )
+        )
 
 
 def _cut_at(rig: Rig, begin_ms: float, end_ms: float) -> set[str]:
--- a/shaletiller/lab/fleet_sim.py
+++ b/shaletiller/lab/fleet_sim.py
@@ -80,12 +80,16 @@
 def summary(found: list[Seen]) -> dict[str, Any]:
     """What the schedules gave together."""
     broken = [each for each in found if each.broken]
-    mean = {name: sum(getattr(each, name) for each in found) / len(found)
-            for name in ("use_cut", "use_healed", "messages_a_second")}
+    mean = {
+        name: sum(getattr(each, name) for each in found) / len(found)
+        for name in ("use_cut", "use_healed", "messages_a_second")
+    }
     return {
-        "schedules": len(found), "broken": len(broken),
+        "schedules": len(found),
+        "broken": len(broken),
         "worst_overshoot_units": max((max(each.over.values()) for each in found), default=0.0),
-        **mean, "failures": [asdict(each) for each in broken[:20]],
+        **mean,
+        "failures": [asdict(each) for each in broken[:20]],
     }
 
 
@@ -95,7 +99,9 @@
     with ProcessPoolExecutor() as pool:
         sized = list(pool.map(partial(at_size, seed=seed, loss=loss), sizes))
     return {
-        "gateways": gateways, "seed": seed, "schedules": summary(found) if found else {},
+        "gateways": gateways,
+        "seed": seed,
+        "schedules": summary(found) if found else {},
         "sizes": [asdict(each) for each in sized],
     }
 
@@ -109,7 +115,8 @@
             f"gateways: {runs['broken']} broke a guarantee; most over a strict limit "
             f"{runs['worst_overshoot_units']:.3f} units; "
             f"use in trouble {runs['use_cut']:.2f}, two terms after healing {runs['use_healed']:.2f}; "
-            f"{runs['messages_a_second']:.0f} messages/s a gateway")
+            f"{runs['messages_a_second']:.0f} messages/s a gateway"
+        )
         told += [f"   seed {each['seed']}: {'; '.join(each['broken'])}" for each in runs["failures"]]
     if found["sizes"]:
         told.append("gateways   loss  messages/s   bytes/s  spread ms: mean    most   use of a limit")
@@ -118,7 +125,8 @@
         mean_ms = sum(spread) / len(spread)
         told.append(
             f"{each['gateways']:8d} {each['loss']:6.2f} {each['messages_a_second']:11.1f} "
-            f"{each['bytes_a_second']:9.0f} {mean_ms:15.0f} {max(spread):7.0f} {each['use']:16.3f}")
+            f"{each['bytes_a_second']:9.0f} {mean_ms:15.0f} {max(spread):7.0f} {each['use']:16.3f}"
+        )
     return told
 
 
@@ -134,8 +142,12 @@
     left.plot(sizes, [each["messages_a_second"] for each in found["sizes"]], marker="o")
     left.set(xscale="log", xlabel="gateways", ylabel="messages a second, each gateway", ylim=(0, None))
     right.plot(sizes, [max(each["spread_ms"]) for each in found["sizes"]], marker="o", label="most")
-    right.plot(sizes, [sum(each["spread_ms"]) / len(each["spread_ms"]) for each in found["sizes"]],
-               marker="o", label="mean")
+    right.plot(
+        sizes,
+        [sum(each["spread_ms"]) / len(each["spread_ms"]) for each in found["sizes"]],
+        marker="o",
+        label="mean",
+    )
     right.set(xscale="log", xlabel="gateways", ylabel="ms until all have heard", ylim=(0, None))
     right.legend()
     for axes in (left, right):
--- a/shaletiller/lab/gateways.py
+++ b/shaletiller/lab/gateways.py
@@ -50,7 +50,12 @@
     """One gateway.  It keeps its folder over restarts, unless that is wiped."""
 
     def __init__(
-        self, name: str, folder: Path, config: dict[str, Any], operator: str = "", seed: int = 0,
+        self,
+        name: str,
+        folder: Path,
+        config: dict[str, Any],
+        operator: str = "",
+        seed: int = 0,
     ) -> None:
         self.name, self.folder = name, folder
         folder.mkdir(parents=True, exist_ok=True)
@@ -59,8 +64,13 @@
         self.write_operator(operator)
         self._config = folder / "config.json"
         self.told = {
-            "name": name, "listen": f"127.0.0.1:{self.port}", "admin": f"127.0.0.1:{self.admin_port}",
-            "limits": {"sockets": 1024}, "seed": seed, **config}
+            "name": name,
+            "listen": f"127.0.0.1:{self.port}",
+            "admin": f"127.0.0.1:{self.admin_port}",
+            "limits": {"sockets": 1024},
+            "seed": seed,
+            **config,
+        }
         self._write()
         self._process: asyncio.subprocess.Process | None = None
         self.paused = False
@@ -92,13 +102,17 @@
         began = now_ms()
         if not self.down or self.down[-1][1] != float("inf"):
             self.down.append([began, float("inf")])
-        env = {"EDGE_CONFIG": str(self._config), "TMPDIR": str(self.folder),
-               "PATH": os.environ.get("PATH", "")}
+        env = {
+            "EDGE_CONFIG": str(self._config),
+            "TMPDIR": str(self.folder),
+            "PATH": os.environ.get("PATH", ""),
+        }
         if self._operator.stat().st_size:
             env["EDGE_OPERATOR"] = str(self._operator)
         log = (self.folder / "log.txt").open("ab")
         self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "shaletiller", cwd=ROOT, env=env, stdout=log, stderr=log)
+            sys.executable, "-m", "shaletiller", cwd=ROOT, env=env, stdout=log, stderr=log
+        )
         log.close()
         self.starts += 1
         self.paused = False
--- a/shaletiller/lab/guarantees.py
+++ b/shaletiller/lab/guarantees.py
@@ -40,8 +40,11 @@
         return all(each.kept for each in self.guarantees)
 
     def plain(self) -> dict[str, Any]:
-        return {**asdict(self), "kept": self.kept,
-                "guarantees": [{**asdict(each), "kept": each.kept} for each in self.guarantees]}
+        return {
+            **asdict(self),
+            "kept": self.kept,
+            "guarantees": [{**asdict(each), "kept": each.kept} for each in self.guarantees],
+        }
 
     def write(self, path: Path) -> None:
         path.write_text(json.dumps(self.plain(), indent=1, default=str) + "\n")
--- a/shaletiller/lab/http.py
+++ b/shaletiller/lab/http.py
@@ -46,7 +46,7 @@
             whole = end + 4 + int(heads.get("content-length", "0"))
             if len(self._held) < whole:
                 return
-            body, self._held = self._held[end + 4:whole], self._held[whole:]
+            body, self._held = self._held[end + 4 : whole], self._held[whole:]
             self._came(self, Message(first, heads, body))
 
     @property
--- a/shaletiller/lab/load.py
+++ b/shaletiller/lab/load.py
@@ -84,9 +84,17 @@
                 if at_ms >= stream.end_ms:
                     break
                 key = f"{draw.getrandbits(64):016x}" if stream.keyed else ""
-                found.append(Asked(
-                    at_ms, stream.gateway, f"{draw.getrandbits(64):016x}", stream,
-                    draw.randint(1, stream.most_units), draw.randrange(stream.shards), key))
+                found.append(
+                    Asked(
+                        at_ms,
+                        stream.gateway,
+                        f"{draw.getrandbits(64):016x}",
+                        stream,
+                        draw.randint(1, stream.most_units),
+                        draw.randrange(stream.shards),
+                        key,
+                    )
+                )
         return sorted(found, key=lambda each: each.due_ms)
 
     async def play(self, asked: list[Asked], began_ms: float) -> None:
@@ -137,10 +145,13 @@
     def _message(self, each: Asked) -> Callable[[Peer], None]:
         stream = each.stream
         heads = {
-            "Host": "app.svc", "Request-Id": each.request, "Request-Class": stream.service,
-            "Tier": stream.plan, "Request-Timeout-Ms": str(int(stream.timeout_ms)),
+            "Host": "app.svc",
+            "Request-Id": each.request,
+            "Request-Class": stream.service,
+            "Tier": stream.plan,
+            "Request-Timeout-Ms": str(int(stream.timeout_ms)),
             "IO-Info": f"volume={stream.volume:016x},units={each.units},shard={each.shard},"
-                       f"hosts={stream.hosts}",
+            f"hosts={stream.hosts}",
         }
         if each.key:
             heads["Idempotency-Key"] = each.key
--- a/shaletiller/lab/nodes.py
+++ b/shaletiller/lab/nodes.py
@@ -43,8 +43,14 @@
     """One storage node of one shard."""
 
     def __init__(
-        self, name: str, shard: int, cores: int = 4, unit_ms: float = 2.0, queue: int = 64,
-        ramp_ms: float = 0.0, start_part: float = 1.0,
+        self,
+        name: str,
+        shard: int,
+        cores: int = 4,
+        unit_ms: float = 2.0,
+        queue: int = 64,
+        ramp_ms: float = 0.0,
+        start_part: float = 1.0,
     ) -> None:
         self.name, self.shard = name, shard
         self._cores, self._unit_ms, self._queue = cores, unit_ms, queue
@@ -67,7 +73,8 @@
         loop = asyncio.get_running_loop()
         for gateway in gateways:
             server = await loop.create_server(
-                lambda gateway=gateway: self._peer(gateway), "127.0.0.1", self.ports.get(gateway, 0))  # type: ignore[misc]
+                lambda gateway=gateway: self._peer(gateway), "127.0.0.1", self.ports.get(gateway, 0)
+            )  # type: ignore[misc]
             self._servers[gateway] = server
             self.ports[gateway] = server.sockets[0].getsockname()[1]
 
@@ -107,9 +114,17 @@
         runs = self._held < self._queue
         at_ms = now_ms()
         request = heads.get("request-id", "")
-        self.attempts.append(Attempt(
-            at_ms, self.name, gateway, request, heads.get("idempotency-key", ""),
-            message.first.startswith("PUT"), runs))
+        self.attempts.append(
+            Attempt(
+                at_ms,
+                self.name,
+                gateway,
+                request,
+                heads.get("idempotency-key", ""),
+                message.first.startswith("PUT"),
+                runs,
+            )
+        )
         if not runs:
             peer.write("HTTP/1.1 503 Full", {"Not-Started": "1"})
             return
@@ -128,8 +143,16 @@
 
     def row(self, gateway: str, state: str = "active") -> dict[str, Any]:
         """Its line of the node list, as discovery tells it to a gateway."""
-        return {"id": self.name, "addr": f"127.0.0.1:{self.ports[gateway]}", "zone": "a", "kind": "stand-in",
-                "cell": self.shard, "state": state, "weight": 1.0, "started_ms": int(self.started_ms)}
+        return {
+            "id": self.name,
+            "addr": f"127.0.0.1:{self.ports[gateway]}",
+            "zone": "a",
+            "kind": "stand-in",
+            "cell": self.shard,
+            "state": state,
+            "weight": 1.0,
+            "started_ms": int(self.started_ms),
+        }
 
 
 @dataclass
@@ -156,8 +179,11 @@
         for gateway in gateways:
             server = await loop.create_server(
                 lambda gateway=gateway: Peer(  # type: ignore[misc]
-                    lambda peer, message: self._came(gateway, peer, message), self._ended),
-                "127.0.0.1", 0)
+                    lambda peer, message: self._came(gateway, peer, message), self._ended
+                ),
+                "127.0.0.1",
+                0,
+            )
             self.ports[gateway] = server.sockets[0].getsockname()[1]
 
     def rows(self, gateway: str, since: int | None = None) -> list[dict[str, Any]]:
--- a/shaletiller/lab/promise_cost.py
+++ b/shaletiller/lab/promise_cost.py
@@ -29,14 +29,19 @@
 def percentiles(values: list[float]) -> dict[str, float]:
     """p50, p90, p99 and the most, in the values' unit."""
     ranked = sorted(values) or [float("nan")]
-    return {name: ranked[min(len(ranked) - 1, int(part * len(ranked)))]
-            for name, part in (("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("most", 1.0))}
+    return {
+        name: ranked[min(len(ranked) - 1, int(part * len(ranked)))]
+        for name, part in (("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("most", 1.0))
+    }
 
 
 def _latencies(asked: list[Asked], begin_ms: float = 0.0, end_ms: float = float("inf")) -> list[float]:
     """Of the writes that were served, from when each was due."""
-    return [each.ended_ms - each.due_ms for each in asked
-            if each.status == 200 and each.stream.keyed and begin_ms <= each.due_ms < end_ms]
+    return [
+        each.ended_ms - each.due_ms
+        for each in asked
+        if each.status == 200 and each.stream.keyed and begin_ms <= each.due_ms < end_ms
+    ]
 
 
 async def writes(level: str, seconds: float, seed: int, lose: bool = False, held: int = 0) -> dict[str, Any]:
@@ -55,22 +60,30 @@
             of.began_ms = now_ms() + 100.0
             end_ms = seconds * 1000
             through = [name for name in of.names if not (lose and name == "g1")]
-            streams = [Stream(name, 300, "free", "once", RATE, 0.0, end_ms, SHARDS, write=True, keyed=True)
-                       for name in through]
+            streams = [
+                Stream(name, 300, "free", "once", RATE, 0.0, end_ms, SHARDS, write=True, keyed=True)
+                for name in through
+            ]
             asked = load.draw(streams)
             tasks = [load.play(asked, of.began_ms)]
             if lose:
                 tasks.append(_lose(of, seconds, found))
             await asyncio.gather(*tasks)
-            found["statuses"] = {str(status): sum(each.status == status for each in load.asked)
-                                 for status in {each.status for each in load.asked}}
+            found["statuses"] = {
+                str(status): sum(each.status == status for each in load.asked)
+                for status in {each.status for each in load.asked}
+            }
             found["ms"] = percentiles(_latencies(load.asked))
             if lose:
-                spans = {"before": (0.0, found["lost_ms"]), "away": (found["lost_ms"], found["back_ms"]),
-                         "filling": (found["back_ms"], found["filled_ms"])}
+                spans = {
+                    "before": (0.0, found["lost_ms"]),
+                    "away": (found["lost_ms"], found["back_ms"]),
+                    "filling": (found["back_ms"], found["filled_ms"]),
+                }
                 for name, (begin, end) in spans.items():
                     found[f"ms_{name}"] = percentiles(
-                        _latencies(load.asked, of.began_ms + begin, of.began_ms + end))
+                        _latencies(load.asked, of.began_ms + begin, of.began_ms + end)
+                    )
                 of_g1 = await of.processes["g1"].stats()
                 found["records_filled"] = of_g1["edge.promises.repair_taken"]
             if level == "copied":
@@ -78,9 +91,11 @@
                 found["disk_bytes"] = sum(each["edge.store.log_bytes"] for each in stats)
                 found["live_bytes"] = sum(each["edge.store.live_bytes"] for each in stats)
                 found["promised_bytes"] = sum(
-                    len(each.key) + len(each.body) for each in load.asked if each.status == 200)
+                    len(each.key) + len(each.body) for each in load.asked if each.status == 200
+                )
                 found["rows_a_commit"] = sum(each["edge.store.rows"] for each in stats) / max(
-                    1, sum(each["edge.store.commits"] for each in stats))
+                    1, sum(each["edge.store.commits"] for each in stats)
+                )
         finally:
             await of.stop()
         return found
@@ -95,8 +110,15 @@
         nonlocal left
         while left > 0:
             left -= 1
-            each = Asked(now_ms(), name, f"{draw.getrandbits(64):016x}", stream, 1, draw.randrange(SHARDS),
-                         f"{draw.getrandbits(64):016x}")
+            each = Asked(
+                now_ms(),
+                name,
+                f"{draw.getrandbits(64):016x}",
+                stream,
+                1,
+                draw.randrange(SHARDS),
+                f"{draw.getrandbits(64):016x}",
+            )
             await load.ask(each)
 
     await asyncio.gather(*(client(name) for name in names for _ in range(4)))
@@ -151,8 +173,12 @@
     body = pack(Outcome(True, b"x" * 100, 1, 2))
     row = pack(Row((2, 1, 9), (2, 1, 9), 1, body, 99))
     for first in range(0, records, 5_000):
-        store.commit([(REGISTER, f"w:once:volume:{number:016x}".encode(), row)
-                      for number in range(first, min(first + 5_000, records))])
+        store.commit(
+            [
+                (REGISTER, f"w:once:volume:{number:016x}".encode(), row)
+                for number in range(first, min(first + 5_000, records))
+            ]
+        )
     size = store.log_bytes
     store.close()
     began = time.monotonic()
@@ -176,9 +202,11 @@
     with tempfile.TemporaryDirectory() as made:
         found["commits_a_second"] = {
             "a sync for each": await commits(Path(made) / "one", 3.0, False),
-            "group commit, 64 clients": await commits(Path(made) / "group", 3.0, True)}
-        found["recovery"] = [recovery(Path(made) / "many", 10 ** power) for power in (4, 5, 6)
-                             if 10 ** power <= most_records]
+            "group commit, 64 clients": await commits(Path(made) / "group", 3.0, True),
+        }
+        found["recovery"] = [
+            recovery(Path(made) / "many", 10**power) for power in (4, 5, 6) if 10**power <= most_records
+        ]
     found["repair"] = await writes("copied", max(12.0, seconds), seed, lose=True, held=held)
     return found
 
@@ -188,19 +216,28 @@
     told = []
     for level, plays in found["writes"].items():
         ms = {name: statistics.median(play["ms"][name] for play in plays) for name in ("p50", "p90", "p99")}
-        told.append(f"writes {level:6}: " + ", ".join(f"{name} {value:.1f} ms" for name, value in ms.items())
-                    + f" (medians of {len(plays)})")
+        told.append(
+            f"writes {level:6}: "
+            + ", ".join(f"{name} {value:.1f} ms" for name, value in ms.items())
+            + f" (medians of {len(plays)})"
+        )
     for name, rate in found["commits_a_second"].items():
         told.append(f"{name}: {rate:.0f} records a second")
     for each in found["recovery"]:
-        told.append(f"recovery of {each['records']} records, {each['bytes'] / 1e6:.1f} MB: "
-                    f"{each['log_s']:.2f} s from the log, {each['snapshot_s']:.2f} s from a snapshot")
+        told.append(
+            f"recovery of {each['records']} records, {each['bytes'] / 1e6:.1f} MB: "
+            f"{each['log_s']:.2f} s from the log, {each['snapshot_s']:.2f} s from a snapshot"
+        )
     last = found["writes"]["copied"][-1]
-    told.append(f"disk: {last['disk_bytes']} bytes in all logs, {last['live_bytes']} of them live, for "
-                f"{last['promised_bytes']} bytes promised; {last['rows_a_commit']:.1f} rows a commit")
+    told.append(
+        f"disk: {last['disk_bytes']} bytes in all logs, {last['live_bytes']} of them live, for "
+        f"{last['promised_bytes']} bytes promised; {last['rows_a_commit']:.1f} rows a commit"
+    )
     repair = found["repair"]
-    told.append(f"repair: {repair['records_filled']} records in "
-                f"{repair['filled_ms'] - repair['back_ms']:.0f} ms after the new machine served")
+    told.append(
+        f"repair: {repair['records_filled']} records in "
+        f"{repair['filled_ms'] - repair['back_ms']:.0f} ms after the new machine served"
+    )
     for name in ("before", "away", "filling"):
         ms = repair[f"ms_{name}"]
         told.append(f"  writes {name:7}: p50 {ms['p50']:.1f}, p99 {ms['p99']:.1f}, most {ms['most']:.1f} ms")
--- a/shaletiller/lab/promise_run.py
+++ b/shaletiller/lab/promise_run.py
@@ -41,11 +41,14 @@
 
 def settings() -> dict[str, Any]:
     """A class of writes that must not run twice and are copied, one that is not, and reads."""
-    classes = [{"name": name, "target-ms": 300.0, "hard-limit-ms": 900.0, "importance": 1.0, "effect": effect}
-               for name, effect in (("read", "read_like"), ("once", "non_idempotent"),
-                                    ("write", "non_idempotent"))]
+    classes = [
+        {"name": name, "target-ms": 300.0, "hard-limit-ms": 900.0, "importance": 1.0, "effect": effect}
+        for name, effect in (("read", "read_like"), ("once", "non_idempotent"), ("write", "non_idempotent"))
+    ]
     return {
-        "tick-ms": 2.0, "discovery": "automatic", "classes": classes,
+        "tick-ms": 2.0,
+        "discovery": "automatic",
+        "classes": classes,
         "contracts": [{"name": "free", "base-rate": 50.0, "reserve": 50.0, "proportion": 1.0}],
         "domain": {"mean-units": 4.5, "most-units": 8, "shards": SHARDS + 1, "writes": [False, True, True]},
         "limits": {"max-attempts": 3, "cancel": True, "retry-after": True},
@@ -54,8 +57,7 @@
 
 
 def rig(gateways: int, seconds: float, seed: int, folder: Path, level: str = "copied") -> Rig:
-    return Rig(gateways, seed, seconds, folder, "tcp", settings(),
-               OPERATOR.format(keep=KEEP_S, level=level))
+    return Rig(gateways, seed, seconds, folder, "tcp", settings(), OPERATOR.format(keep=KEEP_S, level=level))
 
 
 def draw(of: Rig, load: Load, rate: float) -> list[Asked]:
@@ -66,7 +68,8 @@
         streams += [
             Stream(name, 100 + at, "free", "read", 90.0, 0.0, end_ms, SHARDS + 1),
             Stream(name, 200 + at, "free", "write", 20.0, 0.0, end_ms, SHARDS, write=True),
-            Stream(name, 300, "free", "once", rate, 0.0, end_ms, SHARDS, write=True, keyed=True)]
+            Stream(name, 300, "free", "once", rate, 0.0, end_ms, SHARDS, write=True, keyed=True),
+        ]
     found = load.draw(streams)
     chance = random.Random(f"repeats {of.seed}")
     for first in [each for each in found if each.key]:
@@ -74,14 +77,27 @@
         while chance.random() < REPEATED:
             times.append(min(end_ms, first.due_ms + chance.choice(REPEATS_MS)))
         for due_ms in [*times, of.seconds * 1000 - chance.uniform(0.0, LAST_MS)]:
-            found.append(Asked(
-                due_ms, chance.choice(of.names), f"{chance.getrandbits(64):016x}", first.stream, first.units,
-                first.shard, first.key, content=first.request))
+            found.append(
+                Asked(
+                    due_ms,
+                    chance.choice(of.names),
+                    f"{chance.getrandbits(64):016x}",
+                    first.stream,
+                    first.units,
+                    first.shard,
+                    first.key,
+                    content=first.request,
+                )
+            )
     return sorted(found, key=lambda each: each.due_ms)
 
 
 async def run(
-    gateways: int, seconds: float, seed: int, scenario: Scenario, folder: Path | None = None,
+    gateways: int,
+    seconds: float,
+    seed: int,
+    scenario: Scenario,
+    folder: Path | None = None,
     rate: float = 40.0,
 ) -> Outcome:
     """One run and its verdict.  `rate` is units a second of writes with keys, of each gateway."""
@@ -135,11 +151,19 @@
         if len({each.body for each in told}) > 1:
             lost.append(f"{key}: answered in {len({each.body for each in told})} ways")
         first_ms = told[0].ended_ms
-        lost += [f"{key}: {each.gateway} failed it {each.sent_ms - first_ms:.0f} ms after it was served"
-                 for each in asked if each.status == 502 and each.sent_ms > first_ms]
-    out.guarantees.append(Guarantee(
-        "promises lost", 0, len(lost), note=f"{made} outcomes told of {len(by_key)} keys, {repeats} repeats "
-                                            "got the same answer"))
+        lost += [
+            f"{key}: {each.gateway} failed it {each.sent_ms - first_ms:.0f} ms after it was served"
+            for each in asked
+            if each.status == 502 and each.sent_ms > first_ms
+        ]
+    out.guarantees.append(
+        Guarantee(
+            "promises lost",
+            0,
+            len(lost),
+            note=f"{made} outcomes told of {len(by_key)} keys, {repeats} repeats got the same answer",
+        )
+    )
     ran: dict[str, int] = defaultdict(int)
     for node in of.nodes:
         for attempt in node.attempts:
@@ -147,22 +171,32 @@
                 ran[attempt.key or attempt.request] += 1
     twice = [key for key, times in ran.items() if times > 1]
     out.guarantees.append(Guarantee("second runs", 0, len(twice), note=f"{len(ran)} writes ran"))
-    silent = [each for each in load.asked if each.status == 0 and not of.processes[each.gateway].was_down(
-        each.due_ms - 50.0, each.ended_ms + 50.0)]
-    out.guarantees.append(Guarantee(
-        "without a final answer", 0, len(silent), note=f"{len(load.asked)} requests"))
+    silent = [
+        each
+        for each in load.asked
+        if each.status == 0
+        and not of.processes[each.gateway].was_down(each.due_ms - 50.0, each.ended_ms + 50.0)
+    ]
+    out.guarantees.append(
+        Guarantee("without a final answer", 0, len(silent), note=f"{len(load.asked)} requests")
+    )
     last = [max(asked, key=lambda each: each.due_ms) for asked in by_key.values()]
     refused = sum(each.status not in (200, 502) for each in last)
     if not any(fault.verb == "worsen" for fault in scenario.faults):  # else it never is over
-        out.guarantees.append(Guarantee(
-            "refused when all is over", 0, refused, note=f"of {len(last)} keys asked for once more"))
+        out.guarantees.append(
+            Guarantee("refused when all is over", 0, refused, note=f"of {len(last)} keys asked for once more")
+        )
     _bans(out, of)
     out.figures = {
-        "statuses": count(f"{each.stream.service} {each.status}" for each in load.asked), "stats": stats,
-        "refused_at_the_end": refused, "lost": lost[:10], "twice": twice[:10],
+        "statuses": count(f"{each.stream.service} {each.status}" for each in load.asked),
+        "stats": stats,
+        "refused_at_the_end": refused,
+        "lost": lost[:10],
+        "twice": twice[:10],
         "silent": [f"{e.gateway} {e.request} {e.why}" for e in silent[:5]],
-        "refused_last": [f"{each.gateway} {each.status} {each.why}" for each in last
-                         if each.status not in (200, 502)][:5],
+        "refused_last": [
+            f"{each.gateway} {each.status} {each.why}" for each in last if each.status not in (200, 502)
+        ][:5],
     }
     out.course = [f"{at / 1000:7.2f} s  {what}" for at, what in of.course]
     return out
@@ -177,9 +211,12 @@
             process = of.processes[each.gateway]
             back = [end for _, end in process.down if end <= each.at_ms]
             heard_ms = max([since_ms, *back, *(at for at in healed if at <= each.at_ms)])
-            cut = any(what.startswith("cut") and of.began_ms + at <= each.at_ms
-                      and not any(of.began_ms + at < heal <= each.at_ms for heal in healed)
-                      for at, what in of.course)
+            cut = any(
+                what.startswith("cut")
+                and of.began_ms + at <= each.at_ms
+                and not any(of.began_ms + at < heal <= each.at_ms for heal in healed)
+                for at, what in of.course
+            )
             if since_ms <= each.at_ms < until_ms and not cut:
                 worst = max(worst, each.at_ms - heard_ms)
         out.guarantees.append(Guarantee(f"staleness of the ban of {node}", BAN_MS, worst, unit="ms"))
--- a/shaletiller/lab/promise_sim.py
+++ b/shaletiller/lab/promise_sim.py
@@ -182,8 +182,11 @@
         if self._waiting:
             self._sync(life)
         for keep in batch:
-            self._run(lambda keep=keep: (  # type: ignore[misc]
-                self.promises.lost(keep.token) if failed else self.promises.kept(keep.token, self.clock())))
+            self._run(
+                lambda keep=keep: (  # type: ignore[misc]
+                    self.promises.lost(keep.token) if failed else self.promises.kept(keep.token, self.clock())
+                )
+            )
 
     def _go(self, number: int, life: int) -> None:
         """To a storage node: it runs, and answers, is full, or its answer is lost."""
@@ -208,8 +211,7 @@
                 self._tell(number, "failed")
             self.writes.end(number, what, body, self.clock())
 
-        self.world.time.at(
-            self.world.time.now_ms + draw.uniform(2.0, 80.0), lambda: self._run(answered))
+        self.world.time.at(self.world.time.now_ms + draw.uniform(2.0, 80.0), lambda: self._run(answered))
 
     def _tell(self, number: int, what: str, body: bytes = b"") -> None:
         told = self._told.get(number)
@@ -299,7 +301,13 @@
 
 
 def _strike(
-    world: World, draw: random.Random, kind: str, at_ms: float, end_ms: float, one: int, side: set[int],
+    world: World,
+    draw: random.Random,
+    kind: str,
+    at_ms: float,
+    end_ms: float,
+    one: int,
+    side: set[int],
 ) -> None:
     gateway, part = world.gateways[one], draw.uniform(0.05, 0.4)
 
@@ -379,12 +387,17 @@
 def summary(found: list[Seen]) -> dict[str, Any]:
     """What the schedules gave together."""
     return {
-        "schedules": len(found), "broken": sum(bool(each.broken) for each in found),
-        "keys": sum(each.writes for each in found), "promises": sum(each.promises_made for each in found),
+        "schedules": len(found),
+        "broken": sum(bool(each.broken) for each in found),
+        "keys": sum(each.writes for each in found),
+        "promises": sum(each.promises_made for each in found),
         "repeats_answered": sum(each.repeats_answered for each in found),
         "answers": dict(sum((Counter(each.answers) for each in found), Counter[str]())),
-        "failures": [{"seed": each.seed, "faults": each.faults, "broken": each.broken[:5]}
-                     for each in found if each.broken][:20],
+        "failures": [
+            {"seed": each.seed, "faults": each.faults, "broken": each.broken[:5]}
+            for each in found
+            if each.broken
+        ][:20],
     }
 
 
--- a/shaletiller/lab/scenario.py
+++ b/shaletiller/lab/scenario.py
@@ -30,8 +30,23 @@
 from typing import Any
 
 FOLDER = Path(__file__).parent / "scenarios"
-VERBS = {"cut", "heal", "worsen", "kill", "start", "pause", "resume", "wipe", "disable", "enable", "node",
-         "disk", "discovery", "list", "stop"}
+VERBS = {
+    "cut",
+    "heal",
+    "worsen",
+    "kill",
+    "start",
+    "pause",
+    "resume",
+    "wipe",
+    "disable",
+    "enable",
+    "node",
+    "disk",
+    "discovery",
+    "list",
+    "stop",
+}
 
 
 class ScenarioError(Exception):
@@ -79,7 +94,8 @@
         text = path.read_text()
     except OSError as error:
         raise ScenarioError(
-            f"scenario {name!r}: {error.strerror}; there are {', '.join(names(kind))}") from error
+            f"scenario {name!r}: {error.strerror}; there are {', '.join(names(kind))}"
+        ) from error
     try:
         found = kdl.parsefuncs.parse(text)
     except kdl.errors.ParseError as error:
--- a/shaletiller/lab/schedules.py
+++ b/shaletiller/lab/schedules.py
@@ -42,8 +42,10 @@
         end_ms = min(HEAL_MS, at_ms + draw.uniform(200.0, 7_000.0))
         side = set(draw.sample(range(count), draw.randint(1, max(1, count // 2))))
         one = draw.randrange(count)
-        told.append(f"{kind} {sorted(side) if kind in ('cut', 'one-way', 'split') else one} "
-                    f"{at_ms:.0f}-{end_ms:.0f} ms")
+        told.append(
+            f"{kind} {sorted(side) if kind in ('cut', 'one-way', 'split') else one} "
+            f"{at_ms:.0f}-{end_ms:.0f} ms"
+        )
         if kind in ("loss", "slow", "doubled"):
             part = draw.uniform(0.05, 0.4)
 
@@ -60,6 +62,7 @@
         elif kind in ("cut", "one-way", "split"):
             world.time.at(at_ms, lambda side=side, kind=kind: world.cut(side, kind == "one-way"))  # type: ignore[misc]
         else:
+
             def who(one: int = one, kind: str = kind) -> int:
                 known = world.gateways[one].fleet
                 return known.leases.granter(limit.name) if kind == "granter" and known is not None else one
@@ -133,8 +136,10 @@
 
 def _standing(said: list[Verdict]) -> set[Verdict]:
     """What must stand of all that was said: for each register the newest word, of the node's newest life."""
-    lives = {word.node: max((w.life for w in said if w.node == word.node and w.kind != Kind.BAN), default=0)
-             for word in said}
+    lives = {
+        word.node: max((w.life for w in said if w.node == word.node and w.kind != Kind.BAN), default=0)
+        for word in said
+    }
     newest: dict[Key, Verdict] = {}
     for word in said:
         if word.kind != Kind.BAN and word.life < lives[word.node]:
--- a/shaletiller/lab/small.py
+++ b/shaletiller/lab/small.py
@@ -110,9 +110,13 @@
         state = State([], [], [[], [], []], Counter(), [], [BEGIN_MS] * 3, away=self.script.away)
         for member in range(3):
             others = [n for n in range(3) if n != member]
-            state.disks.append({
-                (META, b"life"): pack(1_000 + member), (META, b"lives"): pack([1_000, 1_001, 1_002]),
-                (META, b"synced"): pack(others)})
+            state.disks.append(
+                {
+                    (META, b"life"): pack(1_000 + member),
+                    (META, b"lives"): pack([1_000, 1_001, 1_002]),
+                    (META, b"synced"): pack(others),
+                }
+            )
             state.nodes.append(None)
         for member in range(3):
             self._start(state, member)
@@ -155,8 +159,7 @@
                 yield "kill", member
             if spent["wiped"] < bounds.wiped:
                 yield "wipe", member
-            if spent["ticks"] < bounds.ticks and (
-                    state.nodes[member].busy or not state.nodes[member].filled):
+            if spent["ticks"] < bounds.ticks and (state.nodes[member].busy or not state.nodes[member].filled):
                 yield "tick", member
 
     def apply(self, state: State, choice: Choice) -> None:
@@ -230,7 +233,8 @@
             if done.kept and ask.outcome:
                 held: Held | None = done.held
                 ask.op = state.nodes[member].ask(
-                    ask.key, Expect.THIS, ask.outcome, END_MS, END_MS, state.clock[member], ask.claim, held)
+                    ask.key, Expect.THIS, ask.outcome, END_MS, END_MS, state.clock[member], ask.claim, held
+                )
                 self._effects(state, member)
         elif ask.told == "kept" and ask.outcome:
             ask.told = "made" if done.kept else "unmade"
@@ -240,13 +244,20 @@
     def check(self, state: State) -> None:
         """Raises Broken."""
         for key in {ask.key for ask in state.asked}:
-            won = [ask for ask in state.asked
-                   if ask.key == key and ask.told.split(" ")[0] in ("kept", "made", "unmade")]
+            won = [
+                ask
+                for ask in state.asked
+                if ask.key == key and ask.told.split(" ")[0] in ("kept", "made", "unmade")
+            ]
             if len(won) > 1:
                 raise Broken(f"key {key}: claims of {[ask.member for ask in won]} were both kept")
             for ask in state.asked:
-                if ask.key == key and ask.told == "found" and won and ask.found not in (
-                        won[0].claim, won[0].outcome):
+                if (
+                    ask.key == key
+                    and ask.told == "found"
+                    and won
+                    and ask.found not in (won[0].claim, won[0].outcome)
+                ):
                     raise Broken(f"key {key}: {ask.member} found {ask.found!r}, won by {won[0].member}")
                 if ask.told == "unmade":
                     raise Broken(f"key {key}: the outcome of {ask.member} was lost to another")
@@ -255,12 +266,16 @@
         """Whoever asks after all of it finds what was told to clients: a majority of every two members that
         vote has it, whichever answer."""
         for key in {ask.key for ask in state.asked}:
-            told = [ask for ask in state.asked
-                    if ask.key == key and ask.told.split(" ")[0] in ("kept", "made")]
+            told = [
+                ask for ask in state.asked if ask.key == key and ask.told.split(" ")[0] in ("kept", "made")
+            ]
             if not told:
                 continue
-            wanted = {told[0].outcome} if told[0].told.startswith("made") else {
-                told[0].claim, told[0].outcome} - {b""}
+            wanted = (
+                {told[0].outcome}
+                if told[0].told.startswith("made")
+                else {told[0].claim, told[0].outcome} - {b""}
+            )
             after = pickle.loads(pickle.dumps(state))
             found = self._ask_again(after, key)
             if found is not None and found not in wanted:
@@ -303,8 +318,9 @@
         keep = state.down[member].pop(0)
         self._write(state, member, keep)
         state.nodes[member].kept(keep.token, state.clock[member])
-        if not (member == reader and any(isinstance(e, Done) and e.op == op
-                                         for e in state.nodes[member].effects)):
+        if not (
+            member == reader and any(isinstance(e, Done) and e.op == op for e in state.nodes[member].effects)
+        ):
             self._effects(state, member)
 
 
@@ -333,17 +349,40 @@
     members = []
     for member, node in enumerate(state.nodes):
         acceptor = node.acceptor
-        members.append((
-            sorted((key, msgspec.structs.astuple(row)) for key, row in acceptor.rows.items()),
-            acceptor.life, tuple(acceptor.lives), sorted(acceptor.synced),
-            sorted((op.key, op.phase, op.nonce, op.ballot, op.step, op.lives, op.writing, op.keeps, op.seen,
-                    op.tries, op.asked_ms, op.began_ms, op.rest_until_ms,
-                    sorted((n, r.how, r.life, msgspec.structs.astuple(r.row)) for n, r in op.replies.items()))
-                   for op in node.proposer.ops.values()),
-            sorted((n, f.after, f.life, f.nonce, f.asked_ms) for n, f in node.repair._filling.items()),
-            sorted(state.disks[member].items()),
-            [(keep.rows, repr(node._after.get(keep.token))) for keep in state.down[member]],
-            sorted(node._dirty), state.clock[member]))
+        members.append(
+            (
+                sorted((key, msgspec.structs.astuple(row)) for key, row in acceptor.rows.items()),
+                acceptor.life,
+                tuple(acceptor.lives),
+                sorted(acceptor.synced),
+                sorted(
+                    (
+                        op.key,
+                        op.phase,
+                        op.nonce,
+                        op.ballot,
+                        op.step,
+                        op.lives,
+                        op.writing,
+                        op.keeps,
+                        op.seen,
+                        op.tries,
+                        op.asked_ms,
+                        op.began_ms,
+                        op.rest_until_ms,
+                        sorted(
+                            (n, r.how, r.life, msgspec.structs.astuple(r.row)) for n, r in op.replies.items()
+                        ),
+                    )
+                    for op in node.proposer.ops.values()
+                ),
+                sorted((n, f.after, f.life, f.nonce, f.asked_ms) for n, f in node.repair._filling.items()),
+                sorted(state.disks[member].items()),
+                [(keep.rows, repr(node._after.get(keep.token))) for keep in state.down[member]],
+                sorted(node._dirty),
+                state.clock[member],
+            )
+        )
     asked = [(ask.told, ask.found, ask.op) for ask in state.asked]
     bounds = sorted(state.spent.items()), state.starts, state.away
     raw = repr((members, asked, sorted(state.mail.items()), bounds))
@@ -379,10 +418,15 @@
 # What is tried where nothing else is asked for; a few minutes on eight cores.
 JOBS = [
     *((Bounds(ticks=1), script) for script in SCRIPTS[1:]),
-    (Bounds(), SCRIPTS[0]), (Bounds(late=1), SCRIPTS[1]), (Bounds(lost=1, ticks=1), SCRIPTS[1]),
-    (Bounds(doubled=1), SCRIPTS[1]), (Bounds(late=1, ticks=1), SCRIPTS[1]),
-    (Bounds(ticks=2), SCRIPTS[2]), (Bounds(killed=1, ticks=1), SCRIPTS[2]),
-    (Bounds(wiped=1, ticks=1), SCRIPTS[2]), (Bounds(lost=1, doubled=1, ticks=1), SCRIPTS[2]),
+    (Bounds(), SCRIPTS[0]),
+    (Bounds(late=1), SCRIPTS[1]),
+    (Bounds(lost=1, ticks=1), SCRIPTS[1]),
+    (Bounds(doubled=1), SCRIPTS[1]),
+    (Bounds(late=1, ticks=1), SCRIPTS[1]),
+    (Bounds(ticks=2), SCRIPTS[2]),
+    (Bounds(killed=1, ticks=1), SCRIPTS[2]),
+    (Bounds(wiped=1, ticks=1), SCRIPTS[2]),
+    (Bounds(lost=1, doubled=1, ticks=1), SCRIPTS[2]),
 ]
 
 
@@ -390,8 +434,10 @@
     told = []
     for each in found:
         mark = "!!" if each.broken else "ok" if each.whole else "--"
-        told.append(f"{mark} {each.script}; {each.bounds}: {each.states} states, {each.steps} steps, "
-                    f"{each.ends} ends, {each.seconds:.0f} s{'' if each.whole else ', NOT WHOLE'}")
+        told.append(
+            f"{mark} {each.script}; {each.bounds}: {each.states} states, {each.steps} steps, "
+            f"{each.ends} ends, {each.seconds:.0f} s{'' if each.whole else ', NOT WHOLE'}"
+        )
         if each.broken:
             told += [f"   {each.broken}", *(f"     {step}" for step in each.course)]
     return told
@@ -415,7 +461,7 @@
     seen = {fingerprint(state)}
     choices = list(world.choices(state))
     if first is not None:
-        choices = choices[first:first + 1]
+        choices = choices[first : first + 1]
     stack: list[tuple[bytes, list[Choice], list[Choice]]] = [(pickle.dumps(state), choices, [])]
     while stack:
         raw, left, path = stack[-1]
@@ -447,5 +493,3 @@
         stack.append((pickle.dumps(state), more, [*path, choice]))
     covered.states, covered.seconds = len(seen), time.monotonic() - began
     return covered
-
-
--- a/shaletiller/lab/variant.py
+++ b/shaletiller/lab/variant.py
@@ -66,8 +66,15 @@
         site = tomllib.loads(base.read_text())
     except (OSError, tomllib.TOMLDecodeError) as error:
         raise VariantError(f"{base}: {error}") from error
-    for key, kind in {"class": list, "tenant": list, "tier": list, "fam": dict, "allow": dict, "rules": dict,
-                      "net": dict}.items():
+    for key, kind in {
+        "class": list,
+        "tenant": list,
+        "tier": list,
+        "fam": dict,
+        "allow": dict,
+        "rules": dict,
+        "net": dict,
+    }.items():
         if not isinstance(site.get(key), kind):
             raise VariantError(f"{base}: {key}: is missing or of another kind")
     return site
@@ -98,8 +105,10 @@
     works = [_log_uniform(draw, work_bounds) for _ in range(count)]
     mean = sum(share * work for share, work in zip(shares, works, strict=True))
     works = [min(WORK_MS[1], work * max(1.0, LEAST_MEAN_WORK_MS / mean)) for work in works]
-    return [_class(draw, at, share, work, aim_bounds)
-            for at, (share, work) in enumerate(zip(shares, works, strict=True))]
+    return [
+        _class(draw, at, share, work, aim_bounds)
+        for at, (share, work) in enumerate(zip(shares, works, strict=True))
+    ]
 
 
 def _class(draw: random.Random, at: int, share: float, work_ms: float, aims: tuple[float, float]) -> Table:
@@ -126,8 +135,10 @@
 
 def _plans(draw: random.Random) -> tuple[list[Table], list[Table]]:
     count = draw.randint(1, 6)
-    tenants = [{"name": f"plan-{at + 1}", "share": round(share, 4), "usage": [0.85, 1.15]}
-               for at, share in enumerate(_shares(draw, count))]
+    tenants = [
+        {"name": f"plan-{at + 1}", "share": round(share, 4), "usage": [0.85, 1.15]}
+        for at, share in enumerate(_shares(draw, count))
+    ]
     return tenants, [_plan(draw) for _ in range(count)]
 
 
--- a/shaletiller/lab/virtual.py
+++ b/shaletiller/lab/virtual.py
@@ -171,8 +171,7 @@
             held = before[2:] if before is not None else (NOTHING, 0.0)
             self.world.table_of[limit] = me, life, *held
             was = (before[0], self.world.fleet_life(before[0], before[1])) if before is not None else None
-            self._after_table(life, lambda fleet: fleet.leases.stands(
-                limit, was, *held, self.clock()))
+            self._after_table(life, lambda fleet: fleet.leases.stands(limit, was, *held, self.clock()))
 
         self._register(limit, life, done)
 
@@ -193,13 +192,16 @@
         cut = sum(link.cut for (a, b), link in self.world.links.items() if self.number in (a, b))
         at_ms = self.world.time.now_ms + self.world.random.uniform(1.0, TABLE_MS)
         if cut >= self.world.members - 1:
-            self.world.time.at(at_ms, lambda: self._after_table(
-                life, lambda fleet: fleet.leases.kept(limit, False, self.clock())))
+            self.world.time.at(
+                at_ms,
+                lambda: self._after_table(life, lambda fleet: fleet.leases.kept(limit, False, self.clock())),
+            )
         else:
             self.world.time.at(at_ms, done)
 
     def _after_table(self, life: int, call: Callable[[Fleet], None]) -> None:
         """The answer comes back later than the write: meanwhile another may have taken over."""
+
         def come() -> None:
             if life == self.lives:
                 self._handle(lambda: call(self.fleet) if self.fleet is not None else None)
@@ -276,7 +278,8 @@
         # The drift that leases allow is that of any clock against true time.
         self.gateways = [
             Member(self, number, *(self.random.uniform(-1, 1) * most for most in (self.drift, self.skew_ms)))
-            for number in range(self.members)]
+            for number in range(self.members)
+        ]
 
     def fleet_life(self, member: int, number: int) -> int:
         """The life that a member's process of this number had."""
@@ -310,7 +313,13 @@
             self.time.at(when_ms, lambda: None if link.cut else self.gateways[to].receive(data))
 
     def load(
-        self, member: int, limit: Limit, rate: float, begin_ms: float, end_ms: float, hosts: int,
+        self,
+        member: int,
+        limit: Limit,
+        rate: float,
+        begin_ms: float,
+        end_ms: float,
+        hosts: int,
     ) -> None:
         """Requests of 1 to `most` units, `rate` units a second, drawn ahead (a Poisson stream)."""
         self.limits[limit.name] = limit
@@ -326,8 +335,9 @@
 
     def each_link(self, members: set[int] | None = None) -> list[Link]:
         """The links that lead to or from these members, or all."""
-        return [link for (a, b), link in self.links.items()
-                if members is None or a in members or b in members]
+        return [
+            link for (a, b), link in self.links.items() if members is None or a in members or b in members
+        ]
 
     def cut(self, side: set[int], one_way: bool = False) -> None:
         """Cut a side off from the others; `one_way`, only what it sends is lost."""
@@ -342,6 +352,7 @@
 
 # ---- what is checked
 
+
 def overshoot(spends: list[Spend], limit: Limit, drift: float = 0.0) -> float:
     """The most units by which the fleet has passed a limit, 0 where it never has.
 
--- a/shaletiller/lab/wires.py
+++ b/shaletiller/lab/wires.py
@@ -70,7 +70,8 @@
         for a, b in self.faults:
             transport, _ = await loop.create_datagram_endpoint(
                 lambda a=a, b=b: _Datagrams(lambda data: self._forward(a, b, data, listens)),  # type: ignore[misc]
-                local_addr=("127.0.0.1", 0))
+                local_addr=("127.0.0.1", 0),
+            )
             self._sockets[a, b] = transport
             self.udp[a, b] = transport.get_extra_info("sockname")[1]
 
@@ -83,11 +84,18 @@
         for a, b in self.faults:
             server = await asyncio.start_server(
                 lambda reader, writer, a=a, b=b: self._relay(a, b, reader, writer, listens[b]),  # type: ignore[misc]
-                "127.0.0.1", 0)
+                "127.0.0.1",
+                0,
+            )
             self.tcp[a, b] = server.sockets[0].getsockname()[1]
 
     async def _relay(
-        self, a: str, b: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, port: int,
+        self,
+        a: str,
+        b: str,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        port: int,
     ) -> None:
         try:
             _, out = await asyncio.open_connection("127.0.0.1", port)
--- a/shaletiller/logic/capacity.py
+++ b/shaletiller/logic/capacity.py
@@ -31,8 +31,15 @@
 
 def split_slots(upstream: Upstream, site: Site, now_ms: float) -> None:
     """The slots of each class by payoff, under the last arrival rates and the capacity as it is now."""
-    demands = [Demand(rounded_rate(asked.add(now_ms)), site.worth[kind], site.settings.mean_units,
-                      site.rounds[kind // BANDS]) for kind, asked in enumerate(upstream.asked)]
+    demands = [
+        Demand(
+            rounded_rate(asked.add(now_ms)),
+            site.worth[kind],
+            site.settings.mean_units,
+            site.rounds[kind // BANDS],
+        )
+        for kind, asked in enumerate(upstream.asked)
+    ]
     upstream.slots = best_split(demands, upstream.capacity, 1000 / site.round_ms)
 
 
@@ -40,8 +47,11 @@
     """The lag of a mean request at which the class that bears least would take its whole aim.
 
     A class counts with a twentieth of the requests or of the worth that are asked for."""
-    counts = [at for name, at in site.class_index.items()
-              if max(guarantee.requests.share(name), guarantee.worth.share(name)) >= COUNTS_FROM]
+    counts = [
+        at
+        for name, at in site.class_index.items()
+        if max(guarantee.requests.share(name), guarantee.worth.share(name)) >= COUNTS_FROM
+    ]
     aims = [site.settings.classes[at].aim_ms / latency.ratio(at) for at in counts]
     return min(aims, default=site.tightest_aim_ms)
 
--- a/shaletiller/logic/cold.py
+++ b/shaletiller/logic/cold.py
@@ -18,7 +18,11 @@
 
 
 def cold_allows(
-    upstream: Upstream, settings: i.Settings, units: float, share: Share | None, now_ms: float,
+    upstream: Upstream,
+    settings: i.Settings,
+    units: float,
+    share: Share | None,
+    now_ms: float,
 ) -> bool:
     """Rule 4: whether this host's part of a cold node's budget, rising with the ramp, leaves so many units.
 
--- a/shaletiller/logic/scheduler.py
+++ b/shaletiller/logic/scheduler.py
@@ -48,9 +48,14 @@
         self._woke_ms, self._next_round_ms = -math.inf, math.inf
         self._actions: list[i.Action] = []
         self._handlers: dict[type, Callable[[Any], None]] = {
-            i.NodeList: self._on_list, i.Request: self._on_request, i.Attempted: self._on_outcome,
-            i.TimerDue: self._on_timer, i.ClientLeft: self._on_left, i.StreamStarted: self._on_stream,
-            i.ShareTold: self._volumes.take_share, i.NodeSeen: self._on_seen,
+            i.NodeList: self._on_list,
+            i.Request: self._on_request,
+            i.Attempted: self._on_outcome,
+            i.TimerDue: self._on_timer,
+            i.ClientLeft: self._on_left,
+            i.StreamStarted: self._on_stream,
+            i.ShareTold: self._volumes.take_share,
+            i.NodeSeen: self._on_seen,
         }
 
     @property
@@ -122,8 +127,11 @@
 
     def _fits(self, pending: Pending, upstream: Upstream, joins: bool = False) -> bool:
         """Whether the node has room and, unless it joins a run, is quick enough for work of this worth."""
-        if upstream.node is None or self._now >= self._drains.get(upstream.node, math.inf) or (
-                self._now < self._gone.get(upstream.node, 0.0)):
+        if (
+            upstream.node is None
+            or self._now >= self._drains.get(upstream.node, math.inf)
+            or (self._now < self._gone.get(upstream.node, 0.0))
+        ):
             return False
         if self._guarantee.owes_work(pending) and not upstream.out[pending.kind]:
             return self._cold_allows(upstream, pending.ask.units)
@@ -461,7 +469,8 @@
         """The ready node that holds the shard, else a draining one while it may; work waits for the next."""
         holds = [entry for entry in self._nodes.values() if entry.shard == upstream.shard]
         found = [entry for entry in holds if entry.state is i.NodeState.READY] or [
-            entry for entry in holds if self._drains.get(entry.node, 0.0) > self._now]
+            entry for entry in holds if self._drains.get(entry.node, 0.0) > self._now
+        ]
         entry = max(found, key=lambda each: (each.started_ms, each.node)) if found else None
         node = entry.node if entry else None
         if node != upstream.node:
--- a/shaletiller/net/discovery.py
+++ b/shaletiller/net/discovery.py
@@ -57,16 +57,25 @@
         except ConfigError as error:
             raise BadList(str(error)) from error
     entry = i.NodeEntry(
-        node=row.id, zone=row.zone, shard=row.cell, state=state, kind=row.kind,
-        weight=1.0 if row.weight is None else row.weight, started_ms=row.started_ms or 0.0,
+        node=row.id,
+        zone=row.zone,
+        shard=row.cell,
+        state=state,
+        kind=row.kind,
+        weight=1.0 if row.weight is None else row.weight,
+        started_ms=row.started_ms or 0.0,
     )
     return Place(entry, row.addr, back(row.id))
 
 
 class Discovery:
     def __init__(
-        self, address: tuple[str, int], known: ServerList, back: Callable[[str], Back],
-        apply: Callable[[i.ListKind, int, tuple[Place, ...], float], None], seed: int = 0,
+        self,
+        address: tuple[str, int],
+        known: ServerList,
+        back: Callable[[str], Back],
+        apply: Callable[[i.ListKind, int, tuple[Place, ...], float], None],
+        seed: int = 0,
         now_ms: Callable[[], float] | None = None,
     ) -> None:
         self._back = back
@@ -187,7 +196,10 @@
         return self._random.uniform(0.0, min(most_ms, AGAIN_MS * 2 ** min(failed, 16)))
 
     async def _call(
-        self, session: aiohttp.ClientSession, since: int | None = None, watch: bool = False,
+        self,
+        session: aiohttp.ClientSession,
+        since: int | None = None,
+        watch: bool = False,
     ) -> None:
         base, whole = self._base, since is None
         params = {} if whole else {"since": str(since), "timeout_ms": str(WAIT_MS)}
--- a/shaletiller/net/door.py
+++ b/shaletiller/net/door.py
@@ -71,7 +71,17 @@
     """aiohttp's connection, with what the door needs to know of it."""
 
     __slots__ = (
-        "_dropped", "_left", "arrivals", "body", "door", "leave", "owed", "since_ms", "started", "state")
+        "_dropped",
+        "_left",
+        "arrivals",
+        "body",
+        "door",
+        "leave",
+        "owed",
+        "since_ms",
+        "started",
+        "state",
+    )
 
     def __init__(self, door: Door, manager: web.Server, **bounds: Any) -> None:
         super().__init__(manager, loop=asyncio.get_running_loop(), **bounds)
@@ -179,7 +189,10 @@
             self._wake()
 
     async def finish_response(
-        self, request: web.BaseRequest, resp: web.StreamResponse, start_time: float | None,
+        self,
+        request: web.BaseRequest,
+        resp: web.StreamResponse,
+        start_time: float | None,
     ) -> tuple[web.StreamResponse, bool]:
         found = await super().finish_response(request, resp, start_time)
         if self.arrivals:  # none where what stood behind an upgrade is parsed late
@@ -260,15 +273,21 @@
 
     def __call__(self) -> Connection:
         # Times of its own are off: the door keeps them, for it can tell silent clients from idle ones.
-        return self._door.come(Connection(
-            self._door, self, access_log=None, keepalive_timeout=NEVER_S, lingering_time=0, **HEAD))
+        return self._door.come(
+            Connection(self._door, self, access_log=None, keepalive_timeout=NEVER_S, lingering_time=0, **HEAD)
+        )
 
 
 class Door:
     """Listens, takes in as many connections as there are places, and closes those that are of no use."""
 
     def __init__(
-        self, handler: Handler, most: int, clock: Clock, advice: Callable[[], bool], shortcut: Shortcut,
+        self,
+        handler: Handler,
+        most: int,
+        clock: Clock,
+        advice: Callable[[], bool],
+        shortcut: Shortcut,
     ) -> None:
         self.clock = clock
         self.shortcut = shortcut
@@ -293,8 +312,7 @@
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         # A second process of the gateway listens beside this one while it replaces it: without SO_REUSEPORT
         # its bind fails with EADDRINUSE and it ends before it has served a request.
-        self._listener = socket.create_server(
-            (host, port), family=family, backlog=BACKLOG, reuse_port=True)
+        self._listener = socket.create_server((host, port), family=family, backlog=BACKLOG, reuse_port=True)
         self._listener.setblocking(False)
         self.address = self._listener.getsockname()[:2]
         asyncio.get_running_loop().add_reader(self._listener, self._accept)
@@ -485,7 +503,8 @@
         for each in list(self._open):
             waited_ms = now_ms - each.since_ms
             late = waited_ms >= WHOLE_MS and (
-                each.state is State.PART or (each.state is State.SILENT and not readable(each.transport)))
+                each.state is State.PART or (each.state is State.SILENT and not readable(each.transport))
+            )
             # Drained, a client that keeps its connection idle would be held here for as long as it likes.
             longest_ms = 0.0 if self.drained else LONGEST_IDLE_MS
             idle = each.state is State.IDLE and waited_ms >= longest_ms and not readable(each.transport)
@@ -551,4 +570,5 @@
     def _ending(self) -> bool:
         """Whether a client may still read an answer that was written, or be owed one."""
         return bool(self._turned_away or self._half_closed) or any(
-            each.state in (State.ASKED, State.LINGERS) for each in self._open)
+            each.state in (State.ASKED, State.LINGERS) for each in self._open
+        )
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -38,9 +38,20 @@
         names, me = self._members(config, part)
         options: Options = part.options(len(names))
         self.liaison = Liaison(
-            me, names, clock.now_ms(), config.settings, options,
-            {limit.name: limit.policy for limit in part.limit}, self.send, engine.decide, self._ban,
-            engine.renew, config.seed, self._fleet_name(config, part), part.cold_budgets)
+            me,
+            names,
+            clock.now_ms(),
+            config.settings,
+            options,
+            {limit.name: limit.policy for limit in part.limit},
+            self.send,
+            engine.decide,
+            self._ban,
+            engine.renew,
+            config.seed,
+            self._fleet_name(config, part),
+            part.cold_budgets,
+        )
         if part.carrier == "tcp":
             addresses = [read_address(each.address, f"fleet.member {each.name}") for each in part.member]
             self._links = Links(me, addresses, self.receive, config.seed)
--- a/shaletiller/net/http_back.py
+++ b/shaletiller/net/http_back.py
@@ -103,9 +103,12 @@
         if self._open is None:  # made where a loop runs
             self._open = aiohttp.ClientSession(
                 connector=NodeConnector(self._most, self.most_a_node, self._idle_s),
-                middlewares=(never_again,), auto_decompress=False, cookie_jar=aiohttp.DummyCookieJar(),
+                middlewares=(never_again,),
+                auto_decompress=False,
+                cookie_jar=aiohttp.DummyCookieJar(),
                 skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
-                trust_env=False, **ANSWER,
+                trust_env=False,
+                **ANSWER,
             )
         return self._open
 
@@ -120,7 +123,11 @@
         return self._settings.conn_idle_ms / 1000 * IDLE_PART
 
     async def attempt(
-        self, address: str, call: Call, timeout_ms: float, start_within_ms: float = math.inf,
+        self,
+        address: str,
+        call: Call,
+        timeout_ms: float,
+        start_within_ms: float = math.inf,
     ) -> Reply:
         headers = {"Request-Id": call.id, "Request-Timeout-Ms": str(max(1, round(timeout_ms)))}
         if call.idempotency_key:
@@ -136,7 +143,11 @@
         return await self._by_session(address, call, headers, start_within_ms)
 
     async def _on_kept(
-        self, connector: NodeConnector, protocol: NodeProtocol, address: str, call: Call,
+        self,
+        connector: NodeConnector,
+        protocol: NodeProtocol,
+        address: str,
+        call: Call,
         headers: dict[str, str],
     ) -> Reply:
         """The short way, for a request that goes to a kept connection in one piece.
@@ -164,7 +175,11 @@
             connector.give_back(address, protocol, sound)
 
     async def _by_session(
-        self, address: str, call: Call, headers: dict[str, str], start_within_ms: float,
+        self,
+        address: str,
+        call: Call,
+        headers: dict[str, str],
+        start_within_ms: float,
     ) -> Reply:
         """The long way, for a new connection or a large body."""
         # The deadline is the engine's; only connecting has a limit of its own.
@@ -176,7 +191,12 @@
         tracker = aiohttp.UploadTracker()
         try:
             async with self._session().request(
-                call.method, url, headers=headers, data=body, allow_redirects=False, upload_tracker=tracker,
+                call.method,
+                url,
+                headers=headers,
+                data=body,
+                allow_redirects=False,
+                upload_tracker=tracker,
                 timeout=limit,
             ) as response:
                 found = await self._body(response.headers, response.content)
@@ -223,7 +243,11 @@
         return (protocol.answered_s - protocol.given_s) * 1000
 
     def _reply(
-        self, status: int, headers: Mapping[str, str], body: bytes | None, lag_ms: float | None,
+        self,
+        status: int,
+        headers: Mapping[str, str],
+        body: bytes | None,
+        lag_ms: float | None,
     ) -> Reply:
         if status == 200 and body is not None:
             outcome = i.Outcome.OK
@@ -235,9 +259,12 @@
         load = headers.get("Server-Load")
         used = whole(headers.get("Volume-Load"))
         return Reply(
-            outcome, body if outcome is i.Outcome.OK and body is not None else b"",
-            used=0.0 if used is None else used + 1, from_others=whole(headers.get("Other-Hosts")) or 0.0,
-            report=read_report(load, self._settings.report_columns) if load else (), lag_ms=lag_ms,
+            outcome,
+            body if outcome is i.Outcome.OK and body is not None else b"",
+            used=0.0 if used is None else used + 1,
+            from_others=whole(headers.get("Other-Hosts")) or 0.0,
+            report=read_report(load, self._settings.report_columns) if load else (),
+            lag_ms=lag_ms,
         )
 
     async def probe(self, address: str) -> Reply:
--- a/shaletiller/net/http_front.py
+++ b/shaletiller/net/http_front.py
@@ -66,7 +66,10 @@
 
 
 def read_call(
-    head: RawRequestMessage, body: bytes, waited_ms: float = 0.0, most_ms: float = math.inf,
+    head: RawRequestMessage,
+    body: bytes,
+    waited_ms: float = 0.0,
+    most_ms: float = math.inf,
 ) -> Call:
     """The call in a request's head; BadCall names what is missing or malformed."""
     target = TARGET.fullmatch(head.path)
@@ -84,13 +87,21 @@
     if 0 < told_ms <= waited_ms:
         raise TooLate
     return Call(
-        id=call_id, service=_one(head, "Request-Class"), plan=_one(head, "Tier"),
-        volume=info["volume"], key=target[1], units=_number(info.get("units", ""), "IO-Info units"),
+        id=call_id,
+        service=_one(head, "Request-Class"),
+        plan=_one(head, "Tier"),
+        volume=info["volume"],
+        key=target[1],
+        units=_number(info.get("units", ""), "IO-Info units"),
         shard=_whole(info.get("shard", ""), "IO-Info shard"),
         hosts=_whole(info.get("hosts", ""), "IO-Info hosts"),
         timeout_ms=min(most_ms, told_ms - waited_ms),
-        write=head.method == "PUT", method=head.method, target=head.path, body=body,
-        repeat=head.headers.get("Client-Retry") == "1", idempotency_key=_idempotency_key(head),
+        write=head.method == "PUT",
+        method=head.method,
+        target=head.path,
+        body=body,
+        repeat=head.headers.get("Client-Retry") == "1",
+        idempotency_key=_idempotency_key(head),
     )
 
 
@@ -98,14 +109,18 @@
     """Listens for clients; each request waits for the engine's one answer."""
 
     def __init__(
-        self, engine: Engine, most_connections: int, ready: Callable[[], bool], clock: Clock,
+        self,
+        engine: Engine,
+        most_connections: int,
+        ready: Callable[[], bool],
+        clock: Clock,
     ) -> None:
         self._engine = engine
         self._ready = ready
         self._clock = clock
         self._door = Door(
-            self._handle, most_connections, clock,
-            lambda: engine.settings.retry_advice, self._at_once)
+            self._handle, most_connections, clock, lambda: engine.settings.retry_advice, self._at_once
+        )
         self._door.refused = self._refused_unread
         self._closing = False
         self.ends_ms = math.inf  # by then this process has answered all that it took
--- a/shaletiller/net/links.py
+++ b/shaletiller/net/links.py
@@ -98,7 +98,11 @@
     """All of a gateway's links, and the listener for those of the others."""
 
     def __init__(
-        self, me: int, addresses: Sequence[tuple[str, int]], heard: Callable[[bytes], None], seed: int,
+        self,
+        me: int,
+        addresses: Sequence[tuple[str, int]],
+        heard: Callable[[bytes], None],
+        seed: int,
     ) -> None:
         draw = random.Random(seed)
         self._own = addresses[me]
--- a/shaletiller/net/nvme/back.py
+++ b/shaletiller/net/nvme/back.py
@@ -147,7 +147,7 @@
         if not length or start + length > len(data):
             raise PduError(Fatal.OUT_OF_RANGE, "an R2T beyond the data", 12)
         for at in range(start, start + length, self._most_data):
-            piece = data[at:min(at + self._most_data, start + length)]
+            piece = data[at : min(at + self._most_data, start + length)]
             last = LAST_PDU if at + len(piece) == start + length else 0
             self._stream.send(data_pdu(Kind.H2C_DATA, cid, ttag, at, piece, last))
             await self._stream.flushed()
@@ -220,7 +220,11 @@
         self._idle_s = settings.conn_idle_ms / 1000 * IDLE_PART
 
     async def attempt(
-        self, address: str, call: Call, timeout_ms: float, start_within_ms: float = math.inf,
+        self,
+        address: str,
+        call: Call,
+        timeout_ms: float,
+        start_within_ms: float = math.inf,
     ) -> Reply:
         block = int(call.key, 16) - self._box.first_key
         if block < 0 or len(call.body) > self._box.block_bytes:
--- a/shaletiller/net/nvme/front.py
+++ b/shaletiller/net/nvme/front.py
@@ -288,7 +288,13 @@
             self._io(pending, data)
 
     def _finish(
-        self, pending: Pending, status: int, *, result: int = 0, retry: int = 0, final: bool = False,
+        self,
+        pending: Pending,
+        status: int,
+        *,
+        result: int = 0,
+        retry: int = 0,
+        final: bool = False,
         data: bytes = b"",
     ) -> None:
         """The command's one completion, with its data before it."""
@@ -302,11 +308,20 @@
         self._complete(cid, status, result=result, retry=retry, final=final)
 
     def _complete(
-        self, cid: int, status: int, *, result: int = 0, retry: int = 0, final: bool = False,
+        self,
+        cid: int,
+        status: int,
+        *,
+        result: int = 0,
+        retry: int = 0,
+        final: bool = False,
     ) -> None:
         head = self._head if self._flow else 0xFFFF
-        self.stream.send(completion(
-            cid, status, result=result, sq_head=head, sq_id=max(0, self._id), retry=retry, final=final))
+        self.stream.send(
+            completion(
+                cid, status, result=result, sq_head=head, sq_id=max(0, self._id), retry=retry, final=final
+            )
+        )
 
     def _drop(self, pending: Pending) -> None:
         if self.pending.pop(pending.command.cid, None) is not None and pending.space is not None:
@@ -347,7 +362,9 @@
     def _property(self, association: Association, offset: int) -> int:
         known = {
             Property.CAP: identify.capabilities(self.front.config.queue_depth),
-            Property.VS: identify.VERSION, Property.CC: association.cc, Property.CSTS: association.status,
+            Property.VS: identify.VERSION,
+            Property.CC: association.cc,
+            Property.CSTS: association.status,
         }
         if offset not in known:
             raise CommandError(Status.INVALID_FIELD)
@@ -362,9 +379,10 @@
         if len(data) != CONNECT_DATA_BYTES:
             raise CommandError(Status.CONNECT_PARAMETER)
         queue, size = command.field("H", 42), command.field("H", 44) + 1
-        cntlid, = struct.unpack_from("<H", data, 16)
+        (cntlid,) = struct.unpack_from("<H", data, 16)
         subsystem, host = (
-            data[at:at + 256].split(b"\0")[0].decode("ascii", "replace") for at in (256, 512))
+            data[at : at + 256].split(b"\0")[0].decode("ascii", "replace") for at in (256, 512)
+        )
         if subsystem != self.front.config.subsystem or not 2 <= size <= self.front.config.queue_depth:
             raise CommandError(Status.CONNECT_PARAMETER)
         if queue == 0:
@@ -533,14 +551,24 @@
         assert space is not None
         write = command.opcode == Io.WRITE
         key = f"{space.first_key + command.lba + at:016x}"
-        body = bytes(pending.data[at * space.block_bytes:(at + 1) * space.block_bytes]) if write else b""
+        body = bytes(pending.data[at * space.block_bytes : (at + 1) * space.block_bytes]) if write else b""
         # A block's id serves as the key of a keyed class: hosts bear none, and send a command but once.
         call_id = self.front.next_id()
         return Call(
-            id=call_id, idempotency_key=call_id, service=space.write_class if write else space.read_class,
-            plan=space.plan, volume=space.volume, key=key, units=space.units, shard=space.shard,
-            hosts=space.hosts, timeout_ms=space.write_timeout_ms if write else space.read_timeout_ms,
-            write=write, method="PUT" if write else "GET", target=f"/api?key={key}", body=body,
+            id=call_id,
+            idempotency_key=call_id,
+            service=space.write_class if write else space.read_class,
+            plan=space.plan,
+            volume=space.volume,
+            key=key,
+            units=space.units,
+            shard=space.shard,
+            hosts=space.hosts,
+            timeout_ms=space.write_timeout_ms if write else space.read_timeout_ms,
+            write=write,
+            method="PUT" if write else "GET",
+            target=f"/api?key={key}",
+            body=body,
         )
 
     def _answered(self, pending: Pending, at: int, answer: Answer) -> None:
--- a/shaletiller/net/nvme/identify.py
+++ b/shaletiller/net/nvme/identify.py
@@ -41,7 +41,7 @@
     data[512], data[513] = 0x66, 0x44
     struct.pack_into("<HI", data, 514, front.queue_depth, max([0, *(s.nsid for s in front.namespace)]))
     struct.pack_into("<I", data, 536, 1 | 1 << 20)  # SGLs, with an offset into the capsule
-    data[768:768 + len(front.subsystem)] = front.subsystem.encode()
+    data[768 : 768 + len(front.subsystem)] = front.subsystem.encode()
     capsule = (SQE_BYTES + IN_CAPSULE) // 16
     struct.pack_into("<IIHBB", data, 1792, capsule, CQE_BYTES // 16, 0, 0, 1)
     return bytes(data)
--- a/shaletiller/net/nvme/pdu.py
+++ b/shaletiller/net/nvme/pdu.py
@@ -34,13 +34,22 @@
 
 
 HEADER_BYTES = {
-    Kind.IC_REQ: IC_BYTES, Kind.IC_RESP: IC_BYTES, Kind.H2C_TERM: TERM_BYTES, Kind.C2H_TERM: TERM_BYTES,
-    Kind.CAPSULE_CMD: 8 + SQE_BYTES, Kind.CAPSULE_RESP: 8 + CQE_BYTES,
-    Kind.H2C_DATA: 24, Kind.C2H_DATA: 24, Kind.R2T: 24,
+    Kind.IC_REQ: IC_BYTES,
+    Kind.IC_RESP: IC_BYTES,
+    Kind.H2C_TERM: TERM_BYTES,
+    Kind.C2H_TERM: TERM_BYTES,
+    Kind.CAPSULE_CMD: 8 + SQE_BYTES,
+    Kind.CAPSULE_RESP: 8 + CQE_BYTES,
+    Kind.H2C_DATA: 24,
+    Kind.C2H_DATA: 24,
+    Kind.R2T: 24,
 }
 MOST_DATA = {
-    Kind.CAPSULE_CMD: IN_CAPSULE, Kind.H2C_DATA: MOST_H2C, Kind.C2H_DATA: MOST_H2C,
-    Kind.H2C_TERM: MOST_TERM_DATA, Kind.C2H_TERM: MOST_TERM_DATA,
+    Kind.CAPSULE_CMD: IN_CAPSULE,
+    Kind.H2C_DATA: MOST_H2C,
+    Kind.C2H_DATA: MOST_H2C,
+    Kind.H2C_TERM: MOST_TERM_DATA,
+    Kind.C2H_TERM: MOST_TERM_DATA,
 }
 FROM_HOST = frozenset({Kind.IC_REQ, Kind.H2C_TERM, Kind.CAPSULE_CMD, Kind.H2C_DATA})
 FROM_CONTROLLER = frozenset(Kind) - FROM_HOST
@@ -108,8 +117,11 @@
             raise PduError(Fatal.HEADER_FIELD, "a digest that was declined", 1, head)
         carries = length - header_bytes
         # The data offset may leave padding; both ends declined alignment, so 128 bytes are plenty.
-        padding = offset - header_bytes if carries > 0 and kind in (
-            Kind.CAPSULE_CMD, Kind.H2C_DATA, Kind.C2H_DATA) else 0
+        padding = (
+            offset - header_bytes
+            if carries > 0 and kind in (Kind.CAPSULE_CMD, Kind.H2C_DATA, Kind.C2H_DATA)
+            else 0
+        )
         if not 0 <= padding <= 128 or padding > max(0, carries):
             raise PduError(Fatal.HEADER_FIELD, f"data offset {offset}", 3, head)
         if carries < 0 or carries - padding > MOST_DATA.get(Kind(kind), 0):
@@ -120,9 +132,12 @@
         whole = bytes(self._held[:length])
         del self._held[:length]
         kind, flags, header_bytes, offset, _ = HEAD.unpack_from(whole)
-        at = max(offset, header_bytes) if kind in (Kind.CAPSULE_CMD, Kind.H2C_DATA, Kind.C2H_DATA) else (
-            header_bytes)
-        return Pdu(Kind(kind), flags, whole[HEAD.size:header_bytes], whole[at:])
+        at = (
+            max(offset, header_bytes)
+            if kind in (Kind.CAPSULE_CMD, Kind.H2C_DATA, Kind.C2H_DATA)
+            else (header_bytes)
+        )
+        return Pdu(Kind(kind), flags, whole[HEAD.size : header_bytes], whole[at:])
 
 
 def encode(kind: Kind, header: bytes, data: bytes = b"", flags: int = 0) -> bytes:
@@ -259,7 +274,13 @@
 
 
 def command(
-    opcode: int, cid: int, nsid: int = 0, *, length: int = 0, in_capsule: bool = False, tail: bytes = b"",
+    opcode: int,
+    cid: int,
+    nsid: int = 0,
+    *,
+    length: int = 0,
+    in_capsule: bool = False,
+    tail: bytes = b"",
 ) -> bytes:
     """A submission queue entry; `tail` is what stands from CDW10 on (byte 40)."""
     sgl = SGL_IN_CAPSULE if in_capsule else SGL_TRANSPORT
@@ -268,7 +289,13 @@
 
 
 def io_command(
-    opcode: Io, cid: int, nsid: int, lba: int, blocks: int, length: int, in_capsule: bool,
+    opcode: Io,
+    cid: int,
+    nsid: int,
+    lba: int,
+    blocks: int,
+    length: int,
+    in_capsule: bool,
 ) -> bytes:
     tail = struct.pack("<QHH", lba, blocks - 1, 0)
     return command(opcode, cid, nsid, length=length, in_capsule=in_capsule, tail=tail)
@@ -287,7 +314,13 @@
 
 
 def completion(
-    cid: int, status: int, *, result: int = 0, sq_head: int = 0, sq_id: int = 0, retry: int = 0,
+    cid: int,
+    status: int,
+    *,
+    result: int = 0,
+    sq_head: int = 0,
+    sq_id: int = 0,
+    retry: int = 0,
     final: bool = False,
 ) -> bytes:
     """A CapsuleResp.  `retry` is the command retry delay's number, `final` Do Not Retry."""
@@ -309,5 +342,9 @@
 def read_completion(pdu: Pdu) -> Completion:
     word = pdu.field("H", 22)
     return Completion(
-        pdu.field("H", 20), word >> 1 & 0x7FF, pdu.field("Q", 8), word >> 12 & 3, bool(word >> 15),
+        pdu.field("H", 20),
+        word >> 1 & 0x7FF,
+        pdu.field("Q", 8),
+        word >> 12 & 3,
+        bool(word >> 15),
     )
--- a/shaletiller/net/nvme/stream.py
+++ b/shaletiller/net/nvme/stream.py
@@ -13,7 +13,10 @@
 
 class PduStream:
     def __init__(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, allowed: frozenset[Kind],
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        allowed: frozenset[Kind],
         most_unsent: int = MOST_UNSENT,
     ) -> None:
         """Beyond `most_unsent` bytes a peer that does not read is cut off rather than remembered."""
--- a/shaletiller/net/peers.py
+++ b/shaletiller/net/peers.py
@@ -13,8 +13,11 @@
 
 class Peers(asyncio.DatagramProtocol):
     def __init__(
-        self, peers: tuple[tuple[str, int], ...], everyone: tuple[str, int] | None,
-        heard: Callable[[int, str], None], heard_fleet: Callable[[bytes], None] | None = None,
+        self,
+        peers: tuple[tuple[str, int], ...],
+        everyone: tuple[str, int] | None,
+        heard: Callable[[int, str], None],
+        heard_fleet: Callable[[bytes], None] | None = None,
     ) -> None:
         self._peers = peers
         self._everyone = everyone
@@ -27,7 +30,8 @@
         loop = asyncio.get_running_loop()
         # The process that replaces this one binds the same address while this one still runs.
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: self, local_addr=address, reuse_port=True)
+            lambda: self, local_addr=address, reuse_port=True
+        )
 
     def tell(self, peer: int | None, data: str) -> None:
         self.send(peer, data.encode())
--- a/shaletiller/net/pool.py
+++ b/shaletiller/net/pool.py
@@ -78,7 +78,8 @@
 
     def __init__(self, most: int, most_a_node: int, idle_s: float) -> None:
         super().__init__(
-            limit=most, limit_per_host=most_a_node, use_dns_cache=False, ssl=False, keepalive_timeout=idle_s)
+            limit=most, limit_per_host=most_a_node, use_dns_cache=False, ssl=False, keepalive_timeout=idle_s
+        )
         self._factory: Any = functools.partial(NodeProtocol, loop=asyncio.get_running_loop())
         self._most = most
         self._idle_s = idle_s
--- a/shaletiller/net/promises.py
+++ b/shaletiller/net/promises.py
@@ -56,7 +56,12 @@
     """One gateway's part in keeping promises."""
 
     def __init__(
-        self, operator: OperatorFile, fleet: FleetPort, engine: Engine, clock: Clock, name: str,
+        self,
+        operator: OperatorFile,
+        fleet: FleetPort,
+        engine: Engine,
+        clock: Clock,
+        name: str,
         bans: Bans,
     ) -> None:
         part = operator.promises
@@ -130,7 +135,7 @@
         for key, row in self.promises.acceptor.rows.items():
             says = read_says(row.value) if key.startswith(BAN) else None
             if isinstance(says, Word):
-                found[key[len(BAN):]] = says
+                found[key[len(BAN) :]] = says
         return found
 
     async def start(self) -> None:
@@ -170,7 +175,8 @@
                 self._bans.remove(node)
             until = int(min(word.until, now_ms + LONGEST_MS / 2))
             self._fleet.liaison.restore(
-                Verdict(node, int(Kind.BAN), word.by, 0, word.stamp, until, int(word.out)))
+                Verdict(node, int(Kind.BAN), word.by, 0, word.stamp, until, int(word.out))
+            )
 
     # ---- time and messages
 
@@ -228,13 +234,18 @@
         self.keeper.keep(keep.rows, done)
 
     async def _ask(
-        self, key: str, expect: Expect, value: bytes, wait_ms: float, expected: bytes = b"",
-        held: Held | None = None, keep_ms: float = YEAR_MS,
+        self,
+        key: str,
+        expect: Expect,
+        value: bytes,
+        wait_ms: float,
+        expected: bytes = b"",
+        held: Held | None = None,
+        keep_ms: float = YEAR_MS,
     ) -> Done:
         now_ms = self._clock.now_ms()
         wait: asyncio.Future[Done] = asyncio.get_running_loop().create_future()
-        op = self.promises.ask(
-            key, expect, value, now_ms + keep_ms, now_ms + wait_ms, now_ms, expected, held)
+        op = self.promises.ask(key, expect, value, now_ms + keep_ms, now_ms + wait_ms, now_ms, expected, held)
         self._waits[op] = wait
         self._guarded(lambda: None)
         return await wait
@@ -289,7 +300,8 @@
         if decision.why:
             log(f"request {exchange.call.id}: {decision.what}: {decision.why}")
         self._engine.relay(
-            exchange, Answer(final, decision.body, min(decision.retry_in_ms, NO_MAJORITY_MS)), settled=True)
+            exchange, Answer(final, decision.body, min(decision.retry_in_ms, NO_MAJORITY_MS)), settled=True
+        )
 
     # ---- operators' words
 
@@ -328,7 +340,8 @@
                 self._tables[limit] = mine, done.held
                 leased = from_wire(was.rate, was.burst) if was else NOTHING
                 self._members.leases.stands(
-                    limit, (was.by, was.life) if was else None, leased, was.at if was else 0.0, now_ms())
+                    limit, (was.by, was.life) if was else None, leased, was.at if was else 0.0, now_ms()
+                )
         if not done.kept:
             self._members.leases.kept(limit, False, now_ms())
 
@@ -339,7 +352,8 @@
         before, held = self._tables.pop(limit, (b"", None))
         mine = self._table(rate, burst, int(self._clock.now_ms()))
         done = await self._ask(
-            f"{LEASE}{limit}", Expect.THIS, mine, TABLE_MS, before, held, keep_ms=TABLE_KEPT_MS)
+            f"{LEASE}{limit}", Expect.THIS, mine, TABLE_MS, before, held, keep_ms=TABLE_KEPT_MS
+        )
         if done.kept:
             self._tables[limit] = mine, done.held
         self._members.leases.kept(limit, done.kept, self._clock.now_ms())
@@ -365,8 +379,11 @@
             self.keeper.keep([(META, LIST_KEY, raw)])
         value = pack(Listed(int(now_ms), raw))
         if len(value) < 1 << 16:
-            self._guarded(lambda: self.promises.ask(
-                f"{LIST}{self._name}", Expect.ANYTHING, value, now_ms + YEAR_MS, now_ms + 5_000.0, now_ms))
+            self._guarded(
+                lambda: self.promises.ask(
+                    f"{LIST}{self._name}", Expect.ANYTHING, value, now_ms + YEAR_MS, now_ms + 5_000.0, now_ms
+                )
+            )
 
     def _take_list(self, raw: bytes) -> None:
         try:
@@ -380,21 +397,31 @@
         """What the operators' STATS says of promises; see docs/operations.md."""
         acceptor, repair, keeper = self.promises.acceptor, self.promises.repair, self.keeper
         told = {
-            "promises.filled": int(self.promises.filled), "promises.superseded": int(acceptor.superseded),
-            "promises.synced": len(acceptor.synced), "promises.records": len(acceptor.rows),
-            "promises.under_way": self.writes.under_way, "promises.rounds": self.promises.proposer.rounds,
+            "promises.filled": int(self.promises.filled),
+            "promises.superseded": int(acceptor.superseded),
+            "promises.synced": len(acceptor.synced),
+            "promises.records": len(acceptor.rows),
+            "promises.under_way": self.writes.under_way,
+            "promises.rounds": self.promises.proposer.rounds,
             **{f"promises.{name}": count for name, count in self.writes.counts.items()},
-            "promises.repair_given": repair.given_rows, "promises.repair_taken": repair.taken_rows,
+            "promises.repair_given": repair.given_rows,
+            "promises.repair_taken": repair.taken_rows,
             "promises.repair_bytes": repair.bytes_given,
             **{f"promises.dropped.{why}": count for why, count in sorted(self._codec.dropped.items())},
-            "store.open": int(keeper is not None), "store.damaged": int(bool(self.damaged)),
+            "store.open": int(keeper is not None),
+            "store.damaged": int(bool(self.damaged)),
         }
         if keeper is not None:
             told |= {
-                "store.sound": int(keeper.sound), "store.records": len(keeper.store.index),
-                "store.log_bytes": keeper.store.log_bytes, "store.live_bytes": keeper.store.live_bytes,
-                "store.commits": keeper.commits, "store.rows": keeper.rows, "store.failed": keeper.failed,
-                "store.snapshots": keeper.snapshots, "store.torn_bytes": keeper.store.torn,
+                "store.sound": int(keeper.sound),
+                "store.records": len(keeper.store.index),
+                "store.log_bytes": keeper.store.log_bytes,
+                "store.live_bytes": keeper.store.live_bytes,
+                "store.commits": keeper.commits,
+                "store.rows": keeper.rows,
+                "store.failed": keeper.failed,
+                "store.snapshots": keeper.snapshots,
+                "store.torn_bytes": keeper.store.torn,
             }
         return told
 
@@ -410,4 +437,3 @@
     """What the repeats of a write share: its class, its volume, and its Idempotency-Key or its own id."""
     key = f"w:{call.service}:{call.volume}:{call.idempotency_key or call.id}"
     return key if len(key) <= MOST_KEY else f"w:{xxhash.xxh3_128_hexdigest(key.encode())}"
-
--- a/shaletiller/net/sockets.py
+++ b/shaletiller/net/sockets.py
@@ -43,7 +43,9 @@
 
 
 async def close_gracefully(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, patience_s: float,
+    reader: asyncio.StreamReader,
+    writer: asyncio.StreamWriter,
+    patience_s: float,
 ) -> None:
     """End a connection in order: what was written arrives, though the other side is still sending.
 
--- a/shaletiller/nodes/book.py
+++ b/shaletiller/nodes/book.py
@@ -77,7 +77,8 @@
     other gateways; `active` again is told only where it had been said otherwise."""
 
     def __init__(
-        self, departed: Callable[[str, int, int, NodeState], None] = lambda node, life, version, state: None,
+        self,
+        departed: Callable[[str, int, int, NodeState], None] = lambda node, life, version, state: None,
     ) -> None:
         self.departed = departed
         self.entries: dict[str, Entry] = {}
@@ -98,7 +99,12 @@
     # ---- the own list
 
     def take(
-        self, places: Sequence[Place], version: int, whole: bool, source: Source, now_ms: float,
+        self,
+        places: Sequence[Place],
+        version: int,
+        whole: bool,
+        source: Source,
+        now_ms: float,
     ) -> Taken:
         """A list, or what changed in it."""
         self._forget(now_ms)
@@ -174,7 +180,8 @@
 
     def _forget(self, now_ms: float) -> None:
         self._departures = {
-            node: known for node, known in self._departures.items() if now_ms - known.at_ms < DEPARTED_MS}
+            node: known for node, known in self._departures.items() if now_ms - known.at_ms < DEPARTED_MS
+        }
 
     # ---- others' news
 
@@ -201,7 +208,8 @@
             "nodes.version": self.version or 0,
             "nodes.list_age_ms": int(now_ms - self.taken_ms) if self.version is not None else -1,
             **{f"nodes.{source.value}": sources.count(source) for source in Source},
-            "nodes.by_news": sum(known.news and known.state is not NodeState.READY
-                                 for known in self._departures.values()),
+            "nodes.by_news": sum(
+                known.news and known.state is not NodeState.READY for known in self._departures.values()
+            ),
             "nodes.held_back": self.held_back,
         }
--- a/shaletiller/operator_file.py
+++ b/shaletiller/operator_file.py
@@ -82,8 +82,12 @@
         return Options(
             timing=Timing(self.period_ms, self.ack_ms, self.suspect_ms),
             terms=Terms(self.term_ms or max(terms.term_ms, 2 * self.lease_ms), self.lease_ms, self.drift),
-            messages_a_second=self.messages_a_second, gossip_ms=self.gossip_ms, fanout=self.fanout,
-            quorum=self.quorum, gather_ms=self.gather_ms)
+            messages_a_second=self.messages_a_second,
+            gossip_ms=self.gossip_ms,
+            fanout=self.fanout,
+            quorum=self.quorum,
+            gather_ms=self.gather_ms,
+        )
 
 
 class StorePart(Group, frozen=True):
@@ -173,7 +177,12 @@
 
 
 def _group(
-    file: str, nodes: list[Any], kind: type[Group], path: str, lines: dict[int, int], where: dict[str, int],
+    file: str,
+    nodes: list[Any],
+    kind: type[Group],
+    path: str,
+    lines: dict[int, int],
+    where: dict[str, int],
 ) -> dict[str, Any]:
     """A document's nodes as what msgspec converts; `where` is told each key's line."""
     fields, found = _fields(kind), dict[str, Any]()
@@ -230,7 +239,7 @@
     if promises.on and not file.store.dir:
         raise ValueError("promises.on: wants a folder for the store, store.dir")
     if promises.on and (fleet.carrier != "tcp" or not fleet.member):
-        raise ValueError("promises.on: wants the members of a fleet and its carrier \"tcp\"")
+        raise ValueError('promises.on: wants the members of a fleet and its carrier "tcp"')
     try:
         fleet.options(max(1, len(fleet.member)))
     except ValueError as error:
--- a/shaletiller/promises/acceptor.py
+++ b/shaletiller/promises/acceptor.py
@@ -63,7 +63,7 @@
                 self.life = msgspec.msgpack.decode(value, type=int)
             elif kind == META and key == LIVES:
                 known = msgspec.msgpack.decode(value, type=list[int])
-                self.lives[:len(known)] = known[:self.members]
+                self.lives[: len(known)] = known[: self.members]
             elif kind == META and key == SYNCED:
                 self.synced = set(msgspec.msgpack.decode(value, type=list[int]))
         self.lives[self.me] = max(self.life, self.lives[self.me])
@@ -78,8 +78,11 @@
 
     def meta(self) -> list[StoreRow]:
         self.news = False
-        return [(META, LIFE, pack(self.life)), (META, LIVES, pack(self.lives)),
-                (META, SYNCED, pack(sorted(self.synced)))]
+        return [
+            (META, LIFE, pack(self.life)),
+            (META, LIVES, pack(self.lives)),
+            (META, SYNCED, pack(sorted(self.synced))),
+        ]
 
     def know(self, lives: dict[int, int]) -> bool:
         """Lives that others told of; True where one is news.
@@ -99,7 +102,8 @@
     def ready(self, key: str) -> bool:
         """Whether this gateway votes on a key."""
         return not self.superseded and all(
-            member == self.me or member in self.synced for member in self.groups.of(key))
+            member == self.me or member in self.synced for member in self.groups.of(key)
+        )
 
     # ---- rows
 
--- a/shaletiller/promises/core.py
+++ b/shaletiller/promises/core.py
@@ -54,7 +54,11 @@
     members, which must be within a second of each other."""
 
     def __init__(
-        self, me: int, groups: Groups, kept: list[tuple[int, bytes, bytes]] | None, now_ms: float,
+        self,
+        me: int,
+        groups: Groups,
+        kept: list[tuple[int, bytes, bytes]] | None,
+        now_ms: float,
         budget: float = 4e6,
     ) -> None:
         """`kept` is what the store holds; None: it is not open, and until `open` this gateway only asks."""
@@ -84,8 +88,16 @@
     # ---- what the gateway asks
 
     def ask(
-        self, key: str, expect: Expect, value: bytes, until_ms: float, deadline_ms: float, now_ms: float,
-        expected: bytes = b"", held: Held | None = None, fast: bool = True,
+        self,
+        key: str,
+        expect: Expect,
+        value: bytes,
+        until_ms: float,
+        deadline_ms: float,
+        now_ms: float,
+        expected: bytes = b"",
+        held: Held | None = None,
+        fast: bool = True,
     ) -> int:
         """Begin an op; its number stands in its `Done`."""
         self._ops += 1
@@ -146,8 +158,10 @@
 
     def _keep(self, rows: list[StoreRow], after: tuple[int, Any_] | int | None) -> None:
         if self._dirty:
-            again = [(REGISTER, key.encode(), pack(row) if (row := self.acceptor.rows.get(key)) else None)
-                     for key in sorted(self._dirty)]
+            again = [
+                (REGISTER, key.encode(), pack(row) if (row := self.acceptor.rows.get(key)) else None)
+                for key in sorted(self._dirty)
+            ]
             rows = [*again, *rows]
             self._dirty.clear()
         if self.acceptor.news:
@@ -170,8 +184,11 @@
         if isinstance(message, Reply):
             self.proposer.take(sender, message, now_ms)
         elif isinstance(message, Prepare | Accept):
-            reply, rows = (self.acceptor.prepare(message, now_ms) if isinstance(message, Prepare)
-                           else self.acceptor.accept(message, now_ms))
+            reply, rows = (
+                self.acceptor.prepare(message, now_ms)
+                if isinstance(message, Prepare)
+                else self.acceptor.accept(message, now_ms)
+            )
             # An answer that changes nothing may rest on rows that are still on their way down.
             self._keep(rows, (sender, reply))
         elif isinstance(message, Join):
--- a/shaletiller/promises/groups.py
+++ b/shaletiller/promises/groups.py
@@ -29,7 +29,8 @@
                     break
                 zone = self.zones[member]
                 if member not in found and not (
-                        spread and zone and zone in [self.zones[each] for each in found]):
+                    spread and zone and zone in [self.zones[each] for each in found]
+                ):
                     found.append(member)
         return tuple(found)
 
--- a/shaletiller/promises/messages.py
+++ b/shaletiller/promises/messages.py
@@ -142,7 +142,7 @@
     def read(self, data: bytes) -> tuple[int, Any_] | None:
         """Sender and message; None, and counted by reason, where it is not to be believed."""
         try:
-            frame = _FRAME.decode(data[len(MARK):])
+            frame = _FRAME.decode(data[len(MARK) :])
             if frame.version != VERSION:
                 return self._drop("version")
             if frame.group != self._group:
--- a/shaletiller/promises/proposer.py
+++ b/shaletiller/promises/proposer.py
@@ -127,8 +127,7 @@
         if op.phase == "prepare":
             ask = Prepare(op.nonce, op.key, op.ballot, op.until, op.lives)
         else:
-            ask = Accept(
-                op.nonce, op.key, op.ballot, op.step, op.writing, op.writing_until, op.lives)
+            ask = Accept(op.nonce, op.key, op.ballot, op.step, op.writing, op.writing_until, op.lives)
         self.out += [(member, ask) for member in to]
 
     def _prepare(self, op: Op, now_ms: float) -> None:
@@ -144,7 +143,7 @@
         self._nonces.pop(op.nonce, None)
         if wait_ms is None:
             # Drawn from the op itself: a run is the same for the same course of events.
-            draw = xxhash.xxh3_64_intdigest(f"{self.me} {op.number} {op.tries}".encode()) / 2.0 ** 64
+            draw = xxhash.xxh3_64_intdigest(f"{self.me} {op.number} {op.tries}".encode()) / 2.0**64
             wait_ms = LEAST_REST_MS + draw * min(MOST_REST_MS, LEAST_REST_MS * 2 ** min(op.tries, 8))
         op.phase, op.rest_until_ms = "rest", now_ms + wait_ms
 
@@ -226,7 +225,8 @@
         for row in rows:
             wanted = self.groups.copies if row.rank == (FAST, 0) else self.groups.majority
             if row.value not in (b"", op.value) and wanted <= sum(
-                    other.rank == row.rank and other.value == row.value for other in rows):
+                other.rank == row.rank and other.value == row.value for other in rows
+            ):
                 return row.value
         return None
 
@@ -250,8 +250,11 @@
         if op.expect is Expect.OLDER:
             new, old = read_says(op.value), read_says(value)
             return not isinstance(old, Word) or (isinstance(new, Word) and new.stamp > old.stamp)
-        return (op.expect is Expect.ANYTHING or (op.expect is Expect.FREE and value == b"")
-                or (op.expect is Expect.THIS and value == op.expected))
+        return (
+            op.expect is Expect.ANYTHING
+            or (op.expect is Expect.FREE and value == b"")
+            or (op.expect is Expect.THIS and value == op.expected)
+        )
 
 
 def standing(rows: list[Row]) -> Row:
--- a/shaletiller/promises/repair.py
+++ b/shaletiller/promises/repair.py
@@ -174,8 +174,9 @@
 
     def _compared(self, sender: int, message: Compare) -> None:
         mine = self.acceptor.sums[sender]
-        differ = [at for at, (ours, theirs) in enumerate(zip(mine, message.sums, strict=True))
-                  if ours != theirs]
+        differ = [
+            at for at, (ours, theirs) in enumerate(zip(mine, message.sums, strict=True)) if ours != theirs
+        ]
         # Not always the same ones first: a budget that is spent on them would never come to the others.
         start = xxhash.xxh3_64_intdigest(f"{self._turn} {len(differ)}".encode()) % max(1, len(differ))
         self._turn += 1
@@ -199,8 +200,11 @@
         mine = {key: self.acceptor.row(key, now_ms).rank for key in self._of_bucket(message.bucket, sender)}
         nothing = Row().rank
         self._give(sender, sorted(k for k, rank in mine.items() if rank > theirs.get(k, nothing)), now_ms)
-        wanted = sorted(key for key, rank in theirs.items()
-                        if rank > mine.get(key, nothing) and self.acceptor.me in self.acceptor.groups.of(key))
+        wanted = sorted(
+            key
+            for key, rank in theirs.items()
+            if rank > mine.get(key, nothing) and self.acceptor.me in self.acceptor.groups.of(key)
+        )
         if wanted:
             self.out.append((sender, Pull(tuple(wanted[:MOST_PULL]))))
 
@@ -235,5 +239,3 @@
         more = self.budget * max(0.0, now_ms - self._tokens_ms) / 1000
         self._tokens = min(self.budget, self._tokens + more)
         self._tokens_ms = now_ms
-
-
--- a/shaletiller/promises/rows.py
+++ b/shaletiller/promises/rows.py
@@ -121,8 +121,10 @@
 
 def describe(kind: int, key: bytes, value: bytes) -> dict[str, Any]:
     """A record of a store as an operator reads it."""
-    told: dict[str, Any] = {"kind": {REGISTER: "register", META: "meta"}.get(kind, kind),
-                            "key": key.decode("utf-8", "replace")}
+    told: dict[str, Any] = {
+        "kind": {REGISTER: "register", META: "meta"}.get(kind, kind),
+        "key": key.decode("utf-8", "replace"),
+    }
     if kind != REGISTER:
         return {**told, "bytes": len(value)}
     try:
@@ -130,8 +132,13 @@
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return {**told, "unreadable": len(value)}
     says = read_says(row.value)
-    told |= {"promised": row.promised, "ballot": row.ballot, "step": row.step, "until": row.until,
-             "says": type(says).__name__.lower() if says is not None else "free"}
+    told |= {
+        "promised": row.promised,
+        "ballot": row.ballot,
+        "step": row.step,
+        "until": row.until,
+        "says": type(says).__name__.lower() if says is not None else "free",
+    }
     if isinstance(says, Intent):
         told |= {"owner": says.owner, "at": says.at}
     elif isinstance(says, Outcome):
--- a/shaletiller/promises/writes.py
+++ b/shaletiller/promises/writes.py
@@ -64,7 +64,8 @@
         self._ops: dict[int, int] = {}  # by op: the write that waits for it
         self.decisions: list[Decision] = []
         self.counts = dict.fromkeys(
-            ("claimed", "made", "repeated", "in_progress", "may_have_run", "no_majority", "unmade"), 0)
+            ("claimed", "made", "repeated", "in_progress", "may_have_run", "no_majority", "unmade"), 0
+        )
 
     @property
     def under_way(self) -> int:
@@ -81,8 +82,7 @@
         intent = pack(Intent(self._promises.me, self._process, number, mark, int(now_ms), int(deadline_ms)))
         write = self._writes[number] = _Write(number, key, mark, deadline_ms, intent=intent)
         last_ms = now_ms + min(CLAIM_MS, CLAIM_PART * (deadline_ms - now_ms))
-        self._wait(write, self._promises.ask(
-            key, Expect.FREE, intent, self._until(now_ms), last_ms, now_ms))
+        self._wait(write, self._promises.ask(key, Expect.FREE, intent, self._until(now_ms), last_ms, now_ms))
 
     def end(self, number: int, what: What, body: bytes, now_ms: float) -> None:
         """What has become of a write that went out: `served` with the node's answer, which is told to the
@@ -107,12 +107,21 @@
         """In the place of the intent, a step on where nobody has asked since."""
         held, write.held = write.held, None  # for one write only: two under one step would be two values
         return self._promises.ask(
-            write.key, Expect.THIS, value, self._until(now_ms), deadline_ms, now_ms, write.intent, held)
+            write.key, Expect.THIS, value, self._until(now_ms), deadline_ms, now_ms, write.intent, held
+        )
 
     def _free(self, write: _Write, now_ms: float) -> None:
         """Nothing was sent: if the intent is made after all, it is taken back."""
-        self._promises.ask(write.key, Expect.THIS, b"", self._until(now_ms), now_ms + BESIDE_MS, now_ms,
-                           write.intent, write.held)
+        self._promises.ask(
+            write.key,
+            Expect.THIS,
+            b"",
+            self._until(now_ms),
+            now_ms + BESIDE_MS,
+            now_ms,
+            write.intent,
+            write.held,
+        )
 
     def _wait(self, write: _Write, op: int) -> None:
         write.op = op
@@ -157,8 +166,12 @@
             self._decide(write, "served" if says.served else "failed", says.body)
         elif isinstance(says, Intent) and now_ms < says.ends:
             self._count("in_progress")
-            self._decide(write, "refused", retry_in_ms=max(LEAST_COME_BACK_MS, says.ends - now_ms),
-                         why="another request of its key is under way")
+            self._decide(
+                write,
+                "refused",
+                retry_in_ms=max(LEAST_COME_BACK_MS, says.ends - now_ms),
+                why="another request of its key is under way",
+            )
         else:
             self._count("may_have_run")
             self._decide(write, "failed", why="it may have run before")
@@ -167,7 +180,12 @@
         self.counts[name] += 1
 
     def _decide(
-        self, write: _Write, what: What, body: bytes = b"", retry_in_ms: float = 0.0, why: str = "",
+        self,
+        write: _Write,
+        what: What,
+        body: bytes = b"",
+        retry_in_ms: float = 0.0,
+        why: str = "",
     ) -> None:
         self.decisions.append(Decision(write.number, what, body, retry_in_ms, why))
 
--- a/shaletiller/settings.py
+++ b/shaletiller/settings.py
@@ -14,33 +14,63 @@
 NAME = re.compile(r"[!-~](?:[ -~]{0,62}[!-~])?", re.ASCII)
 EFFECTS = {"read_like": "safe", "idempotency_key": "keyed", "non_idempotent": "unsafe"}
 CLASS_KEYS = {
-    "name": "name", "target-ms": "aim_ms", "hard-limit-ms": "deadline_ms", "importance": "worth",
-    "late-share": "late_share", "key-ttl-ms": "key_ttl_ms", "by-arrival": "in_order",
-    "streaming": "streaming", "dedup-scope": "scope", "effect": "effect",
+    "name": "name",
+    "target-ms": "aim_ms",
+    "hard-limit-ms": "deadline_ms",
+    "importance": "worth",
+    "late-share": "late_share",
+    "key-ttl-ms": "key_ttl_ms",
+    "by-arrival": "in_order",
+    "streaming": "streaming",
+    "dedup-scope": "scope",
+    "effect": "effect",
 }
 PLAN_KEYS = {
-    "name": "name", "base-rate": "base_rate", "reserve": "reserve", "proportion": "weight",
-    "value-factor": "price", "ceiling-rate": "limit_rate", "burst": "limit_burst", "slack": "limit_slack",
+    "name": "name",
+    "base-rate": "base_rate",
+    "reserve": "reserve",
+    "proportion": "weight",
+    "value-factor": "price",
+    "ceiling-rate": "limit_rate",
+    "burst": "limit_burst",
+    "slack": "limit_slack",
 }
 SETTING_KEYS = {
     "": {"position": "position", "balancers": "hosts", "zone": "zone", "tick-ms": "tick_ms"},
     "domain": {
-        "mean-units": "mean_units", "most-units": "most_units", "within-share": "share_worth",
-        "beyond-share": "beyond_worth", "meter-ms": "meter_ms", "counts-others": "counts_others",
-        "cold-bears": "cold_units", "shards": "shards",
+        "mean-units": "mean_units",
+        "most-units": "most_units",
+        "within-share": "share_worth",
+        "beyond-share": "beyond_worth",
+        "meter-ms": "meter_ms",
+        "counts-others": "counts_others",
+        "cold-bears": "cold_units",
+        "shards": "shards",
     },
     "limits": {
-        "max-attempts": "max_attempts", "second-copies": "second_copies", "cancel": "may_cancel",
-        "probes": "may_probe", "peers": "may_tell", "retry-after": "retry_advice",
-        "max-retry-after-ms": "max_retry_after_ms", "conn-idle-ms": "conn_idle_ms",
+        "max-attempts": "max_attempts",
+        "second-copies": "second_copies",
+        "cancel": "may_cancel",
+        "probes": "may_probe",
+        "peers": "may_tell",
+        "retry-after": "retry_advice",
+        "max-retry-after-ms": "max_retry_after_ms",
+        "conn-idle-ms": "conn_idle_ms",
         "connect-timeout-ms": "connect_timeout_ms",
     },
     "clients": {"marks-retry": "marks_repeats"},
     "obligations": {
-        "answer-slack-ms": "answer_slack_ms", "drain-grace-ms": "drain_grace_ms",
-        "fall-multiple": "fall_multiple", "fall-ms": "fall_ms", "start-capacity": "start_capacity",
-        "ramp-time-ms": "ramp_ms", "turn-gap-ms": "turn_gap_ms", "extra-free": "budget_free",
-        "budget-share": "budget_share", "budget-span-ms": "budget_span_ms", "ask-within-ms": "ask_within_ms",
+        "answer-slack-ms": "answer_slack_ms",
+        "drain-grace-ms": "drain_grace_ms",
+        "fall-multiple": "fall_multiple",
+        "fall-ms": "fall_ms",
+        "start-capacity": "start_capacity",
+        "ramp-time-ms": "ramp_ms",
+        "turn-gap-ms": "turn_gap_ms",
+        "extra-free": "budget_free",
+        "budget-share": "budget_share",
+        "budget-span-ms": "budget_span_ms",
+        "ask-within-ms": "ask_within_ms",
     },
     "deductions": {"probe": "probe_price", "peer": "tell_price", "waste": "waste_price"},
     "load-info": {"columns": "report_columns"},
@@ -48,7 +78,8 @@
 # What the keys above are called in the site's own words, to name a faulty one.
 SITE_NAMES = {
     ours: f"{section}.{theirs}" if section else theirs
-    for section, keys in SETTING_KEYS.items() for theirs, ours in keys.items()
+    for section, keys in SETTING_KEYS.items()
+    for theirs, ours in keys.items()
 }
 LIST_NAMES = {
     "classes": ("classes", {ours: theirs for theirs, ours in CLASS_KEYS.items()}),
@@ -113,8 +144,14 @@
     message, _, path = text.partition(" - at `$")
     found = re.fullmatch(r"\.?(\w*)(\[(?:\d+|\.\.\.)\])?(?:\.(\w+))?`", path)
     if found is None:
-        return next((f"{SITE_NAMES[name]}{text.removeprefix(name)}" for name in SITE_NAMES
-                     if text.startswith(name + ":")), text)
+        return next(
+            (
+                f"{SITE_NAMES[name]}{text.removeprefix(name)}"
+                for name in SITE_NAMES
+                if text.startswith(name + ":")
+            ),
+            text,
+        )
     top, index, key = found.groups()
     if top in LIST_NAMES:
         shown, keys = LIST_NAMES[top]
--- a/shaletiller/state/site.py
+++ b/shaletiller/state/site.py
@@ -22,8 +22,9 @@
         self.class_index = {spec.name: at for at, spec in enumerate(classes)}
         self.plans = {plan.name: plan for plan in settings.plans}
         # For each class those that are worth more.
-        self.paid_more = {spec.name: frozenset(each.name for each in classes if each.worth > spec.worth)
-                          for spec in classes}
+        self.paid_more = {
+            spec.name: frozenset(each.name for each in classes if each.worth > spec.worth) for spec in classes
+        }
         self.kinds = len(classes) * BANDS
         self.tightest_aim_ms = min(spec.aim_ms for spec in settings.classes)
         self.round_ms = self.tightest_aim_ms * ROUND_PART
--- a/shaletiller/state/volumes.py
+++ b/shaletiller/state/volumes.py
@@ -78,6 +78,9 @@
 
 def unsent_units(pending: Pending, known: Iterable[Pending]) -> float:
     """The units of a request and of all others of its volume that have not been sent yet."""
-    others = (each.ask.units for each in known
-              if each.volume is pending.volume and not each.sends and each is not pending)
+    others = (
+        each.ask.units
+        for each in known
+        if each.volume is pending.volume and not each.sends and each is not pending
+    )
     return pending.ask.units + sum(others)
--- a/shaletiller/store/cli.py
+++ b/shaletiller/store/cli.py
@@ -17,10 +17,15 @@
 from shaletiller.store.format import Damaged
 from shaletiller.store.log import LOCK, Contents, Full, Store
 
-app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False,
-                  help="A gateway's store: docs/store.md.")
-Folder = Annotated[Path, typer.Argument(
-    metavar="DIR", exists=True, file_okay=False, help="the store's folder")]
+app = typer.Typer(
+    add_completion=False,
+    no_args_is_help=True,
+    pretty_exceptions_enable=False,
+    help="A gateway's store: docs/store.md.",
+)
+Folder = Annotated[
+    Path, typer.Argument(metavar="DIR", exists=True, file_okay=False, help="the store's folder")
+]
 Json = Annotated[bool, typer.Option("--json", help="one JSON object instead of lines")]
 
 
@@ -42,9 +47,14 @@
 def _told(found: Contents) -> dict[str, Any]:
     live = sum(record.size for record in found.index.values())
     return {
-        "records": len(found.index), "next_sequence": found.next, "segments": len(found.segments),
-        "snapshot": found.snapshot, "log_bytes": found.snapshot_bytes + sum(found.segments.values()),
-        "live_bytes": live, "torn_bytes": found.torn, "torn_file": found.torn_file,
+        "records": len(found.index),
+        "next_sequence": found.next,
+        "segments": len(found.segments),
+        "snapshot": found.snapshot,
+        "log_bytes": found.snapshot_bytes + sum(found.segments.values()),
+        "live_bytes": live,
+        "torn_bytes": found.torn,
+        "torn_file": found.torn_file,
     }
 
 
@@ -63,7 +73,8 @@
 
 @app.command()
 def show(
-    folder: Folder, as_json: Json = False,
+    folder: Folder,
+    as_json: Json = False,
     like: Annotated[str, typer.Option(help="only keys that hold this text")] = "",
 ) -> None:
     """The live records, oldest first: sequence, what it is, key, and what it says."""
--- a/shaletiller/store/files.py
+++ b/shaletiller/store/files.py
@@ -31,7 +31,7 @@
         """All of it, or OSError."""
         view = memoryview(data)
         while view:
-            view = view[os.write(file, view):]
+            view = view[os.write(file, view) :]
 
     def sync(self, file: int) -> None:
         os.fdatasync(file)
@@ -95,7 +95,7 @@
 
     def write(self, file: int, data: bytes) -> None:
         if self._faults().full:
-            super().write(file, data[:len(data) // 2])  # as far as there was room
+            super().write(file, data[: len(data) // 2])  # as far as there was room
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         super().write(file, data)
 
--- a/shaletiller/store/format.py
+++ b/shaletiller/store/format.py
@@ -71,8 +71,14 @@
     if len(record.key) >= 1 << 16 or len(body) > MOST_BODY:
         raise ValueError(f"record: key of {len(record.key)}, body of {len(body)} bytes are too long")
     head = HEAD.pack(len(body), record.kind, record.gone, len(record.key), record.sequence)
-    return b"".join((head, SUM.pack(xxhash.xxh3_64_intdigest(head, seed=number)), body,
-                     SUM.pack(xxhash.xxh3_64_intdigest(body, seed=record.sequence))))
+    return b"".join(
+        (
+            head,
+            SUM.pack(xxhash.xxh3_64_intdigest(head, seed=number)),
+            body,
+            SUM.pack(xxhash.xxh3_64_intdigest(body, seed=record.sequence)),
+        )
+    )
 
 
 @dataclass(slots=True)
@@ -87,7 +93,7 @@
         return None
     found, number, first = HEADER.unpack_from(data)
     (checksum,) = SUM.unpack_from(data, HEADER.size)
-    if checksum != xxhash.xxh3_64_intdigest(data[:HEADER.size]):
+    if checksum != xxhash.xxh3_64_intdigest(data[: HEADER.size]):
         raise Damaged(path, 0, "the header's checksum is wrong")
     if found != magic:
         raise Damaged(path, 0, f"of another version or kind: {found!r}")
@@ -99,7 +105,7 @@
     nothing but zeros, as a file system leaves one whose length was written before its bytes."""
     at, size = HEADER_BYTES, len(data)
     while at + HEAD_BYTES <= size:
-        head = data[at:at + HEAD.size]
+        head = data[at : at + HEAD.size]
         (checksum,) = SUM.unpack_from(data, at + HEAD.size)
         if checksum != xxhash.xxh3_64_intdigest(head, seed=number):
             if not data[at:].strip(b"\0"):
@@ -109,7 +115,7 @@
         end = at + HEAD_BYTES + length + SUM.size
         if end > size:
             return
-        body = data[at + HEAD_BYTES:end - SUM.size]
+        body = data[at + HEAD_BYTES : end - SUM.size]
         (checksum,) = SUM.unpack_from(data, end - SUM.size)
         if checksum != xxhash.xxh3_64_intdigest(body, seed=sequence):
             raise Damaged(path, at, f"record {sequence} has a wrong checksum")
--- a/shaletiller/store/log.py
+++ b/shaletiller/store/log.py
@@ -117,8 +117,12 @@
             self.torn, self.torn_file, self.segments[number] = len(data), name, 0
             return
         if head.number != number or head.first != self.next:
-            raise Damaged(name, 0, f"begins with record {head.first} of segment {head.number}, "
-                                   f"wanted {self.next} of {number}: records are missing")
+            raise Damaged(
+                name,
+                0,
+                f"begins with record {head.first} of segment {head.number}, "
+                f"wanted {self.next} of {number}: records are missing",
+            )
         whole = HEADER_BYTES
         for end, record in records(name, data, number):
             if record.sequence != self.next:
@@ -203,8 +207,10 @@
         Full: none of them is kept.  Broken: nothing can be said of them, and no further commit is taken."""
         if self.broken:
             raise Broken(self.broken)
-        fresh = [Record(kind, key, value or b"", self._next + at, value is None)
-                 for at, (kind, key, value) in enumerate(rows)]
+        fresh = [
+            Record(kind, key, value or b"", self._next + at, value is None)
+            for at, (kind, key, value) in enumerate(rows)
+        ]
         if not fresh:
             return
         if self._size >= self._segment_bytes:
@@ -267,9 +273,12 @@
 
     def end_snapshot(self, done: Snapshot) -> None:
         """It lasts: what it covers goes."""
-        old = [name for name in self._files.names(self.folder)
-               if (found := SEGMENT_NAME.fullmatch(name) or SNAPSHOT_NAME.fullmatch(name))
-               and int(found[1]) < done.number]
+        old = [
+            name
+            for name in self._files.names(self.folder)
+            if (found := SEGMENT_NAME.fullmatch(name) or SNAPSHOT_NAME.fullmatch(name))
+            and int(found[1]) < done.number
+        ]
         for name in old:
             self._files.remove(self.folder / name)
         after = self._size if self._number == done.number else self.log_bytes - done.log_bytes
@@ -320,5 +329,6 @@
             if len(chunk) >= CHUNK:
                 yield bytes(chunk)
                 chunk.clear()
-        yield bytes(chunk) + encode(Record(END, b"", len(self._held).to_bytes(8, "little"), self._first),
-                                    self.number)
+        yield bytes(chunk) + encode(
+            Record(END, b"", len(self._held).to_bytes(8, "little"), self._first), self.number
+        )
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -52,25 +52,33 @@
         base = config.endpoint.rstrip("/")
         reader = PeriodicExportingMetricReader(
             OTLPMetricExporter(endpoint=f"{base}/v1/metrics", timeout=EXPORT_S),
-            export_interval_millis=config.interval_ms, export_timeout_millis=EXPORT_S * 1000,
+            export_interval_millis=config.interval_ms,
+            export_timeout_millis=EXPORT_S * 1000,
         )
         self._meters = MeterProvider([reader], resource=resource)
         self._tracers = TracerProvider(sampler=TraceIdRatioBased(config.sample), resource=resource)
-        self._tracers.add_span_processor(BatchSpanProcessor(
-            OTLPSpanExporter(endpoint=f"{base}/v1/traces", timeout=EXPORT_S),
-            max_queue_size=MOST_SPANS, max_export_batch_size=MOST_BATCH,
-            schedule_delay_millis=config.interval_ms,
-        ))
+        self._tracers.add_span_processor(
+            BatchSpanProcessor(
+                OTLPSpanExporter(endpoint=f"{base}/v1/traces", timeout=EXPORT_S),
+                max_queue_size=MOST_SPANS,
+                max_export_batch_size=MOST_BATCH,
+                schedule_delay_millis=config.interval_ms,
+            )
+        )
         self._tracer = self._tracers.get_tracer("shaletiller")
         meter = self._meters.get_meter("shaletiller")
         meter.create_observable_counter(
-            "shaletiller.requests", [self._requests], description="Requests by final answer")
+            "shaletiller.requests", [self._requests], description="Requests by final answer"
+        )
         meter.create_observable_counter(
-            "shaletiller.attempts", [self._attempts], description="Attempts by outcome")
+            "shaletiller.attempts", [self._attempts], description="Attempts by outcome"
+        )
         meter.create_observable_gauge(
-            "shaletiller.requests.held", [self._held], description="Requests without a final answer")
+            "shaletiller.requests.held", [self._held], description="Requests without a final answer"
+        )
         self._duration = meter.create_histogram(
-            "shaletiller.request.duration", unit="ms", description="From taking in to the final answer")
+            "shaletiller.request.duration", unit="ms", description="From taking in to the final answer"
+        )
         engine.relay.seen = self._ended
 
     def _requests(self, _: CallbackOptions) -> Iterable[Observation]:
@@ -90,7 +98,9 @@
         labels = {"class": call.service, "plan": call.plan, "answer": answer}
         self._duration.record(now_ms - exchange.taken_ms, labels)
         span = self._tracer.start_span(
-            call.service, kind=SpanKind.SERVER, start_time=int(exchange.taken_ms * NS_PER_MS),
+            call.service,
+            kind=SpanKind.SERVER,
+            start_time=int(exchange.taken_ms * NS_PER_MS),
             attributes={**labels, "shard": call.shard, "units": call.units},
         )
         if span.is_recording():
@@ -99,8 +109,11 @@
             context = set_span_in_context(span)
             for attempt in exchange.attempts:
                 child = self._tracer.start_span(
-                    "attempt", context, kind=SpanKind.CLIENT,
-                    start_time=int(attempt.sent_ms * NS_PER_MS), attributes={"node": attempt.node},
+                    "attempt",
+                    context,
+                    kind=SpanKind.CLIENT,
+                    start_time=int(attempt.sent_ms * NS_PER_MS),
+                    attributes={"node": attempt.node},
                 )
                 if attempt.outcome is not None:
                     child.set_attribute("outcome", attempt.outcome.value)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -14,10 +14,22 @@
 def settings(**changes: Any) -> i.Settings:
     """Settings of a small site, with changes."""
     known: dict[str, Any] = {
-        "classes": (SAFE,), "plans": (PLAN,), "mean_units": 2.0, "most_units": 8.0, "tick_ms": 2.0,
-        "max_attempts": 3, "share_worth": 0.4, "beyond_worth": 0.05, "hosts": 2, "fall_ms": 3000.0,
-        "fall_multiple": 4.0, "start_capacity": 0.25, "ramp_ms": 12000.0, "cold_units": 40.0,
-        "answer_slack_ms": 8.0, "drain_grace_ms": 1000.0,
+        "classes": (SAFE,),
+        "plans": (PLAN,),
+        "mean_units": 2.0,
+        "most_units": 8.0,
+        "tick_ms": 2.0,
+        "max_attempts": 3,
+        "share_worth": 0.4,
+        "beyond_worth": 0.05,
+        "hosts": 2,
+        "fall_ms": 3000.0,
+        "fall_multiple": 4.0,
+        "start_capacity": 0.25,
+        "ramp_ms": 12000.0,
+        "cold_units": 40.0,
+        "answer_slack_ms": 8.0,
+        "drain_grace_ms": 1000.0,
     }
     known.update(changes)
     return i.Settings(**known)
@@ -65,15 +77,26 @@
     def ask(self, name: str, **changes: Any) -> list[i.Action]:
         """A request arrives."""
         known: dict[str, Any] = {
-            "shard": 0, "extent": f"x{name}", "plan": "basic", "service": "read", "volume": "v1",
-            "units": 2.0, "expires_in_ms": 1200.0, "volume_hosts": 1,
+            "shard": 0,
+            "extent": f"x{name}",
+            "plan": "basic",
+            "service": "read",
+            "volume": "v1",
+            "units": 2.0,
+            "expires_in_ms": 1200.0,
+            "volume_hosts": 1,
         }
         known.update(changes)
         return self.give(i.Request(name, **known))
 
     def answer(
-        self, name: str, outcome: i.Outcome = i.Outcome.OK, attempt: int = 0, node: str = "n1",
-        lag: float = 20, **changes: Any,
+        self,
+        name: str,
+        outcome: i.Outcome = i.Outcome.OK,
+        attempt: int = 0,
+        node: str = "n1",
+        lag: float = 20,
+        **changes: Any,
     ) -> list[i.Action]:
         """An attempt ends."""
         over = changes.pop("over", outcome is i.Outcome.OK)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -42,18 +42,33 @@
 VOLUME = "00000003b4d60021"
 SUBSYSTEM = "nqn.2026-12.example.shaletiller:gateway"
 SETTINGS: dict[str, Any] = {
-    "balancers": 1, "position": 0, "zone": "a", "tick-ms": 2.0, "discovery": "automatic",
+    "balancers": 1,
+    "position": 0,
+    "zone": "a",
+    "tick-ms": 2.0,
+    "discovery": "automatic",
     "classes": [
         {"name": "read", "target-ms": 300.0, "hard-limit-ms": 900.0, "effect": "read_like"},
         {"name": "write", "target-ms": 300.0, "hard-limit-ms": 900.0, "effect": "non_idempotent"},
     ],
     "contracts": [{"name": "basic", "base-rate": 50.0, "reserve": 50.0, "proportion": 1.0}],
     "domain": {"mean-units": 2.0, "most-units": 8, "shards": 10, "writes": [False, True], "meter-ms": 500.0},
-    "limits": {"max-attempts": 3, "cancel": True, "conn-idle-ms": 30000.0, "connect-timeout-ms": 250.0,
-               "retry-after": True, "peers": True},
+    "limits": {
+        "max-attempts": 3,
+        "cancel": True,
+        "conn-idle-ms": 30000.0,
+        "connect-timeout-ms": 250.0,
+        "retry-after": True,
+        "peers": True,
+    },
     "load-info": {"columns": ["inflight"], "how": "answers"},
-    "obligations": {"answer-slack-ms": 8.0, "drain-grace-ms": 1000.0, "fall-ms": 3000.0,
-                    "ramp-time-ms": 9000.0, "start-capacity": 0.3},
+    "obligations": {
+        "answer-slack-ms": 8.0,
+        "drain-grace-ms": 1000.0,
+        "fall-ms": 3000.0,
+        "ramp-time-ms": 9000.0,
+        "start-capacity": 0.3,
+    },
 }
 
 
@@ -96,8 +111,10 @@
             return
         body = "".join(rest).encode()
         lines = {
-            "Request-Id": heads.pop("id", f"{self.scene.count():016x}"), "Tier": "basic",
-            "Request-Class": "write" if method == "PUT" else "read", "Request-Timeout-Ms": "900",
+            "Request-Id": heads.pop("id", f"{self.scene.count():016x}"),
+            "Tier": "basic",
+            "Request-Class": "write" if method == "PUT" else "read",
+            "Request-Timeout-Ms": "900",
             "Content-Length": str(len(body)),
             "IO-Info": f"volume={VOLUME},units=2,shard={heads.pop('shard', '1')},hosts=1",
         }
@@ -216,8 +233,13 @@
             admin = await HostQueue.open(host, port, 0, 0xFFFF, SUBSYSTEM)
             tail = p.struct.pack("<B3xIQ", 0, p.Property.CC, 0x00460001)
             await admin.run(p.fabrics(p.Fabrics.PROPERTY_SET, admin.next_cid(), tail))
-            behaviour = p.command(p.Admin.SET_FEATURES, admin.next_cid(), length=512, in_capsule=True,
-                                  tail=p.struct.pack("<II", 0x16, 0))
+            behaviour = p.command(
+                p.Admin.SET_FEATURES,
+                admin.next_cid(),
+                length=512,
+                in_capsule=True,
+                tail=p.struct.pack("<II", 0x16, 0),
+            )
             await admin.run(behaviour, b"\x01".ljust(512, b"\0"))
             io = await HostQueue.open(host, port, 1, admin.cntlid, SUBSYSTEM)
             self.association = Association(admin, io)
@@ -361,7 +383,13 @@
 
 
 KINDS: dict[str, type[Party]] = {
-    "a": Operator, "c": Client, "n": Node, "v": Host, "b": Box, "d": Discovery, "o": Server,
+    "a": Operator,
+    "c": Client,
+    "n": Node,
+    "v": Host,
+    "b": Box,
+    "d": Discovery,
+    "o": Server,
 }
 
 
@@ -385,20 +413,28 @@
         nvme = Path(folder.name) / "nvme.toml"
         boxes = "".join(
             f'[[box]]\nnode = "{name}"\nsubsystem = "box"\nblock_bytes = {self.box_block}\n'
-            for name in self.servers if name[0] == "b")
+            for name in self.servers
+            if name[0] == "b"
+        )
         nvme.write_text(
             f'[front]\nlisten = "127.0.0.1:0"\n[[front.namespace]]\nnsid = 1\nblocks = 1000\n'
             f'read_class = "{self.names[0]}"\nwrite_class = "{self.names[1]}"\n'
             f'plan = "{self.names[2]}"\nvolume = "{VOLUME}"\nshard = 1\n'
-            f'units = 2\nread_timeout_ms = 9000\nwrite_timeout_ms = 9000\n{boxes}')
+            f"units = 2\nread_timeout_ms = 9000\nwrite_timeout_ms = 9000\n{boxes}"
+        )
         nodes = [name for name in self.servers if name[0] in "nb"]
         rows = [self.row(name, "active") for name in nodes] if self.known else []
         self.config, self.nvme = Path(folder.name) / "config.json", nvme
         self.told = {
-            "name": "g0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{self.parties['d'].port}",
-            "seed": "8c1f", "settings": self.settings, "limits": {"sockets": self.sockets},
+            "name": "g0",
+            "listen": "127.0.0.1:0",
+            "discovery": f"127.0.0.1:{self.parties['d'].port}",
+            "seed": "8c1f",
+            "settings": self.settings,
+            "limits": {"sockets": self.sockets},
             "admin": "127.0.0.1:0",
-            "known": {"version": 1, "full": True, "servers": rows}}
+            "known": {"version": 1, "full": True, "servers": rows},
+        }
         self.config.write_text(json.dumps(self.told))
         self.env = {"EDGE_CONFIG": str(self.config), "TMPDIR": folder.name, **await self.environment()}
         self.gateway = Gateway(read_config(self.env, nvme))
@@ -443,8 +479,14 @@
         return self.numbers
 
     def row(self, name: str, state: str) -> dict[str, Any]:
-        return {"id": name, "addr": f"127.0.0.1:{self.parties[name].port}", "zone": "a", "kind": "m",
-                "cell": int(name[1:]), "state": state}
+        return {
+            "id": name,
+            "addr": f"127.0.0.1:{self.parties[name].port}",
+            "zone": "a",
+            "kind": "m",
+            "cell": int(name[1:]),
+            "state": state,
+        }
 
     async def party(self, name: str) -> Any:
         if name not in self.parties:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,12 @@
 from shaletiller.adapter import main
 
 INFO: dict[str, Any] = {
-    "balancers": 2, "position": 0, "zone": "a", "discovery": "automatic", "tick-ms": 2.0, "unheard-of": [1],
+    "balancers": 2,
+    "position": 0,
+    "zone": "a",
+    "discovery": "automatic",
+    "tick-ms": 2.0,
+    "unheard-of": [1],
     "classes": [{"name": "read", "target-ms": 250.0, "hard-limit-ms": 1200.0, "effect": "read_like"}],
     "contracts": [{"name": "basic", "reserve": 2.0, "ceiling-rate": 0.0}],
     "domain": {"mean-units": 2.0, "most-units": 8, "writes": [False]},
@@ -77,8 +82,13 @@
 
 def test_instances_in_one_link_act_as_if_alone() -> None:
     alone = play(batch(0, ["Up", 7, INFO], LIST), batch(5, ASK))[1]
-    both = json.dumps({"time-ms": 0, "groups": [
-        {"host": "host-0", "happened": [["Up", 7, INFO], LIST]},
-        {"host": "host-1", "happened": [["Up", 8, INFO], LIST]},
-    ]})
+    both = json.dumps(
+        {
+            "time-ms": 0,
+            "groups": [
+                {"host": "host-0", "happened": [["Up", 7, INFO], LIST]},
+                {"host": "host-1", "happened": [["Up", 8, INFO], LIST]},
+            ],
+        }
+    )
     assert play(both, batch(5, ASK))[1][1] == alone[1]
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -50,7 +50,7 @@
 def test_completion_holds_retry_delay_and_do_not_retry() -> None:
     raw = p.completion(9, p.Status.WRITE_FAULT, sq_head=3, sq_id=1, retry=2, final=True)
     assert raw == bytes.fromhex("05 00 18 00 18000000 0000000000000000 0300 0100 0900 00a5")
-    pdu, = units(raw, p.FROM_CONTROLLER)
+    (pdu,) = units(raw, p.FROM_CONTROLLER)
     assert p.read_completion(pdu) == p.Completion(9, p.Status.WRITE_FAULT, 0, 2, True)
 
 
@@ -93,7 +93,7 @@
 def test_units_cut_anywhere_come_out_whole(data: bytes, step: int) -> None:
     raw = p.ic_req() + p.data_pdu(p.Kind.H2C_DATA, 1, 2, 0, data)
     decoder = p.Decoder(p.FROM_HOST)
-    found = [unit for at in range(0, len(raw), step) for unit in taken(decoder, raw[at:at + step])]
+    found = [unit for at in range(0, len(raw), step) for unit in taken(decoder, raw[at : at + step])]
     assert [unit.kind for unit in found] == [p.Kind.IC_REQ, p.Kind.H2C_DATA]
     assert found[1].data == data
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -15,10 +15,17 @@
 from tests.scenario import SETTINGS
 
 GOOD: dict[str, Any] = {
-    "name": "n3", "listen": "127.0.0.1:9000", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
-    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": SETTINGS,
-    "peer_listen": "127.0.0.1:7946", "peers": ["127.0.0.1:7946"], "peers_all": "127.0.0.2:7946",
-    "known": {"version": 41, "full": True, "servers": []}, "unheard-of": 1,
+    "name": "n3",
+    "listen": "127.0.0.1:9000",
+    "discovery": "127.0.0.1:8500",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+    "settings": SETTINGS,
+    "peer_listen": "127.0.0.1:7946",
+    "peers": ["127.0.0.1:7946"],
+    "peers_all": "127.0.0.2:7946",
+    "known": {"version": 41, "full": True, "servers": []},
+    "unheard-of": 1,
 }
 NVME = """
 [front]
@@ -68,9 +75,13 @@
 @pytest.mark.parametrize(
     ("path", "value", "key"),
     [
-        ("listen", "nowhere", "EDGE_LISTEN"), ("discovery", "", "EDGE_DISCOVERY"), ("seed", "xyz", "seed"),
-        ("limits.sockets", 3, "limits.sockets"), ("peers", ["a"], "peers[0]"),
-        ("known.version", "x", "known.version"), ("settings.classes", [], "settings.classes"),
+        ("listen", "nowhere", "EDGE_LISTEN"),
+        ("discovery", "", "EDGE_DISCOVERY"),
+        ("seed", "xyz", "seed"),
+        ("limits.sockets", 3, "limits.sockets"),
+        ("peers", ["a"], "peers[0]"),
+        ("known.version", "x", "known.version"),
+        ("settings.classes", [], "settings.classes"),
         ("settings.classes.0.target-ms", "soon", "settings.classes[0].target-ms"),
         ("settings.classes.1.effect", "odd", "settings.classes[1].effect"),
         ("settings.contracts.0.reserve", -1, "settings.contracts[0].reserve"),
@@ -85,7 +96,9 @@
         ("settings.classes.0.name", "l\u00e9er", "settings.classes[0].name"),
         ("settings.contracts.0.name", "two\nlines", "settings.contracts[0].name"),
         ("settings.limits.connect-timeout-ms", 0, "settings.limits.connect-timeout-ms"),
-        ("name", "north/1", "EDGE_NAME"), ("name", "x\u0000y", "EDGE_NAME"), ("name", "n" * 201, "EDGE_NAME"),
+        ("name", "north/1", "EDGE_NAME"),
+        ("name", "x\u0000y", "EDGE_NAME"),
+        ("name", "n" * 201, "EDGE_NAME"),
     ],
 )
 def test_a_faulty_key_is_named(tmp_path: Path, path: str, value: Any, key: str) -> None:
@@ -101,7 +114,8 @@
         ("blocks = 10", "blocks = 0", "front.namespace[0].blocks"),
         ("shard = 0", "shard = 0\nblock_bytes = 5000", "block_bytes"),
         ("shard = 0", "shard = 0\ncolour = 1", "colour"),
-        ('"basic"', '"gold"', "front.namespace[0].plan"), ('"read"', '"r"', "front.namespace[0].read_class"),
+        ('"basic"', '"gold"', "front.namespace[0].plan"),
+        ('"read"', '"r"', "front.namespace[0].read_class"),
         ("shard = 0", "shard = 0\nread_timeout_ms = inf", "front.namespace[0].read_timeout_ms"),
         ("shard = 0", "shard = 0\nwrite_timeout_ms = 0", "front.namespace[0].write_timeout_ms"),
         ("[front]", "[front", "nvme.toml"),
@@ -135,13 +149,26 @@
     assert read_config(env(tmp_path, GOOD | {"name": name}), tmp_path / "none.toml").name == name
 
 
-@pytest.mark.parametrize("raw", [
-    "{", "[]", '{"name": "n1"}', json.dumps(changed("settings.classes.1.effect", None)),
-    json.dumps(changed("settings.classes.0.hard-limit-ms", 0)), json.dumps(changed("name", "north/1"))])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        "{",
+        "[]",
+        '{"name": "n1"}',
+        json.dumps(changed("settings.classes.1.effect", None)),
+        json.dumps(changed("settings.classes.0.hard-limit-ms", 0)),
+        json.dumps(changed("name", "north/1")),
+    ],
+)
 def test_a_malformed_file_is_one_line_and_a_code(tmp_path: Path, raw: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "shaletiller"], env=env(tmp_path, raw), capture_output=True, text=True,
-        timeout=30, cwd=Path(__file__).parent.parent, check=False,
+        [sys.executable, "-m", "shaletiller"],
+        env=env(tmp_path, raw),
+        capture_output=True,
+        text=True,
+        timeout=30,
+        cwd=Path(__file__).parent.parent,
+        check=False,
     )
     assert done.returncode == 2
     assert len(done.stderr.splitlines()) == 1
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -31,8 +31,11 @@
 def ask(number: int, method: str = "GET", body: bytes = b"", **changes: str) -> bytes:
     """A client's request as it goes over the wire."""
     lines = {
-        "Request-Id": f"{method}-{number}", "Request-Class": "write" if method == "PUT" else "read",
-        "Tier": "basic", "Request-Timeout-Ms": "900", "Content-Length": str(len(body)),
+        "Request-Id": f"{method}-{number}",
+        "Request-Class": "write" if method == "PUT" else "read",
+        "Tier": "basic",
+        "Request-Timeout-Ms": "900",
+        "Content-Length": str(len(body)),
         "IO-Info": f"volume={VOLUME},units=2,shard=1,hosts=1",
     } | {name.replace("_", "-"): value for name, value in changes.items()}
     head = "".join(f"{name}: {value}\r\n" for name, value in lines.items())
@@ -104,8 +107,7 @@
 
     async def read(self) -> bytes:
         """What came, b"" at the end; a reset raises ConnectionResetError."""
-        found = await asyncio.wait_for(
-            asyncio.get_running_loop().sock_recv(self.sock, 65536), PATIENCE_S)
+        found = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 65536), PATIENCE_S)
         self.got += found
         return found
 
@@ -114,8 +116,16 @@
         while b"\r\n\r\n" not in self.got:
             assert await self.read(), f"ended within {self.got!r}"
         head, _, rest = self.got.partition(b"\r\n\r\n")
-        length = int(next((line.split(b":")[1] for line in head.split(b"\r\n")
-                           if line.lower().startswith(b"content-length:")), b"0"))
+        length = int(
+            next(
+                (
+                    line.split(b":")[1]
+                    for line in head.split(b"\r\n")
+                    if line.lower().startswith(b"content-length:")
+                ),
+                b"0",
+            )
+        )
         while len(rest) < length:
             found = await self.read()
             assert found, f"ended within {self.got!r}"
@@ -158,7 +168,11 @@
         return self.wires[-1]
 
     def at(
-        self, owner: Any, name: str, act: Callable[[], object], before: bool = True,
+        self,
+        owner: Any,
+        name: str,
+        act: Callable[[], object],
+        before: bool = True,
         which: Callable[..., bool] = lambda *values: True,
     ) -> None:
         """From now on, once: `act` in the moment in which this method of the gateway is called, or has
@@ -348,8 +362,9 @@
         whole = ask(4, "PUT", b"0123456789", Request_Timeout_Ms="5000")
         wires["body"].send(whole[:-5])
         # Held: no node has the shard.
-        wires["waits"].send(ask(5, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1",
-                                Request_Timeout_Ms="5000"))
+        wires["waits"].send(
+            ask(5, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1", Request_Timeout_Ms="5000")
+        )
         await until(lambda: len(self.gateway.engine.table) == 4, "all in hand")
         stop = self.stop()
         await until(lambda: self.gateway._stopping, "the stop")
@@ -441,11 +456,17 @@
             with self.subTest(how):
                 wire = await self.wire()
                 # Held until some node has the shard.
-                wire.send(ask(1, IO_Info=f"volume={VOLUME},units=2,shard={shard},hosts=1",
-                              Request_Timeout_Ms="5000"))
+                wire.send(
+                    ask(
+                        1, IO_Info=f"volume={VOLUME},units=2,shard={shard},hosts=1", Request_Timeout_Ms="5000"
+                    )
+                )
                 await until(lambda: self.gateway.engine.table, "the request")
-                ways = {"close": wire.close, "reset": lambda wire=wire: reset(wire.sock),
-                        "half": lambda wire=wire: wire.sock.shutdown(socket.SHUT_WR)}
+                ways = {
+                    "close": wire.close,
+                    "reset": lambda wire=wire: reset(wire.sock),
+                    "half": lambda wire=wire: wire.sock.shutdown(socket.SHUT_WR),
+                }
 
                 async def comes(shard: int = shard) -> None:
                     await self.party(f"n{shard}")
@@ -465,8 +486,11 @@
 
     async def test_as_its_connection_to_the_node_comes_up(self) -> None:
         wire, engine = await self.wire(), self.gateway.engine
-        self.at(NodeProtocol, "connection_made",
-                lambda: [engine.client_left(each) for each in list(engine.table.values())])
+        self.at(
+            NodeProtocol,
+            "connection_made",
+            lambda: [engine.client_left(each) for each in list(engine.table.values())],
+        )
         wire.send(ask(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await until(lambda: engine.counts.get("left"), "the close")
         await until(lambda: not engine.send.out, "the attempt's end")
@@ -568,8 +592,10 @@
 
     The node's listener has a full queue: the kernel drops what comes, and a client asks again after 1 s."""
 
-    settings: ClassVar[dict[str, Any]] = {**SETTINGS, "limits": {
-        **SETTINGS["limits"], "connect-timeout-ms": 3000.0}}
+    settings: ClassVar[dict[str, Any]] = {
+        **SETTINGS,
+        "limits": {**SETTINGS["limits"], "connect-timeout-ms": 3000.0},
+    }
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -637,8 +663,7 @@
 
     async def test_one_that_never_comes_up_is_a_failed_connect(self) -> None:
         wire = await self.wire()
-        with PATCH.object(self.gateway._http, "_settings",
-                          self.replaced(connect_timeout_ms=100.0)):
+        with PATCH.object(self.gateway._http, "_settings", self.replaced(connect_timeout_ms=100.0)):
             wire.send(ask(1, "PUT", b"x", Request_Timeout_Ms="400"))
             self.assertEqual((await wire.answer())[0], 503)
         counts = self.gateway.engine.counts
@@ -652,10 +677,19 @@
 class ShortWindow(FullQueue):
     """A repeat of what may have run, on a connection that comes up after the window's end."""
 
-    settings: ClassVar[dict[str, Any]] = {**SETTINGS, "classes": [
-        SETTINGS["classes"][0],
-        {**SETTINGS["classes"][1], "effect": "idempotency_key", "dedup-scope": "all", "key-ttl-ms": 400.0},
-    ], "limits": {**SETTINGS["limits"], "connect-timeout-ms": 3000.0}}
+    settings: ClassVar[dict[str, Any]] = {
+        **SETTINGS,
+        "classes": [
+            SETTINGS["classes"][0],
+            {
+                **SETTINGS["classes"][1],
+                "effect": "idempotency_key",
+                "dedup-scope": "all",
+                "key-ttl-ms": 400.0,
+            },
+        ],
+        "limits": {**SETTINGS["limits"], "connect-timeout-ms": 3000.0},
+    }
 
     async def test_a_repeat_is_not_written_past_its_window(self) -> None:
         wire = await self.wire()
