--- a/tests/test_endings_nodes.py
+++ b/tests/test_endings_nodes.py
@@ -21,14 +21,19 @@
 from tests.test_endings import PATCH, Endings, Wire, ask, cut, reset, until
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
-KEYED = {**SETTINGS["classes"][1], "name": "keyed", "effect": "idempotency_key", "dedup-scope": "all",
-         "key-ttl-ms": 2500.0}
+KEYED = {
+    **SETTINGS["classes"][1],
+    "name": "keyed",
+    "effect": "idempotency_key",
+    "dedup-scope": "all",
+    "key-ttl-ms": 2500.0,
+}
 DOMAIN = {**SETTINGS["domain"], "writes": [False, True, True]}
-EFFECTS: dict[str, Any] = {
-    **SETTINGS, "classes": [*SETTINGS["classes"], KEYED], "domain": DOMAIN}
+EFFECTS: dict[str, Any] = {**SETTINGS, "classes": [*SETTINGS["classes"], KEYED], "domain": DOMAIN}
 # A request of each effect, and what it is answered where it may have run and its repeat is served.
 ASKS = {
-    "read": (ask(1), 200), "write": (ask(2, "PUT", b"x"), 502),
+    "read": (ask(1), 200),
+    "write": (ask(2, "PUT", b"x"), 502),
     "keyed": (ask(3, "PUT", b"x", Request_Class="keyed", Idempotency_Key="k"), 200),
 }
 
@@ -126,8 +131,9 @@
                 self.assertEqual(len(whole), len(body))
                 writer.write(ANSWER)
                 self.assertEqual(await wire.answer(), (200, b"body"))
-                self.assertEqual(self.gateway.engine.counts["attempt.connect_failed"],
-                                 1 if name == "write" else 2)
+                self.assertEqual(
+                    self.gateway.engine.counts["attempt.connect_failed"], 1 if name == "write" else 2
+                )
                 wire.close()
 
     @staticmethod
@@ -212,8 +218,7 @@
         got, taken_all = b"", False
         while not taken_all:
             try:
-                found = await asyncio.wait_for(
-                    asyncio.get_running_loop().sock_recv(taken, 65536), PATIENCE_S)
+                found = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(taken, 65536), PATIENCE_S)
             except ConnectionResetError:
                 found = b""
             got, taken_all = got + found, not found
@@ -230,8 +235,11 @@
         host = Host(classes=(keyed,))
         host.ask("k")
         if later is not None:
-            host.scheduler.retune(dataclasses.replace(
-                host.scheduler.settings, classes=(dataclasses.replace(keyed, key_ttl_ms=later),)))
+            host.scheduler.retune(
+                dataclasses.replace(
+                    host.scheduler.settings, classes=(dataclasses.replace(keyed, key_ttl_ms=later),)
+                )
+            )
         host.run_to(at_ms)
         host.answer("k", i.Outcome.RESET, over=False)
         host.run_to(at_ms + 1.0)
@@ -268,8 +276,10 @@
         await until(lambda: len(self.gateway.engine.table) == 2, "both to be held")
         # Another customer's: reads may not be repeated, writes may, and one class has gone.
         read, write, _ = EFFECTS["classes"]
-        self.retold(classes=[{**read, "effect": "non_idempotent"}, {**write, "effect": "read_like"}],
-                    domain=SETTINGS["domain"])
+        self.retold(
+            classes=[{**read, "effect": "non_idempotent"}, {**write, "effect": "read_like"}],
+            domain=SETTINGS["domain"],
+        )
         node = await self.party("n3")
         await self.play("send d n3=active")
         for _ in range(2):
@@ -303,8 +313,12 @@
     async def test_times_and_connections_follow_the_new_settings(self) -> None:
         wire = await self.wire()
         await self.served(wire, 1)
-        limits = {**SETTINGS["limits"], "conn-idle-ms": 100.0, "connect-timeout-ms": 77.0,
-                  "retry-after": False}
+        limits = {
+            **SETTINGS["limits"],
+            "conn-idle-ms": 100.0,
+            "connect-timeout-ms": 77.0,
+            "retry-after": False,
+        }
         self.retold(limits=limits)
         pool = self.gateway._http._session().connector
         self.assertAlmostEqual(pool._idle_s, 0.04)
@@ -331,7 +345,8 @@
         read, write = SETTINGS["classes"]
         for classes in (
             [{**read, "hard-limit-ms": 0}, write],
-            [read, {name: value for name, value in write.items() if name != "effect"}], [],
+            [read, {name: value for name, value in write.items() if name != "effect"}],
+            [],
         ):
             with self.subTest(classes):
                 self.told["settings"] = {**SETTINGS, "classes": classes}
@@ -347,7 +362,9 @@
     """A list that goes quiet, is cut, comes in pieces or from elsewhere."""
 
     settings: ClassVar[dict[str, Any]] = {
-        **SETTINGS, "obligations": {**SETTINGS["obligations"], "drain-grace-ms": 3000.0}}
+        **SETTINGS,
+        "obligations": {**SETTINGS["obligations"], "drain-grace-ms": 3000.0},
+    }
 
     async def whole(self, party: Any, version: int, pieces: int = 1, **states: str) -> None:
         """An indented list, in so many writes."""
@@ -356,7 +373,7 @@
         head = f"HTTP/1.1 200 X\r\nContent-Length: {len(raw)}\r\n\r\n".encode() + raw
         size = -(-len(head) // pieces)
         for at in range(0, len(head), size):
-            party.current.write(head[at:at + size])
+            party.current.write(head[at : at + size])
             await party.current.drain()
             await asyncio.sleep(0)
 
@@ -559,7 +576,7 @@
 
     async def test_that_send_half_a_head(self) -> None:
         async def act(wire: Wire, number: int) -> None:
-            wire.send(ask(number)[:40 + number % 60])
+            wire.send(ask(number)[: 40 + number % 60])
             await wire.read()
 
         with PATCH("shaletiller.net.door.WHOLE_MS", 100.0):
@@ -567,8 +584,9 @@
 
     async def test_that_give_up_at_once(self) -> None:
         async def act(wire: Wire, number: int) -> None:
-            wire.send(ask(number, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1",
-                          Request_Timeout_Ms="5000"))
+            wire.send(
+                ask(number, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1", Request_Timeout_Ms="5000")
+            )
             if number % 2:
                 reset(wire.sock)
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -27,7 +27,8 @@
         self.closed = 0
 
     async def attempt(
-        self, address: str, call: Call, timeout_ms: float, start_within_ms: float = math.inf) -> Reply:
+        self, address: str, call: Call, timeout_ms: float, start_within_ms: float = math.inf
+    ) -> Reply:
         self.out.append(asyncio.get_running_loop().create_future())
         return await self.out[-1]
 
@@ -77,7 +78,7 @@
         self.back.out[0].set_result(Reply(i.Outcome.OK, b"data", used=87))
         await self.settle()
         self.assertEqual(self.answers, [Answer(Verdict.SERVED, b"data")])
-        done, = (event for event in self.told if isinstance(event, i.Attempted))
+        (done,) = (event for event in self.told if isinstance(event, i.Attempted))
         self.assertEqual((done.lag_ms, done.over, done.used), (30.0, True, 87))
 
     async def test_a_silent_node_times_out_at_the_deadline_with_one_outcome(self) -> None:
@@ -143,7 +144,6 @@
             self.engine.nodes(i.ListKind.CHANGES, 2, (Place(entry(state=state), "a:1", self.back),))
             self.assertEqual(self.back.closed, closed)
 
-
     async def test_a_node_that_left_is_forgotten_with_its_connections(self) -> None:
         for number in range(50):
             new = Place(entry(f"m{number}"), f"b:{number}", self.back)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -264,8 +264,16 @@
             host.answer(f"r{n}", node=host.scheduler._upstreams[0].node)
         host.run_to(host.now + 50)
         told = host.scheduler
-        sizes.append((len(told._volumes), len(told._upstreams[0].excess), len(told._nodes),
-                      len(told._pending), len(told._attempts), len(host.timers)))
+        sizes.append(
+            (
+                len(told._volumes),
+                len(told._upstreams[0].excess),
+                len(told._nodes),
+                len(told._pending),
+                len(told._attempts),
+                len(host.timers),
+            )
+        )
     first, second = (map(max, *part) for part in (sizes[:700], sizes[700:]))
     for early, late in zip(first, second, strict=True):
         assert late <= early + 12
@@ -279,7 +287,7 @@
 
 
 def test_a_rate_that_dies_away_takes_no_slot_and_no_memory() -> None:
-    assert {rounded_rate(0.04 * 0.5 ** n) for n in range(1000)} == {0.0}
+    assert {rounded_rate(0.04 * 0.5**n) for n in range(1000)} == {0.0}
     assert rounded_rate(5.0) > 4.0
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,6 +29,7 @@
 
 # ---- codec
 
+
 @settings(max_examples=400, deadline=None)
 @given(st.binary(max_size=300))
 def test_whatever_comes_is_dropped_and_counted_and_never_an_exception(data: bytes) -> None:
@@ -55,11 +56,14 @@
     first, second = (writer.write(1, [pack(Ping(n, 0))]) for n in range(2))
     assert reader.read(second) and reader.read(first)  # out of order is no fault
     for raw, why in (
-        (first, "replayed"), (second, "replayed"),
+        (first, "replayed"),
+        (second, "replayed"),
         (Writer(GROUP, 3, LIFE - 1).write(1, []), "life"),
         (Writer(GROUP + 1, 3, LIFE).write(1, []), "group"),
-        (Writer(GROUP, 5, LIFE).write(1, []), "sender"), (Writer(GROUP, 0, LIFE).write(1, []), "sender"),
-        (b"\x92\x02\x01", "version"), (b"\x97\x01", "malformed"),
+        (Writer(GROUP, 5, LIFE).write(1, []), "sender"),
+        (Writer(GROUP, 0, LIFE).write(1, []), "sender"),
+        (b"\x92\x02\x01", "version"),
+        (b"\x97\x01", "malformed"),
     ):
         assert reader.read(raw) is None
         assert reader.dropped[why], why
@@ -100,6 +104,7 @@
 
 # ---- clock, hashing, gossip
 
+
 def test_stamps_follow_causes_and_a_clock_far_ahead_is_not_followed() -> None:
     one, other = HybridClock(), HybridClock()
     said = one.now(1_000.0)
@@ -131,10 +136,18 @@
 
 # ---- verdicts
 
+
 def words() -> st.SearchStrategy[Verdict]:
     return st.builds(
-        Verdict, st.sampled_from(["s-1", "s-2"]), st.integers(1, 5), st.integers(0, 3), st.integers(0, 3),
-        st.integers(1, 6), st.just(LIFE + 60_000), st.integers(0, 2))
+        Verdict,
+        st.sampled_from(["s-1", "s-2"]),
+        st.integers(1, 5),
+        st.integers(0, 3),
+        st.integers(0, 3),
+        st.integers(1, 6),
+        st.just(LIFE + 60_000),
+        st.integers(0, 2),
+    )
 
 
 @settings(max_examples=200, deadline=None)
@@ -207,6 +220,7 @@
 
 # ---- membership
 
+
 class Talk:
     """Members that speak to each other at once; links can be cut one way."""
 
@@ -289,6 +303,7 @@
 
 # ---- shares and leases
 
+
 def test_a_share_is_over_at_its_end_whoever_asks_late() -> None:
     share = Share(Amount(1.0, 2.0), ((100.0, Amount(50.0, 20.0)), (200.0, Amount(9.0, 5.0))))
     assert [share.at(t).rate for t in (99.9, 100.0, 200.0)] == [50.0, 9.0, 1.0]
@@ -330,15 +345,26 @@
     """Leases of one member whose messages the test takes and gives."""
 
     def __init__(
-        self, me: int = 0, members: int = 2, alive: tuple[int, ...] = (0, 1), settle: float = 0.0,
+        self,
+        me: int = 0,
+        members: int = 2,
+        alive: tuple[int, ...] = (0, 1),
+        settle: float = 0.0,
     ) -> None:
         self.said: list[tuple[int, codec.Known]] = []
         self.shares: list[Share] = []
         self.there = alive
         self.terms = Terms(2_000.0, 1_000.0, 0.01)
         self.leases = Leases(
-            me, LIFE, members, self.terms, 0.0, lambda to, part: self.said.append((to, part)),
-            lambda: self.there, lambda limit, share: self.shares.append(share))
+            me,
+            LIFE,
+            members,
+            self.terms,
+            0.0,
+            lambda to, part: self.said.append((to, part)),
+            lambda: self.there,
+            lambda limit, share: self.shares.append(share),
+        )
         self.settle = settle
 
     def ask(self, now: float, units: float = 1.0) -> None:
@@ -373,7 +399,7 @@
 def test_what_is_pledged_is_not_spent_until_the_pledge_is_over_with_the_drift() -> None:
     granter = granter_of((0, 1))
     desk = Desk(me=1 - granter)
-    pledge, = desk.call(granter, 9, 10_000.0)
+    (pledge,) = desk.call(granter, 9, 10_000.0)
     assert desk.rate == pytest.approx(50.0 - pledge.rate / 1000)
     assert desk.shares and pledge.rate > 0  # and it was obeyed before it was said
     desk.leases.tick(12_019.0)
@@ -407,7 +433,7 @@
     granter = granter_of((0, 1))
     desk = Desk(me=1 - granter, settle=3_000.0)
     desk.ask(10_000.0, 2.0)
-    pledge, = desk.call(granter, 9, 10_100.0)
+    (pledge,) = desk.call(granter, 9, 10_100.0)
     assert 0 < pledge.burst <= 9_500  # of 20 it has spent 2 in this span, and may want more
     desk.leases.tick(10_100.0 + 2_021.0 + 2_990.0)
     assert desk.shares[-1].at(1e12).burst < 20.0
@@ -441,7 +467,7 @@
     call = next(part for to, part in desk.said if isinstance(part, Call) and to == owner)
     desk.leases.take(owner, 9, Pledge("v:1", call.nonce, 30_000, 12_000, 2_000), 10_050.0)
     desk.leases.take(holder, 9, Want("v:1", 2, 90_000, 36_000, 100_000, 40_000), 10_100.0)
-    grant, = (part for _, part in desk.said if isinstance(part, Grant))
+    (grant,) = (part for _, part in desk.said if isinstance(part, Grant))
     assert (grant.rate, grant.burst) == (30_000, 12_000)
     # The pledge ends 1.98 s after its call: a lease that would last longer is not given on it.
     desk.leases.take(holder, 9, Want("v:1", 3, 90_000, 36_000, 100_000, 40_000), 11_100.0)
@@ -453,9 +479,16 @@
         shares: list[Share] = []
         connected = [True]
         leases = Leases(
-            0, LIFE, 2, Terms(), 0.0, lambda to, part: None, lambda: (0,),
+            0,
+            LIFE,
+            2,
+            Terms(),
+            0.0,
+            lambda to, part: None,
+            lambda: (0,),
             lambda limit, share, shares=shares: shares.append(share),  # type: ignore[misc]
-            lambda connected=connected: connected[0])  # type: ignore[misc]
+            lambda connected=connected: connected[0],
+        )  # type: ignore[misc]
         leases.asked("v:1", Amount(100.0, 40.0), 1.0, 8.0, 5_000.0, even=even)
         assert shares[-1].at(1e12).rate == 50.0
         connected[0] = False
@@ -473,8 +506,10 @@
 
 def test_options_name_what_is_wrong() -> None:
     for make, name in (
-        (lambda: Terms(term_ms=1_000.0, lease_ms=900.0), "term_ms"), (lambda: Terms(drift=0.5), "drift"),
-        (lambda: Timing(ack_ms=300.0), "ack_ms"), (lambda: Timing(suspect_ms=10.0), "suspect_ms"),
+        (lambda: Terms(term_ms=1_000.0, lease_ms=900.0), "term_ms"),
+        (lambda: Terms(drift=0.5), "drift"),
+        (lambda: Timing(ack_ms=300.0), "ack_ms"),
+        (lambda: Timing(suspect_ms=10.0), "suspect_ms"),
         (lambda: Options(messages_a_second=0), "messages_a_second"),
         (lambda: Options(most_bytes=5), "most_bytes"),
     ):
@@ -488,6 +523,7 @@
 
 # ---- granters' tables that are copied
 
+
 class Register:
     """A table at further gateways, written when the test says so."""
 
@@ -518,7 +554,7 @@
     # What the one before had leased is taken off, and stands in the table beside what is leased now.
     assert register.asked[-1] == ("v:1", Amount(30.0, 12.0))
     desk.leases.kept("v:1", True, 10_120.0)
-    grant, = (part for _, part in desk.said if isinstance(part, Grant))
+    (grant,) = (part for _, part in desk.said if isinstance(part, Grant))
     assert (grant.rate, grant.burst) == (20_000, 8_000)
     desk.leases.take(holder, 9, want, 10_150.0)
     desk.leases.kept("v:1", False, 10_170.0)  # another has taken over: this grant is never said
--- a/tests/test_fleet_gateway.py
+++ b/tests/test_fleet_gateway.py
@@ -28,6 +28,7 @@
 
 # ---- the module
 
+
 def test_a_limit_is_spent_by_the_share_in_hand_and_not_by_the_even_part() -> None:
     host = Host(plans=(CAPPED,))
     host.give(i.ShareTold("v1", Share(Amount(0.0, 0.0))))
@@ -80,6 +81,7 @@
 
 # ---- the liaison
 
+
 class Liaised:
     """A liaison whose way out the test keeps."""
 
@@ -96,11 +98,17 @@
     def make(self, me: int, known: i.Settings) -> Liaison:
         mine = me == 0
         return Liaison(
-            me, ["a", "b", "c"], 1.0, known, Options(), {},
+            me,
+            ["a", "b", "c"],
+            1.0,
+            known,
+            Options(),
+            {},
             lambda to, data: self.sent.append((me, data)),
             self.decided.append if mine else lambda event: None,
             lambda node, out: self.bans.append((node, out)) if mine else None,
-            lambda node, life: self.lives.append((node, life)) if mine else None)
+            lambda node, life: self.lives.append((node, life)) if mine else None,
+        )
 
     def pass_on(self, now_ms: float) -> None:
         """What was sent goes to all, until nothing more is."""
@@ -250,21 +258,27 @@
     assert not read(path).fleet.on
 
 
-@pytest.mark.parametrize(("old", "new", "said"), [
-    ("term-ms 4000", 'term-ms "x"', "line 7: fleet.term-ms: Expected"),
-    ("term-ms 4000", "term-ms 100", "line 7: fleet.term-ms: wants at least two leases"),
-    ("term-ms 4000", "term-ms 1 2", "line 7: fleet.term-ms: wants one value"),
-    ("term-ms 4000", "term-ms 4000\n    term-ms 1", "line 8: fleet.term-ms: stands twice"),
-    ('"available"', '"maybe"', "line 6: fleet.limit[0].policy: Invalid"),
-    ("zone=", "zne=", "line 4: fleet.member[0]: Object contains unknown field `zne`"),
-    ("name ", "nme ", "line 3: fleet.nme: unknown key"),
-    ('"g1"', '"g0"', "fleet.member[0].name: 'g0' stands twice"),
-    ('"127.0.0.1:7101"', '"here"', "line 5: fleet.member[1].address: wants host:port"),
-    ("fleet {", "fleet 1 {", "line 2: fleet: is a group"),
-    ("}", "", "line 2"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "said"),
+    [
+        ("term-ms 4000", 'term-ms "x"', "line 7: fleet.term-ms: Expected"),
+        ("term-ms 4000", "term-ms 100", "line 7: fleet.term-ms: wants at least two leases"),
+        ("term-ms 4000", "term-ms 1 2", "line 7: fleet.term-ms: wants one value"),
+        ("term-ms 4000", "term-ms 4000\n    term-ms 1", "line 8: fleet.term-ms: stands twice"),
+        ('"available"', '"maybe"', "line 6: fleet.limit[0].policy: Invalid"),
+        ("zone=", "zne=", "line 4: fleet.member[0]: Object contains unknown field `zne`"),
+        ("name ", "nme ", "line 3: fleet.nme: unknown key"),
+        ('"g1"', '"g0"', "fleet.member[0].name: 'g0' stands twice"),
+        ('"127.0.0.1:7101"', '"here"', "line 5: fleet.member[1].address: wants host:port"),
+        ("fleet {", "fleet 1 {", "line 2: fleet: is a group"),
+        ("}", "", "line 2"),
+    ],
+)
 def test_a_fault_in_the_file_is_named_with_its_line_and_key(
-    old: str, new: str, said: str, tmp_path: Path,
+    old: str,
+    new: str,
+    said: str,
+    tmp_path: Path,
 ) -> None:
     path = tmp_path / "operator.kdl"
     path.write_text(GOOD.replace(old, new, 1))
@@ -275,9 +289,11 @@
 
 def test_the_start_says_what_is_wrong_with_the_file(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
-    config.write_text('{"name": "g9", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": {'
-                      '"classes": [{"name": "a", "target-ms": 1, "hard-limit-ms": 1, "effect": "read_like"}],'
-                      '"contracts": [{"name": "b"}]}}')
+    config.write_text(
+        '{"name": "g9", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": {'
+        '"classes": [{"name": "a", "target-ms": 1, "hard-limit-ms": 1, "effect": "read_like"}],'
+        '"contracts": [{"name": "b"}]}}'
+    )
     path = tmp_path / "operator.kdl"
     path.write_text(GOOD)
     env = {"EDGE_CONFIG": str(config), "EDGE_OPERATOR": str(path)}
@@ -292,6 +308,7 @@
 
 # ---- links
 
+
 class LinksTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.heard: dict[int, list[bytes]] = {0: [], 1: []}
--- a/tests/test_fleet_guards.py
+++ b/tests/test_fleet_guards.py
@@ -132,8 +132,10 @@
         return True
 
     with without(verdicts.Verdicts, "take", take):
-        assert any("words that nobody said, or older ones" in each or "differ" in each
-                   for each in broken(range(1, 6)))
+        assert any(
+            "words that nobody said, or older ones" in each or "differ" in each
+            for each in broken(range(1, 6))
+        )
 
 
 def test_the_checkers_see_what_they_are_for() -> None:
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -17,9 +17,14 @@
 SECONDS = 9.0
 
 
-@pytest.mark.parametrize(("faults", "carrier"), [
-    ("cut-one-way", "datagrams"), ("pause-holder", "tcp"), ("kill-granter", "datagrams"),
-])
+@pytest.mark.parametrize(
+    ("faults", "carrier"),
+    [
+        ("cut-one-way", "datagrams"),
+        ("pause-holder", "tcp"),
+        ("kill-granter", "datagrams"),
+    ],
+)
 def test_five_processes_keep_what_they_promise(faults: str, carrier: str) -> None:
     out = asyncio.run(fleet_run.run(5, SECONDS, 1, scenario.load(faults), carrier))
     assert out.kept, "\n".join([*out.course, *out.lines()])
@@ -33,16 +38,34 @@
 def test_the_command_says_what_it_found_and_ends_with_its_verdict(tmp_path: Path) -> None:
     path = tmp_path / "out.json"
     found = subprocess.run(
-        [sys.executable, "-m", "shaletiller.lab", "fleet", "--gateways", "3", "--seconds", "6",
-         "--json", str(path)],
-        cwd=ROOT, capture_output=True, text=True, timeout=60)
+        [
+            sys.executable,
+            "-m",
+            "shaletiller.lab",
+            "fleet",
+            "--gateways",
+            "3",
+            "--seconds",
+            "6",
+            "--json",
+            str(path),
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     assert found.returncode == 0, found.stdout + found.stderr
     told = json.loads(path.read_text())
     assert told["kept"] and all(each["kept"] for each in told["guarantees"])
     assert "over the strict limit" in found.stdout
     wrong = subprocess.run(
         [sys.executable, "-m", "shaletiller.lab", "fleet", "--faults", "nonsense"],
-        cwd=ROOT, capture_output=True, text=True, timeout=60)
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     assert wrong.returncode == 2 and "there are cut-one-way" in wrong.stderr
 
 
--- a/tests/test_guarantee.py
+++ b/tests/test_guarantee.py
@@ -44,18 +44,41 @@
     classes = []
     for at, work_ms in enumerate(works):
         aim_ms = max(40.0, work_ms * draw(st.floats(2, 40)))
-        classes.append(i.ClassSpec(
-            f"c{at}", aim_ms=aim_ms, deadline_ms=aim_ms * draw(st.floats(1.2, 8)),
-            worth=draw(st.floats(1, 20)), effect=draw(st.sampled_from(i.Effect)), scope=i.Scope.ALL,
-            key_ttl_ms=draw(st.floats(100, 5000))))
+        classes.append(
+            i.ClassSpec(
+                f"c{at}",
+                aim_ms=aim_ms,
+                deadline_ms=aim_ms * draw(st.floats(1.2, 8)),
+                worth=draw(st.floats(1, 20)),
+                effect=draw(st.sampled_from(i.Effect)),
+                scope=i.Scope.ALL,
+                key_ttl_ms=draw(st.floats(100, 5000)),
+            )
+        )
     parts = draw(st.lists(st.floats(0.05, 1), min_size=count, max_size=count))
     rate = draw(st.sampled_from([0.0, 0.0, 20.0, 60.0]))
-    plan = i.PlanSpec("p", base_rate=20, reserve=draw(st.sampled_from([0, 10, 40])), weight=1,
-                      limit_rate=rate, limit_burst=max(rate, 2 * MOST_UNITS))
-    changes = {"max_attempts": draw(st.integers(1, 4)), "may_cancel": draw(st.booleans()),
-               "retry_advice": draw(st.booleans())}
-    return Customer(tuple(classes), tuple(works), tuple(parts), plan, changes,
-                    draw(st.floats(0.5, 2.5)), draw(st.integers(0, 1000)))
+    plan = i.PlanSpec(
+        "p",
+        base_rate=20,
+        reserve=draw(st.sampled_from([0, 10, 40])),
+        weight=1,
+        limit_rate=rate,
+        limit_burst=max(rate, 2 * MOST_UNITS),
+    )
+    changes = {
+        "max_attempts": draw(st.integers(1, 4)),
+        "may_cancel": draw(st.booleans()),
+        "retry_advice": draw(st.booleans()),
+    }
+    return Customer(
+        tuple(classes),
+        tuple(works),
+        tuple(parts),
+        plan,
+        changes,
+        draw(st.floats(0.5, 2.5)),
+        draw(st.integers(0, 1000)),
+    )
 
 
 @dataclass
@@ -74,10 +97,25 @@
     def play(self) -> Day:
         known = self.customer
         rng = random.Random(known.seed)
-        scheduler = Scheduler(i.Settings(
-            known.classes, (known.plan,), mean_units=MEAN_UNITS, most_units=MOST_UNITS, tick_ms=2.0,
-            share_worth=0.4, beyond_worth=0.05, drain_grace_ms=1000.0, fall_ms=3000.0, fall_multiple=3.0,
-            start_capacity=0.25, ramp_ms=8000.0, cold_units=30.0, **known.changes), known.seed)
+        scheduler = Scheduler(
+            i.Settings(
+                known.classes,
+                (known.plan,),
+                mean_units=MEAN_UNITS,
+                most_units=MOST_UNITS,
+                tick_ms=2.0,
+                share_worth=0.4,
+                beyond_worth=0.05,
+                drain_grace_ms=1000.0,
+                fall_ms=3000.0,
+                fall_multiple=3.0,
+                start_capacity=0.25,
+                ramp_ms=8000.0,
+                cold_units=30.0,
+                **known.changes,
+            ),
+            known.seed,
+        )
         busy_until = [0.0] * self.workers
         queue: list[tuple[float, int, i.Event]] = []
         self._count = 0
@@ -93,8 +131,19 @@
         while at < DAY_MS:
             at += rng.expovariate(known.load * self.workers / mean_ms)
             spec = rng.choices(known.classes, known.parts)[0]
-            put(at, i.Request(f"{spec.name} {number}", 0, f"x{number}", "p", spec.name, f"v{number % 3}",
-                              rng.choice(UNITS), spec.deadline_ms))
+            put(
+                at,
+                i.Request(
+                    f"{spec.name} {number}",
+                    0,
+                    f"x{number}",
+                    "p",
+                    spec.name,
+                    f"v{number % 3}",
+                    rng.choice(UNITS),
+                    spec.deadline_ms,
+                ),
+            )
             number += 1
         works = {spec.name: work for spec, work in zip(known.classes, known.works_ms, strict=True)}
         units: dict[str, float] = {}
@@ -125,9 +174,17 @@
                     work_ms = works[name] * (1 + units[action.request] / MEAN_UNITS) / 2
                     busy_until[worker] = max(busy_until[worker], now) + work_ms
                     over = rng.random() > 0.02
-                    put(busy_until[worker], i.Attempted(
-                        action.request, number, "n", i.Outcome.OK if over else i.Outcome.ERROR,
-                        busy_until[worker] - now, over))
+                    put(
+                        busy_until[worker],
+                        i.Attempted(
+                            action.request,
+                            number,
+                            "n",
+                            i.Outcome.OK if over else i.Outcome.ERROR,
+                            busy_until[worker] - now,
+                            over,
+                        ),
+                    )
         return self
 
 
@@ -137,9 +194,13 @@
     return {name: part / max(sum(asked.values()), 1e-9) for name, part in asked.items()}
 
 
-FEW = settings(max_examples=15, deadline=None, derandomize=True,
-               phases=(Phase.explicit, Phase.generate),
-               suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large])
+FEW = settings(
+    max_examples=15,
+    deadline=None,
+    derandomize=True,
+    phases=(Phase.explicit, Phase.generate),
+    suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large],
+)
 
 
 @FEW
@@ -167,7 +228,7 @@
         return
     for at, (from_ms, _, _) in enumerate(day.sent):
         total = 0.0
-        for now, _, units in day.sent[at:at + 400]:
+        for now, _, units in day.sent[at : at + 400]:
             total += units
             # Three volumes, each with a limit of its own.
             assert total <= 3 * (plan.limit_burst + plan.limit_rate * (now - from_ms) / 1000) + 1e-6
--- a/tests/test_lab_variant.py
+++ b/tests/test_lab_variant.py
@@ -68,8 +68,10 @@
     assert tomllib.loads(first) == variant.vary(BASE, 7)
 
 
-@pytest.mark.parametrize(("text", "named"), [
-    ("name = ", "Invalid value"), ("name = 'a'\nclass = 3\n", "class"), ("class = []\n", "tenant")])
+@pytest.mark.parametrize(
+    ("text", "named"),
+    [("name = ", "Invalid value"), ("name = 'a'\nclass = 3\n", "class"), ("class = []\n", "tenant")],
+)
 def test_a_faulty_base_is_named(text: str, named: str, tmp_path: Path) -> None:
     base = tmp_path / "base.toml"
     base.write_text(text)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -10,7 +10,8 @@
 
 
 def test_a_flood_is_cut_and_counted(
-    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch,
+    capsys: pytest.CaptureFixture[str],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     now = [1000.0]
     monkeypatch.setattr(log, "_window", [0.0, 0, 0])
@@ -25,7 +26,8 @@
 
 
 def test_what_libraries_log_is_one_line_and_keeps_to_the_rate(
-    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch,
+    capsys: pytest.CaptureFixture[str],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(log, "_window", [0.0, 0, 0])
     handlers, level = logging.root.handlers[:], logging.root.level
--- a/tests/test_nodes.py
+++ b/tests/test_nodes.py
@@ -60,6 +60,7 @@
 
 # ---- lists not to be believed at once
 
+
 def test_a_list_that_takes_most_nodes_away_is_taken_only_when_a_second_call_says_the_same() -> None:
     book = four()
     assert book.whole(6).held_back and book.held_back == 1
@@ -85,8 +86,12 @@
 def test_discovery_asks_again_for_the_whole_list_before_it_empties_the_one_in_hand() -> None:
     applied: list[tuple[ListKind, int]] = []
     rows = tuple(ServerRow(f"n{number}", f"127.0.0.1:{number + 1}", cell=number) for number in range(4))
-    found = Discovery(("127.0.0.1", 1), ServerList(), lambda node: None,  # type: ignore[arg-type,return-value]
-                      lambda kind, version, places, late_ms: applied.append((kind, len(places))))
+    found = Discovery(
+        ("127.0.0.1", 1),
+        ServerList(),
+        lambda node: None,  # type: ignore[arg-type,return-value]
+        lambda kind, version, places, late_ms: applied.append((kind, len(places))),
+    )
     found._take(ServerList(5, True, rows), ListKind.FULL)
     with pytest.raises(BadList, match="takes most nodes away"):
         found._take(ServerList(6, True, ()), ListKind.FULL)
@@ -97,13 +102,18 @@
 
 # ---- an older list
 
+
 def test_a_list_put_back_from_a_copy_brings_nobody_back_that_left_or_drained_since() -> None:
     book = four(5)
     book.change(6, place("n1", DRAINING))
     book.change(7, place("n2", GONE))
     taken = book.whole(4, *(place(f"n{number}") for number in range(4)))
     assert {each.entry.node: each.entry.state for each in taken.places} == {
-        "n0": READY, "n1": DRAINING, "n2": GONE, "n3": READY}
+        "n0": READY,
+        "n1": DRAINING,
+        "n2": GONE,
+        "n3": READY,
+    }
     assert book.version == 4  # from there it goes on
     assert book.change(8, place("n2")).places[0].entry.state is READY  # a newer version says so
 
@@ -124,6 +134,7 @@
 
 # ---- others' news
 
+
 def test_a_departure_heard_from_others_takes_a_node_out_at_once() -> None:
     book = four(5)
     assert book.news("n1", 1_000, 7, DRAINING, 0.0).places == (place("n1", DRAINING),)
@@ -163,8 +174,12 @@
     assert not book.said
 
 
-lines = st.tuples(st.sampled_from(["n1", "n2"]), st.sampled_from([1, 2]), st.integers(1, 9),
-                  st.sampled_from([READY, DRAINING, GONE]))
+lines = st.tuples(
+    st.sampled_from(["n1", "n2"]),
+    st.sampled_from([1, 2]),
+    st.integers(1, 9),
+    st.sampled_from([READY, DRAINING, GONE]),
+)
 
 
 @given(st.lists(lines, max_size=8), st.randoms())
@@ -183,6 +198,7 @@
 
 # ---- on the wire
 
+
 def test_of_two_words_on_a_departure_that_of_the_higher_version_stands() -> None:
     def word(version: int, what: Departs, stamp: int, observer: int) -> Verdict:
         return Verdict("n1", int(Kind.LEAVING), observer, 7, stamp, 10_000, version * 4 + what)
@@ -202,8 +218,12 @@
     out = asyncio.run(discovery_run.run(5, 11.0, 1, scenario.load(faults, "discovery")))
     assert out.kept, "\n".join([*out.course, *out.lines()])
     named = [each.name for each in out.guarantees]
-    assert named == ["sends to nodes that anyone knew to be gone", "first request served after a restart",
-                     "unanswered", "calls to discovery a second, of one gateway"]
+    assert named == [
+        "sends to nodes that anyone knew to be gone",
+        "first request served after a restart",
+        "unanswered",
+        "calls to discovery a second, of one gateway",
+    ]
     heard = {stats["edge.fleet.verdicts.leaving"] for stats in out.figures["stats"].values()}
     assert heard == {1 if faults == "overbooked" else 0}
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -105,12 +105,23 @@
             send a1 STATS
         """)
         figures = dict(line.split("=") for line in operator.lines[1:-1])
-        self.assertEqual(figures, {
-            "edge.results.read.succeeded": "1", "edge.results.read.declined": "0",
-            "edge.results.read.aborted": "0", "edge.results.write.succeeded": "0",
-            "edge.results.write.declined": "0", "edge.results.write.aborted": "1",
-            "edge.forwards": "2", "edge.outstanding": "0", "edge.discovered": "2", "edge.ejected": "0",
-            "edge.sighup_applied": "0", "edge.sighup_rejected": "0"})
+        self.assertEqual(
+            figures,
+            {
+                "edge.results.read.succeeded": "1",
+                "edge.results.read.declined": "0",
+                "edge.results.read.aborted": "0",
+                "edge.results.write.succeeded": "0",
+                "edge.results.write.declined": "0",
+                "edge.results.write.aborted": "1",
+                "edge.forwards": "2",
+                "edge.outstanding": "0",
+                "edge.discovered": "2",
+                "edge.ejected": "0",
+                "edge.sighup_applied": "0",
+                "edge.sighup_rejected": "0",
+            },
+        )
 
     async def test_a_faulty_file_at_sighup_is_counted_as_turned_down(self) -> None:
         self.config.write_text("")
@@ -257,7 +268,10 @@
     async def test_a_faulty_file_is_turned_down_whole(self) -> None:
         read, write = self.settings["classes"]
         faulty: list[object] = [
-            {**read, "hard-limit-ms": 0}, {**read, "hard-limit-ms": "900"}, {**read, "hard-limit-ms": None}]
+            {**read, "hard-limit-ms": 0},
+            {**read, "hard-limit-ms": "900"},
+            {**read, "hard-limit-ms": None},
+        ]
         for spec in faulty:
             self.hup(classes=[spec, write])
         self.hup(limits={**self.settings["limits"], "max-attempts": 0})
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -19,11 +19,25 @@
 ROOT = Path(__file__).parent.parent
 EFFECTS = ("read_like", "non_idempotent", "idempotency_key", "read_like")
 CLASSES = [
-    {"name": name, "target-ms": aim, "hard-limit-ms": most, "effect": effect, "importance": worth,
-     "late-share": 0.1, "dedup-scope": "all", "key-ttl-ms": 2500.0}
+    {
+        "name": name,
+        "target-ms": aim,
+        "hard-limit-ms": most,
+        "effect": effect,
+        "importance": worth,
+        "late-share": 0.1,
+        "dedup-scope": "all",
+        "key-ttl-ms": 2500.0,
+    }
     for name, aim, most, effect, worth in zip(
-        ("reads", "writes", "orders", "scans"), (150.0, 200.0, 300.0, 700.0), (750.0, 900.0, 900.0, 900.0),
-        EFFECTS, (3.0, 2.0, 2.0, 1.0), strict=True)]
+        ("reads", "writes", "orders", "scans"),
+        (150.0, 200.0, 300.0, 700.0),
+        (750.0, 900.0, 900.0, 900.0),
+        EFFECTS,
+        (3.0, 2.0, 2.0, 1.0),
+        strict=True,
+    )
+]
 WRITES = [False, True, True, False]
 PLANS = [
     {"name": "one", "base-rate": 50.0, "reserve": 20.0, "proportion": 1.0, "value-factor": 0.7},
@@ -32,8 +46,15 @@
     {"name": "three", "base-rate": 50.0, "proportion": 4.0, "ceiling-rate": 0.001, "burst": 1.0},
 ]
 # Two customers: the names of the second, and the order in which its settings hold them.
-NAMES = {"reads": "Zaehler", "writes": "a.b c", "orders": "reads", "scans": "writes",
-         "one": "three", "two": "x-1", "three": "one"}
+NAMES = {
+    "reads": "Zaehler",
+    "writes": "a.b c",
+    "orders": "reads",
+    "scans": "writes",
+    "one": "three",
+    "two": "x-1",
+    "three": "one",
+}
 CLASS_ORDER, PLAN_ORDER = (2, 0, 3, 1), (1, 2, 0)
 
 
@@ -81,13 +102,19 @@
                 await writer.drain()
                 cut(writer)
             elif fate != "silent":
-                writer.write({
-                    "ok": whole, "error": b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
-                    "not started": b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"}[fate])
+                writer.write(
+                    {
+                        "ok": whole,
+                        "error": b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
+                        "not started": b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
+                    }[fate]
+                )
 
         self.parties["n1"].script = node
-        plan = [(rng.randrange(4), rng.choice((0, 0, 1, 1, 2)), rng.choice(FATES[:6]), rng.randrange(5))
-                for _ in range(150)]
+        plan = [
+            (rng.randrange(4), rng.choice((0, 0, 1, 1, 2)), rng.choice(FATES[:6]), rng.randrange(5))
+            for _ in range(150)
+        ]
         plan += [(kind, 0, "silent", 0) for kind in range(4)]
 
         async def one(number: int) -> tuple[int, bytes, int]:
@@ -95,12 +122,19 @@
             wire = await Wire.open(self.gateway.front.address)
             write, shard = WRITES[kind], 7 if fate == "no node" else 1
             key = {"Idempotency_Key": f"k{number}"} if EFFECTS[kind] == "idempotency_key" else {}
-            wire.send(ask(
-                number, "PUT" if write else "GET", b"x" if write else b"", **key,
-                Request_Id=f"r-{number}", Tier=named(str(PLANS[tier]["name"]), renamed),
-                Request_Class=named(str(CLASSES[kind]["name"]), renamed),
-                Request_Timeout_Ms="150" if fate in ("no node", "silent") else "900",
-                IO_Info=f"volume={volume(tenant, renamed)},units=2,shard={shard},hosts=1"))
+            wire.send(
+                ask(
+                    number,
+                    "PUT" if write else "GET",
+                    b"x" if write else b"",
+                    **key,
+                    Request_Id=f"r-{number}",
+                    Tier=named(str(PLANS[tier]["name"]), renamed),
+                    Request_Class=named(str(CLASSES[kind]["name"]), renamed),
+                    Request_Timeout_Ms="150" if fate in ("no node", "silent") else "900",
+                    IO_Info=f"volume={volume(tenant, renamed)},units=2,shard={shard},hosts=1",
+                )
+            )
             status, body = await wire.answer()
             wire.close()
             return status, body if status == 200 else b"", out.get(number, 0)
@@ -127,8 +161,10 @@
 class LongDeadlines(Endings):
     """Classes to which a site gives minutes, or days, are served as any other."""
 
-    settings: ClassVar[dict[str, Any]] = {**SETTINGS, "classes": [
-        {**each, "hard-limit-ms": 8.64e7, "target-ms": 4.0e7} for each in SETTINGS["classes"]]}
+    settings: ClassVar[dict[str, Any]] = {
+        **SETTINGS,
+        "classes": [{**each, "hard-limit-ms": 8.64e7, "target-ms": 4.0e7} for each in SETTINGS["classes"]],
+    }
 
     async def test_a_request_with_minutes_left_is_served(self) -> None:
         for number, told_ms in enumerate(("60001", "88719", "228552", "86400000", "172800000")):
@@ -152,10 +188,19 @@
     put(0.0, i.NodeList(i.ListKind.FULL, (i.NodeEntry("n1", "a", 1, i.NodeState.READY),)))
     for number in range(600):
         kind, tier, tenant = rng.randrange(4), rng.randrange(2), rng.randrange(6)
-        put(50.0 + number * 10.0 / busy, i.Request(
-            f"r{number}", 1, f"x{number}", named(str(PLANS[tier]["name"]), renamed),
-            named(str(CLASSES[kind]["name"]), renamed), volume(tenant, renamed), 2.0,
-            float(str(CLASSES[kind]["hard-limit-ms"]))))
+        put(
+            50.0 + number * 10.0 / busy,
+            i.Request(
+                f"r{number}",
+                1,
+                f"x{number}",
+                named(str(PLANS[tier]["name"]), renamed),
+                named(str(CLASSES[kind]["name"]), renamed),
+                volume(tenant, renamed),
+                2.0,
+                float(str(CLASSES[kind]["hard-limit-ms"])),
+            ),
+        )
     works = {f"r{number}": rng.uniform(5.0, 35.0) for number in range(600)}
     sent: dict[str, int] = {}
     while queue and now < 12_000.0:
@@ -166,8 +211,12 @@
             elif isinstance(act, i.Send):
                 slot = free.index(min(free))
                 free[slot] = max(free[slot], now) + works[act.request]
-                put(free[slot], i.Attempted(act.request, sent.get(act.request, 0), act.node, i.Outcome.OK,
-                                            free[slot] - now, True))
+                put(
+                    free[slot],
+                    i.Attempted(
+                        act.request, sent.get(act.request, 0), act.node, i.Outcome.OK, free[slot] - now, True
+                    ),
+                )
                 sent[act.request] = sent.get(act.request, 0) + 1
             if isinstance(act, i.Send | i.Refuse | i.Fail):
                 found.append((now, type(act).__name__, act.request))
@@ -184,8 +233,17 @@
 
 
 # What the site calls its classes, plans and zones with which the program came into service.
-FIRST_SITE = {"passenger-read", "checkin-write", "flight-export", "standard", "priority",
-              "hall-norte", "hall-sur", "carrasco", "carrasco-campus"}
+FIRST_SITE = {
+    "passenger-read",
+    "checkin-write",
+    "flight-export",
+    "standard",
+    "priority",
+    "hall-norte",
+    "hall-sur",
+    "carrasco",
+    "carrasco-campus",
+}
 
 
 def test_no_word_of_one_site_stands_in_the_program() -> None:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -33,8 +33,11 @@
         """The file system is read-only at a start: what is not compiled by then is compiled at each start."""
         deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
         with tempfile.TemporaryDirectory() as folder:
-            shutil.copytree(ROOT / "shaletiller", Path(folder) / "shaletiller",
-                            ignore=shutil.ignore_patterns("__pycache__"))
+            shutil.copytree(
+                ROOT / "shaletiller",
+                Path(folder) / "shaletiller",
+                ignore=shutil.ignore_patterns("__pycache__"),
+            )
             (Path(folder) / ".venv" / "bin").mkdir(parents=True)
             (Path(folder) / ".venv" / "bin" / "python").symlink_to(sys.executable)
             subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=folder, check=True)
@@ -65,9 +68,11 @@
             "assert sys.modules['ssl'] is ssl  # put back, for those who speak TLS\n"
             "off = ('shaletiller.net.nvme.', 'shaletiller.telemetry.', 'shaletiller.lab',\n"
             "       'shaletiller.fleet.core', 'opentelemetry', 'requests')\n"
-            "print(len(made), [name for name in sys.modules if name.startswith(off)])\n")
+            "print(len(made), [name for name in sys.modules if name.startswith(off)])\n"
+        )
         found = subprocess.run(
-            [sys.executable, "-c", code], cwd=ROOT, check=True, capture_output=True, text=True)
+            [sys.executable, "-c", code], cwd=ROOT, check=True, capture_output=True, text=True
+        )
         self.assertEqual(found.stdout.split(), ["0", "[]"])
 
 
@@ -75,14 +80,23 @@
     async def test_it_gets_ready_and_ends_on_sigterm(self) -> None:
         port = free_port()
         row = {"id": "n1", "addr": "127.0.0.1:1", "cell": 0}
-        told = {"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "settings": SETTINGS,
-                "known": {"version": 1, "full": True, "servers": [row]}}
+        told = {
+            "listen": f"127.0.0.1:{port}",
+            "discovery": "127.0.0.1:1",
+            "settings": SETTINGS,
+            "known": {"version": 1, "full": True, "servers": [row]},
+        }
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(told))
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "shaletiller", cwd=ROOT, env={"EDGE_CONFIG": str(path)},
-                stderr=asyncio.subprocess.PIPE)
+                sys.executable,
+                "-m",
+                "shaletiller",
+                cwd=ROOT,
+                env={"EDGE_CONFIG": str(path)},
+                stderr=asyncio.subprocess.PIPE,
+            )
             try:
                 self.assertEqual(await self.up(port, 20.0), "HTTP/1.1 200 OK")
                 assert process.stderr is not None
@@ -124,20 +138,39 @@
         server = await asyncio.start_server(node, "127.0.0.1", 0)
         self.addCleanup(server.close)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        told = {"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "settings": SETTINGS, "known": {
-            "version": 1, "full": True, "servers": [{"id": "n1", "addr": address, "zone": "a", "cell": 1}]}}
+        told = {
+            "listen": f"127.0.0.1:{port}",
+            "discovery": "127.0.0.1:1",
+            "settings": SETTINGS,
+            "known": {
+                "version": 1,
+                "full": True,
+                "servers": [{"id": "n1", "addr": address, "zone": "a", "cell": 1}],
+            },
+        }
         path = Path(files.name) / "config.json"
         path.write_text(json.dumps(told))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "shaletiller", cwd=ROOT, env={"EDGE_CONFIG": str(path)},
-            stderr=asyncio.subprocess.DEVNULL)
+            sys.executable,
+            "-m",
+            "shaletiller",
+            cwd=ROOT,
+            env={"EDGE_CONFIG": str(path)},
+            stderr=asyncio.subprocess.DEVNULL,
+        )
         wires: dict[str, Wire] = {}
         try:
             await self.up(port, 20.0)
             for name in ("waits", "hangs", "body", "half"):
                 wires[name] = await Wire.open(("127.0.0.1", port))
-            wires["waits"].send(ask(1, Request_Id="waits", Request_Timeout_Ms="5000",
-                                    IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1"))
+            wires["waits"].send(
+                ask(
+                    1,
+                    Request_Id="waits",
+                    Request_Timeout_Ms="5000",
+                    IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1",
+                )
+            )
             wires["hangs"].send(ask(2, "PUT", b"x", Request_Id="hangs", Request_Timeout_Ms="5000"))
             wires["half"].send(ask(3, Request_Id="half", Request_Timeout_Ms="5000"))
             out = dict([await asyncio.wait_for(came.get(), 3.0) for _ in range(2)])
--- a/tests/test_promise_process.py
+++ b/tests/test_promise_process.py
@@ -30,8 +30,13 @@
     out = asyncio.run(promise_run.run(5, SECONDS, 1, scenario.load(faults, "promises"), rate=30.0))
     assert out.kept, "\n".join([*out.course, *out.lines(), str(out.figures)])
     named = [each.name for each in out.guarantees]
-    assert named == ["promises lost", "second runs", "without a final answer", "refused when all is over",
-                     "staleness of the ban of n4"]
+    assert named == [
+        "promises lost",
+        "second runs",
+        "without a final answer",
+        "refused when all is over",
+        "staleness of the ban of n4",
+    ]
     for stats in out.figures["stats"].values():
         assert stats["edge.promises.filled"] == 1 and stats["edge.promises.repeated"] > 0
 
@@ -171,9 +176,12 @@
     async def play(of: Rig, load: Load) -> None:
         g0 = of.processes["g0"]
         port, admin, first = g0.port, g0.admin_port, g0._process
-        other = type(g0)("g0", g0.folder, {
-            key: value for key, value in g0.told.items() if key not in ("listen", "admin", "name")},
-            g0._operator.read_text())
+        other = type(g0)(
+            "g0",
+            g0.folder,
+            {key: value for key, value in g0.told.items() if key not in ("listen", "admin", "name")},
+            g0._operator.read_text(),
+        )
         await other.start(of.known("g0"))
         assert (await other.stats())["edge.store.open"] == 0
         assert "another process has this store open" in (g0.folder / "log.txt").read_text()
@@ -188,6 +196,7 @@
 
 # ---- the links, in this process
 
+
 def test_a_link_whose_connection_breaks_in_any_way_connects_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """uvloop answers a call on a connection that has just been reset with a RuntimeError: the link ended with
     it, and stayed down for good."""
@@ -223,5 +232,3 @@
             of.processes["g0"].wipe()
 
     played(tmp_path, play)
-
-
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -86,8 +86,14 @@
             node.kept(effect.token, self.now)
 
     def ask(
-        self, member: int, key: str, expect: Expect = Expect.FREE, value: bytes = b"",
-        wait_ms: float = 800.0, keep_ms: float = MINUTE, **more: Any,
+        self,
+        member: int,
+        key: str,
+        expect: Expect = Expect.FREE,
+        value: bytes = b"",
+        wait_ms: float = 800.0,
+        keep_ms: float = MINUTE,
+        **more: Any,
     ) -> Done:
         until, last = self.now + keep_ms, self.now + wait_ms
         op = self.node(member).ask(key, expect, value, until, last, self.now, **more)
@@ -108,8 +114,10 @@
 
 # ---- groups
 
-@given(st.text(min_size=1, max_size=20),
-       st.lists(st.sampled_from(["", "a", "b", "c"]), min_size=1, max_size=9))
+
+@given(
+    st.text(min_size=1, max_size=20), st.lists(st.sampled_from(["", "a", "b", "c"]), min_size=1, max_size=9)
+)
 def test_a_group_spreads_over_the_zones_there_are(key: str, zones: list[str]) -> None:
     groups = Groups(zones)
     found = groups.of(key)
@@ -122,6 +130,7 @@
 
 # ---- the register
 
+
 def test_a_claim_on_a_free_key_takes_one_round_and_its_outcome_another() -> None:
     trio = Trio()
     trio.sent.clear()
@@ -182,8 +191,10 @@
     trio = Trio()
     trio.ask(0, "k", value=b"old")
     trio.ask(0, "k", Expect.THIS, b"", expected=b"old")
-    ops = [trio.node(1).ask("k", Expect.FREE, value, trio.now + MINUTE, trio.now + 800, trio.now)
-           for value in (b"one", b"two")]
+    ops = [
+        trio.node(1).ask("k", Expect.FREE, value, trio.now + MINUTE, trio.now + 800, trio.now)
+        for value in (b"one", b"two")
+    ]
     trio.run(400)
     assert sorted(done.kept for done in trio.done if done.op in ops) == [False, True]
 
@@ -208,6 +219,7 @@
 
 # ---- disks
 
+
 def test_a_copy_that_did_not_last_is_never_counted_though_the_question_comes_again() -> None:
     trio = Trio()
     trio.full = {1, 2}
@@ -309,6 +321,7 @@
 
 # ---- repair
 
+
 def test_what_a_member_missed_is_given_to_it_within_the_budget() -> None:
     trio = Trio(5)
     trio.cut = {4}
@@ -321,8 +334,12 @@
     before_ms, given = trio.now, sum(node.repair.bytes_given for node in trio.nodes if node)
 
     def missing() -> list[str]:
-        return [f"k{n}" for n in range(60) if 4 in trio.groups.of(f"k{n}")
-                and trio.node(4).acceptor.row(f"k{n}", trio.now).value != b"x" * 200]
+        return [
+            f"k{n}"
+            for n in range(60)
+            if 4 in trio.groups.of(f"k{n}")
+            and trio.node(4).acceptor.row(f"k{n}", trio.now).value != b"x" * 200
+        ]
 
     assert len(missing()) > 20
     while missing():
@@ -335,6 +352,7 @@
 
 # ---- writes
 
+
 class Written:
     """Writes at a member of a trio."""
 
@@ -426,6 +444,7 @@
 
 # ---- messages
 
+
 @given(st.binary(max_size=80))
 def test_any_bytes_are_dropped_and_counted(data: bytes) -> None:
     codec = Codec(7, 0, 3)
@@ -448,6 +467,7 @@
 
 # ---- exhaustively in the small
 
+
 def test_every_order_of_two_keys_is_kept_also_with_a_time_out_and_a_lost_machine() -> None:
     for bounds in (small.Bounds(), small.Bounds(ticks=1), small.Bounds(late=1, lost=1)):
         found = small.explore(small.Small(bounds, small.SCRIPTS[1]))
@@ -457,6 +477,7 @@
 
 # ---- schedules on the virtual clock
 
+
 @pytest.mark.parametrize("seed", [*range(12), 18, 98, 181, 3579])
 def test_a_schedule_of_faults_breaks_no_promise(seed: int) -> None:
     seen = promise_sim.play(seed)
@@ -466,6 +487,7 @@
 
 # ---- the guards taken out, one by one
 
+
 def caught(make: Callable[..., Any] = Promises, seeds: int = 40) -> list[str]:
     """What the checker of schedules objects to."""
     for seed in range(seeds):
--- a/tests/test_scenarios_http.py
+++ b/tests/test_scenarios_http.py
@@ -40,8 +40,9 @@
 
     async def test_a_large_body_passes_whole(self) -> None:
         body = "x" * 65536
-        await self.play(f"send c1 PUT 5 {body}\nexpect n1 PUT 5 {body}\nsend n1 200 {body}\n"
-                        f"expect c1 200 {body}")
+        await self.play(
+            f"send c1 PUT 5 {body}\nexpect n1 PUT 5 {body}\nsend n1 200 {body}\nexpect c1 200 {body}"
+        )
 
     async def test_a_write_on_a_kept_connection_that_breaks_is_failed_and_never_sent_again(self) -> None:
         # aiohttp's client repeats a PUT by itself when a kept connection breaks under it.
@@ -85,12 +86,15 @@
         await self.play("send c1 PUT 1 a\nexpect n1 PUT 1 a\nsend n1 429\nexpect c1 502")
 
     async def test_a_redirect_is_not_followed(self) -> None:
-        await self.play("send c1 PUT 1 a\nexpect n1 PUT 1 a\nsend n1 302 Location=/api?key=2\n"
-                        "expect c1 502\nexpect n1 nothing")
+        await self.play(
+            "send c1 PUT 1 a\nexpect n1 PUT 1 a\nsend n1 302 Location=/api?key=2\n"
+            "expect c1 502\nexpect n1 nothing"
+        )
 
     async def test_an_encoded_body_is_not_decoded(self) -> None:
-        await self.play("send c1 GET 1\nexpect n1 GET 1\nsend n1 200 plain Content-Encoding=gzip\n"
-                        "expect c1 200 plain")
+        await self.play(
+            "send c1 GET 1\nexpect n1 GET 1\nsend n1 200 plain Content-Encoding=gzip\nexpect c1 200 plain"
+        )
 
     async def test_a_dead_node_is_a_failed_connect_and_its_write_is_refused_with_a_time(self) -> None:
         await self.play("close n1 door\nsend c1 PUT 1 a timeout=400")
@@ -135,7 +139,7 @@
             expect c4 400
             send c5 POST 1
             expect c5 400
-            send c6 PUT 1 {'x' * 65537}
+            send c6 PUT 1 {"x" * 65537}
             expect c6 413
             send c7 raw 'GARBAGE\\r\\n\\r\\n'
             expect c7 400
@@ -158,8 +162,9 @@
         """)
 
     async def test_a_malformed_list_leaves_the_old_one(self) -> None:
-        await self.play("send d '{'\nsend d '[]'\nwait 150\nsend c1 GET 1\nexpect n1 GET 1\nsend n1 200\n"
-                        "expect c1 200")
+        await self.play(
+            "send d '{'\nsend d '[]'\nwait 150\nsend c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200"
+        )
 
     async def test_the_next_watch_follows_at_once(self) -> None:
         await self.play("send d n2=left")
@@ -169,34 +174,42 @@
     async def test_a_planned_stop_answers_what_is_held_and_goes_on_with_those_who_are_there(self) -> None:
         await self.play("send c1 GET 1 timeout=5000\nexpect n1 GET 1")
         stop = asyncio.ensure_future(self.gateway.stop())
-        await self.play("wait 400\nsend c2 GET 2 timeout=5000\nexpect n1 GET 2\nsend n1 200 late\n"
-                        "expect c2 200 late")
+        await self.play(
+            "wait 400\nsend c2 GET 2 timeout=5000\nexpect n1 GET 2\nsend n1 200 late\nexpect c2 200 late"
+        )
         await self.play("wait 500")
         with self.assertRaises(ConnectionError):
             await asyncio.open_connection(*self.gateway.front.address)
         node = await self.party("n1")
         node.current = next(writer for writer in node.writers if writer is not node.current)
-        await self.play("send n1 200 held\nexpect c1 200 held\nsend c2 GET 3 timeout=5000\nexpect n1 GET 3\n"
-                        "send n1 200 on\nexpect c2 200 on\nwait 150\nsend c1 PUT 4 x\nexpect c1 503\n"
-                        "expect n1 nothing\nexpect c2 end")
+        await self.play(
+            "send n1 200 held\nexpect c1 200 held\nsend c2 GET 3 timeout=5000\nexpect n1 GET 3\n"
+            "send n1 200 on\nexpect c2 200 on\nwait 150\nsend c1 PUT 4 x\nexpect c1 503\n"
+            "expect n1 nothing\nexpect c2 end"
+        )
         await asyncio.wait_for(stop, PATIENCE_S)
 
     async def test_a_planned_stop_answers_what_would_outlast_it(self) -> None:
-        await self.play("send c1 GET 1 timeout=9000\nexpect n1 GET 1\n"
-                        "send c2 PUT 2 x timeout=9000\nexpect n1 PUT 2 x")
+        await self.play(
+            "send c1 GET 1 timeout=9000\nexpect n1 GET 1\nsend c2 PUT 2 x timeout=9000\nexpect n1 PUT 2 x"
+        )
         stop = asyncio.ensure_future(self.gateway.stop())
         await self.play("expect c1 503\nexpect c2 502")
         await asyncio.wait_for(stop, PATIENCE_S)
 
     async def test_the_watch_goes_on_whatever_the_agent_sends(self) -> None:
         agent = await self.party("d")
-        for raw in (b"\0\1\2", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + b"[" * 9,
-                    b"HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\n" + b'{"servers":' * 9999):
+        for raw in (
+            b"\0\1\2",
+            b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + b"[" * 9,
+            b"HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\n" + b'{"servers":' * 9999,
+        ):
             agent.current = (await agent.next())[3]
             agent.current.write(raw)
             agent.current.close()
-        await self.play("send d n1=leaving\nwait 500\nsend c1 GET 1 timeout=300\nexpect c1 503\n"
-                        "expect n1 nothing")
+        await self.play(
+            "send d n1=leaving\nwait 500\nsend c1 GET 1 timeout=300\nexpect c1 503\nexpect n1 nothing"
+        )
 
     async def test_a_watch_that_falls_silent_is_made_again_soon(self) -> None:
         agent = await self.party("d")
@@ -225,13 +238,16 @@
             """)
         pool = self.gateway._http._session().connector
         assert isinstance(pool, NodeConnector)
-        self.assertEqual((len(pool._acquired), dict(pool._acquired_per_host), dict(pool._conns), pool._keys),
-                         (0, {}, {}, {}))
+        self.assertEqual(
+            (len(pool._acquired), dict(pool._acquired_per_host), dict(pool._conns), pool._keys),
+            (0, {}, {}, {}),
+        )
 
     async def test_a_kept_connection_is_used_again(self) -> None:
         for number in range(3):
-            await self.play(f"send c1 GET {number}\nexpect n1 GET {number}\nsend n1 200\n"
-                            "expect c1 200\nwait 20")
+            await self.play(
+                f"send c1 GET {number}\nexpect n1 GET {number}\nsend n1 200\nexpect c1 200\nwait 20"
+            )
         self.assertEqual(len((await self.party("n1")).writers), 1)
 
     async def test_a_kept_connection_that_the_node_closed_costs_no_request(self) -> None:
@@ -274,7 +290,7 @@
 
         self.gateway._http.attempt = late
         await self.play("send c1 GET 1\nexpect n1 GET 1\nwait 30\nsend n1 200\nexpect c1 200")
-        done, = (event for event in seen if isinstance(event, i.Attempted))
+        (done,) = (event for event in seen if isinstance(event, i.Attempted))
         self.assertTrue(25 < done.lag_ms < 150, done.lag_ms)
 
     async def test_load_and_use_reach_the_module(self) -> None:
@@ -285,7 +301,7 @@
             send n1 200 Volume-Load=0 'Server-Load={"inflight":7,"queue":2}'
             expect c1 200
         """)
-        done, = (event for event in seen if isinstance(event, i.Attempted))
+        (done,) = (event for event in seen if isinstance(event, i.Attempted))
         self.assertEqual((done.used, done.report), (1.0, (("inflight", 7.0),)))
 
 
@@ -293,8 +309,10 @@
     settings: ClassVar = {**SETTINGS, "limits": {**SETTINGS["limits"], "conn-idle-ms": 1000.0}}
 
     async def test_an_idle_node_connection_is_not_used_past_its_limit(self) -> None:
-        await self.play("send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200\n"
-                        "wait 850\nsend c1 GET 2\nexpect n1 GET 2\nsend n1 200\nexpect c1 200")
+        await self.play(
+            "send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200\n"
+            "wait 850\nsend c1 GET 2\nexpect n1 GET 2\nsend n1 200\nexpect c1 200"
+        )
         self.assertEqual(len((await self.party("n1")).writers), 2)
 
     async def test_an_idle_node_connection_closes_before_the_nodes_limit(self) -> None:
@@ -325,8 +343,10 @@
         long.assert_not_called()
 
     async def test_what_is_turned_down_or_comes_behind_goes_the_long_way(self) -> None:
-        head = (f"/api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\nTier: basic\r\nRequest-Timeout-Ms: 900\r\n"
-                f"IO-Info: volume={VOLUME},units=2,shard=1,hosts=1\r\n")
+        head = (
+            f"/api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\nTier: basic\r\nRequest-Timeout-Ms: 900\r\n"
+            f"IO-Info: volume={VOLUME},units=2,shard=1,hosts=1\r\n"
+        )
         get = f"GET {head}Request-Class: read\r\n"
         put = f"PUT {head}Request-Class: write\r\nContent-Length: 3\r\n"
         await self.party("c1")
@@ -334,9 +354,11 @@
         client.writer.write(f"{get}Request-Id: 1a\r\n\r\n".encode())
         await self.play("expect n1 GET 1")
         client.writer.write(f"{put}Request-Id: 2a\r\n\r\nabc{get}Request-Id: 1a\r\n\r\n".encode())
-        await self.play("wait 50\nexpect n1 nothing\nsend n1 200 one\nexpect c1 200 one\n"
-                        "expect n1 PUT 1 abc\nsend n1 200 two\nexpect c1 200 two\n"
-                        "expect n1 GET 1\nsend n1 200 three\nexpect c1 200 three")
+        await self.play(
+            "wait 50\nexpect n1 nothing\nsend n1 200 one\nexpect c1 200 one\n"
+            "expect n1 PUT 1 abc\nsend n1 200 two\nexpect c1 200 two\n"
+            "expect n1 GET 1\nsend n1 200 three\nexpect c1 200 three"
+        )
         client.writer.write(f"{put}Request-Id: 3a\r\nTier: basic\r\n\r\nabc".encode())  # a header twice
         await self.play("expect c1 400\nexpect c1 end\nexpect n1 nothing")
         await self.party("c2")
@@ -386,8 +408,10 @@
         with unittest.mock.patch.dict(USELESS_MS, {State.IDLE: 400.0}):
             await self.play("send c0 GET 7 timeout=5000\nexpect n1 GET 7")  # its answer is owed: it stays
             await self.fill("send cN1 GET up\nexpect cN1 200")
-            await self.play("send c999 GET up\nexpect c999 200\nexpect c01 end\n"
-                            "send c21 GET up\nexpect c21 200\nsend n1 200 late\nexpect c0 200 late")
+            await self.play(
+                "send c999 GET up\nexpect c999 200\nexpect c01 end\n"
+                "send c21 GET up\nexpect c21 200\nsend n1 200 late\nexpect c0 200 late"
+            )
 
     async def test_in_a_crowd_clients_leave_with_their_answers(self) -> None:
         await self.play("send c99 GET 1 shard=9 timeout=50\nexpect c99 503\nclose c99")
@@ -396,10 +420,12 @@
         for number in range(crowd - 1):
             await self.play(f"send c{number} GET up\nexpect c{number} 200")
         self.assertEqual(self.gateway.front.clients, crowd - 1)
-        await self.play("send c97 raw ''\n"
-                        "send c98 GET 1 shard=9 timeout=50\nexpect c98 503 Connection=close\nexpect c98 end\n"
-                        "send c1 GET 2\nexpect n1 GET 2\nsend n1 200 ok\nexpect c1 200 ok Connection=close\n"
-                        "send c96 GET up\nexpect c96 200 Connection=close")
+        await self.play(
+            "send c97 raw ''\n"
+            "send c98 GET 1 shard=9 timeout=50\nexpect c98 503 Connection=close\nexpect c98 end\n"
+            "send c1 GET 2\nexpect n1 GET 2\nsend n1 200 ok\nexpect c1 200 ok Connection=close\n"
+            "send c96 GET up\nexpect c96 200 Connection=close"
+        )
 
     async def test_newcomers_that_cannot_be_taken_in_soon_are_refused_at_once(self) -> None:
         for name in ("OVERLOAD_MS", "SOON_MS"):
@@ -471,13 +497,29 @@
 
     async def test_heads_that_lie_reach_no_node(self) -> None:
         await self.play("send c0 GET 1 id=taken timeout=5000\nexpect n1 GET 1")
-        for number, words in enumerate((
-            "PUT 1 abc Transfer-Encoding=chunked", "PUT 1 a Content-Length=-3", "PUT 1 a Content-Length=3,4",
-            "PUT 1 abc Content-Length=99999999999999999999", "GET 1 timeout=nan", "GET 1 timeout=-5",
-            "GET 1 timeout=1e3", "GET 1 timeout=99999999", "GET 1 timeout=1_0", "GET 1 id=", "GET 1 id=taken",
-            "GET 1 class=write", "PUT 1 abc class=read", "GET 1 body", "GET 1 shard=1e1", "GET 1 shard=99999",
-            "GET 1&key=0000000000000002", "GET 1 Transfer-Encoding=gzip Content-Length=0",
-        ), 1):
+        for number, words in enumerate(
+            (
+                "PUT 1 abc Transfer-Encoding=chunked",
+                "PUT 1 a Content-Length=-3",
+                "PUT 1 a Content-Length=3,4",
+                "PUT 1 abc Content-Length=99999999999999999999",
+                "GET 1 timeout=nan",
+                "GET 1 timeout=-5",
+                "GET 1 timeout=1e3",
+                "GET 1 timeout=99999999",
+                "GET 1 timeout=1_0",
+                "GET 1 id=",
+                "GET 1 id=taken",
+                "GET 1 class=write",
+                "PUT 1 abc class=read",
+                "GET 1 body",
+                "GET 1 shard=1e1",
+                "GET 1 shard=99999",
+                "GET 1&key=0000000000000002",
+                "GET 1 Transfer-Encoding=gzip Content-Length=0",
+            ),
+            1,
+        ):
             with self.subTest(words):
                 await self.play(f"send c{number} {words}\nexpect c{number} 400\nexpect c{number} end")
         await self.play("expect n1 nothing\nsend n1 200 own\nexpect c0 200 own")
@@ -490,15 +532,19 @@
 
     async def test_requests_sent_at_once_are_answered_in_turn_and_by_their_own_deadlines(self) -> None:
         lines = f"Tier: basic\\r\\nRequest-Class: read\\r\\nIO-Info: volume={VOLUME},units=2,shard=1,hosts=1"
-        asks = [f"GET /api?key={at:016x} HTTP/1.1\\r\\nHost: a\\r\\nRequest-Id: p{at}\\r\\n"
-                f"Request-Timeout-Ms: 400\\r\\n{lines}\\r\\n\\r\\n" for at in (1, 2)]
-        await self.play(f"send c1 raw '{''.join(asks)}'\nexpect n1 GET 1\nwait 150\nsend n1 200 one\n"
-                        "expect c1 200 one\nexpect n1 GET 2")
+        asks = [
+            f"GET /api?key={at:016x} HTTP/1.1\\r\\nHost: a\\r\\nRequest-Id: p{at}\\r\\n"
+            f"Request-Timeout-Ms: 400\\r\\n{lines}\\r\\n\\r\\n"
+            for at in (1, 2)
+        ]
+        await self.play(
+            f"send c1 raw '{''.join(asks)}'\nexpect n1 GET 1\nwait 150\nsend n1 200 one\n"
+            "expect c1 200 one\nexpect n1 GET 2"
+        )
         started = time.monotonic()
         await self.play("expect c1 503")
         self.assertLess(time.monotonic() - started, 0.3)
 
-
     async def test_a_connection_whose_client_has_left_is_not_begun(self) -> None:
         door, pairs = self.gateway.front._door, [socket.socketpair() for _ in range(3)]
         pairs[0][0].sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -525,8 +571,10 @@
                 await self.answer(ok, "expect c1 200 first")
                 old = (await self.party("n1")).current
                 old.write(behind)
-                await self.play(f"wait 20\nsend c1 PUT {number} b\nexpect n1 PUT {number} b\n"
-                                f"send n1 200 own\nexpect c1 200 own")
+                await self.play(
+                    f"wait 20\nsend c1 PUT {number} b\nexpect n1 PUT {number} b\n"
+                    f"send n1 200 own\nexpect c1 200 own"
+                )
                 self.assertIsNot((await self.party("n1")).current, old)
 
     async def test_noise_in_one_piece_with_an_answer_costs_only_the_connection(self) -> None:
@@ -538,18 +586,24 @@
 
     @unittest.mock.patch("shaletiller.net.pool.SETTLE_S", 1.0)
     async def test_a_connection_is_left_alone_right_after_its_answer(self) -> None:
-        await self.play("send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200\n"
-                        "send c1 GET 2\nexpect n1 GET 2\nsend n1 200\nexpect c1 200")
+        await self.play(
+            "send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200\n"
+            "send c1 GET 2\nexpect n1 GET 2\nsend n1 200\nexpect c1 200"
+        )
         self.assertEqual(len((await self.party("n1")).writers), 2)
 
     async def test_a_spoilt_answer_is_a_failed_attempt_and_ends_its_connection(self) -> None:
         for raw in (
-            b"\0\1\2 noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + bytes(99),
-            b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", b"HTTP/1.1 200 OK\r\n\r\nabc",
-            b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 9999,
+            b"\0\1\2 noise\r\n\r\n",
+            b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + bytes(99),
+            b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+            b"HTTP/1.1 200 OK\r\n\r\nabc",
+            b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",
+            b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 9999,
             b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
             b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
-            b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n", b"HTTP/1.1 200 OK\r\nx: " + b"y" * 99999,
+            b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n",
+            b"HTTP/1.1 200 OK\r\nx: " + b"y" * 99999,
         ):
             with self.subTest(raw[:60]):
                 await self.answer(raw, "expect c1 502\nexpect n1 closed\nexpect n1 nothing")
@@ -558,9 +612,16 @@
         early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: a\r\n\r\n" * 3
         ok = b"HTTP/1.1 200 OK\r\n%s\r\nContent-Length: 2\r\n\r\nok"
         await self.answer(early + ok % b"a: b", "expect c1 200 ok")
-        for figure in (b"Volume-Load: " + b"9" * 999, b"Volume-Load: nan", b"Volume-Load: -3",
-                       b'Server-Load: {"inflight":1e999}', b'Server-Load: {"inflight":-7}', b"Server-Load: [",
-                       b'Server-Load: {"inflight":%s}' % (b"9" * 999), b"Server-Load: " + b"[" * 4000):
+        for figure in (
+            b"Volume-Load: " + b"9" * 999,
+            b"Volume-Load: nan",
+            b"Volume-Load: -3",
+            b'Server-Load: {"inflight":1e999}',
+            b'Server-Load: {"inflight":-7}',
+            b"Server-Load: [",
+            b'Server-Load: {"inflight":%s}' % (b"9" * 999),
+            b"Server-Load: " + b"[" * 4000,
+        ):
             with self.subTest(figure[:40]):
                 seen = self.seen()
                 await self.answer(ok % figure, "expect c1 200 ok")
@@ -579,7 +640,6 @@
             self.assertIn("since=1", (await agent.next())[0])
         await self.play("send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200")
 
-
     async def test_an_overbooked_discovery_is_asked_again_later_and_later(self) -> None:
         agent, calls = await self.party("d"), []
 
@@ -613,8 +673,10 @@
         whole = json.dumps({"version": 0, "full": True, "servers": rows})
         await Server.send(new, "200", whole)
         self.assertIn("since=0&", (await new.next())[0])
-        await self.play("send n1 200 held\nexpect c1 200 held\nsend c2 PUT 2 x shard=2 timeout=200\n"
-                        "expect c2 503\nexpect n2 nothing\nreload d3")
+        await self.play(
+            "send n1 200 held\nexpect c1 200 held\nsend c2 PUT 2 x shard=2 timeout=200\n"
+            "expect c2 503\nexpect n2 nothing\nreload d3"
+        )
         await asyncio.wait_for(third.next(), 0.2)
         self.assertEqual((old.came.qsize(), new.came.qsize()), (0, 0))
 
@@ -632,16 +694,26 @@
     known = False
 
     async def test_not_ready_until_a_node_is_known(self) -> None:
-        await self.play("send c1 GET up\nexpect c1 503\nsend d n1=active\nwait 60\n"
-                        "send c1 GET up\nexpect c1 200")
+        await self.play(
+            "send c1 GET up\nexpect c1 503\nsend d n1=active\nwait 60\nsend c1 GET up\nexpect c1 200"
+        )
 
 
 class Keyed(Scenario):
     """A class whose writes bear a key: without it no node could tell a repeat from new work."""
 
-    settings: ClassVar[dict[str, Any]] = {**SETTINGS, "classes": [
-        SETTINGS["classes"][0],
-        {**SETTINGS["classes"][1], "effect": "idempotency_key", "dedup-scope": "cell", "key-ttl-ms": 2500.0}]}
+    settings: ClassVar[dict[str, Any]] = {
+        **SETTINGS,
+        "classes": [
+            SETTINGS["classes"][0],
+            {
+                **SETTINGS["classes"][1],
+                "effect": "idempotency_key",
+                "dedup-scope": "cell",
+                "key-ttl-ms": 2500.0,
+            },
+        ],
+    }
 
     async def test_the_key_passes_on_new_and_kept_connections_and_with_a_large_body(self) -> None:
         for body in ("new", "kept", "x" * 20000):
@@ -669,10 +741,12 @@
             send c2 PUT 5 once Idempotency-Key=
             expect c2 400
         """)
-        head = ("PUT /api?key=0000000000000005 HTTP/1.1\\r\\nHost: a\\r\\nRequest-Id: twice\\r\\n"
-                "Tier: basic\\r\\nRequest-Class: write\\r\\n"
-                "Request-Timeout-Ms: 900\\r\\nContent-Length: 0\\r\\n"
-                f"IO-Info: volume={VOLUME},units=2,shard=1,hosts=1\\r\\n")
+        head = (
+            "PUT /api?key=0000000000000005 HTTP/1.1\\r\\nHost: a\\r\\nRequest-Id: twice\\r\\n"
+            "Tier: basic\\r\\nRequest-Class: write\\r\\n"
+            "Request-Timeout-Ms: 900\\r\\nContent-Length: 0\\r\\n"
+            f"IO-Info: volume={VOLUME},units=2,shard=1,hosts=1\\r\\n"
+        )
         await self.play(f"""
             send c3 raw "{head}Idempotency-Key: a\\r\\nIdempotency-Key: b\\r\\n\\r\\n"
             expect c3 400
--- a/tests/test_scenarios_nvme.py
+++ b/tests/test_scenarios_nvme.py
@@ -75,8 +75,9 @@
         await self.play("send v1 write 7 a\nexpect v1 interrupted crd2")
 
     async def test_an_aborted_write_that_went_out_is_not_to_be_retried(self) -> None:
-        await self.play("send v1 write 7 a\nexpect n1 PUT 7\nsend v1 abort\n"
-                        "expect v1 aborted dnr\nexpect n1 closed")
+        await self.play(
+            "send v1 write 7 a\nexpect n1 PUT 7\nsend v1 abort\nexpect v1 aborted dnr\nexpect n1 closed"
+        )
 
     async def test_a_host_that_leaves_takes_its_attempts_along(self) -> None:
         await self.play("send v1 read 7\nexpect n1 GET 7\nclose v1\nexpect n1 closed")
@@ -110,29 +111,35 @@
         capsule = p.encode(p.Kind.CAPSULE_CMD, p.command(p.Admin.KEEP_ALIVE, 1))
         stray = p.data_pdu(p.Kind.H2C_DATA, 1, 1, 0, b"x" * 16)
         wrong = {
-            "no ICReq": (capsule, 2), "unknown type": (bytes([0x55, 0, 8, 0, 8, 0, 0, 0]), 1),
+            "no ICReq": (capsule, 2),
+            "unknown type": (bytes([0x55, 0, 8, 0, 8, 0, 0, 0]), 1),
             "a unit of the other side": (p.r2t(0, 0, 0, 0), 2),
             "a length of 4 GiB": (bytes([4, 0, 72, 72, 255, 255, 255, 255]), 1),
             "a length below the header": (bytes([4, 0, 72, 0, 8, 0, 0, 0]), 1),
             "a wrong header length": (bytes([0, 0, 64, 0, 128, 0, 0, 0]), 1),
             "a strange version": (p.encode(p.Kind.IC_REQ, b"\x09\0"), 6),
         }
-        after = {"stray data": (stray, 1), "a second ICReq": (p.ic_req(), 2),
-                 "a digest": (bytes([4, 1, 72, 0, 72, 0, 0, 0]) + bytes(64), 1)}
+        after = {
+            "stray data": (stray, 1),
+            "a second ICReq": (p.ic_req(), 2),
+            "a digest": (bytes([4, 1, 72, 0, 72, 0, 0, 0]) + bytes(64), 1),
+        }
         for number, (what, (raw, why)) in enumerate(wrong.items()):
             with self.subTest(what):
                 await self.play(f"send v{number} hex {raw.hex()}\nexpect v{number} term {why}")
         for number, (what, (raw, why)) in enumerate(after.items(), start=20):
             with self.subTest(what):
-                await self.play(f"send v{number} hex {IC_REQ}{raw.hex()}\nexpect v{number} ic_resp\n"
-                                f"expect v{number} term {why}")
+                await self.play(
+                    f"send v{number} hex {IC_REQ}{raw.hex()}\nexpect v{number} ic_resp\n"
+                    f"expect v{number} term {why}"
+                )
         await self.play("send v99 read 7\nexpect n1 GET 7\nsend n1 200 fine\nexpect v99 ok fine")
 
     async def test_truncated_units_and_random_bytes_harm_nothing(self) -> None:
         dice = random.Random(7)
         for number in range(12):
             raw = p.ic_req() + dice.randbytes(dice.randrange(1, 300))
-            await self.play(f"send v{number} hex {raw[:dice.randrange(1, len(raw))].hex()}\nclose v{number}")
+            await self.play(f"send v{number} hex {raw[: dice.randrange(1, len(raw))].hex()}\nclose v{number}")
         await self.play("send v99 read 7\nexpect n1 GET 7\nsend n1 200 fine\nexpect v99 ok fine")
 
     async def test_a_whole_queues_worth_of_blocks_by_r2t_arrives_in_order(self) -> None:
@@ -166,8 +173,10 @@
             return call(asked, answer)
 
         self.gateway.engine.call = second_is_bad
-        await self.play("send v1 read 7 - 3\nexpect n1 GET 7\nsend n1 200\nexpect n1 GET 9\nsend n1 200\n"
-                        "expect v1 internal")
+        await self.play(
+            "send v1 read 7 - 3\nexpect n1 GET 7\nsend n1 200\nexpect n1 GET 9\nsend n1 200\n"
+            "expect v1 internal"
+        )
 
     async def test_connect_is_checked(self) -> None:
         name = self.gateway.config.nvme.front.subsystem
@@ -180,15 +189,18 @@
         }
         for number, (what, raw) in enumerate(tries.items()):
             with self.subTest(what):
-                await self.play(f"send v{number} hex {IC_REQ}{raw.hex()}\nexpect v{number} ic_resp\n"
-                                f"expect v{number} resp connect_parameter")
+                await self.play(
+                    f"send v{number} hex {IC_REQ}{raw.hex()}\nexpect v{number} ic_resp\n"
+                    f"expect v{number} resp connect_parameter"
+                )
         early = p.encode(p.Kind.CAPSULE_CMD, p.command(p.Admin.IDENTIFY, 1, length=4096))
         await self.play(f"send v8 hex {IC_REQ}{early.hex()}\nexpect v8 ic_resp\nexpect v8 resp sequence")
 
     async def test_a_host_that_keeps_no_keep_alive_is_let_go(self) -> None:
         raw = p.connect(1, 0, 32, 80, 0xFFFF, self.gateway.config.nvme.front.subsystem, "nqn.h")
-        await self.play(f"send v1 hex {IC_REQ}{raw.hex()}\nexpect v1 ic_resp\nexpect v1 resp success\n"
-                        "expect v1 end")
+        await self.play(
+            f"send v1 hex {IC_REQ}{raw.hex()}\nexpect v1 ic_resp\nexpect v1 resp success\nexpect v1 end"
+        )
         self.assertEqual(self.gateway.nvme.associations, {})
 
     async def test_a_host_that_ends_the_connection_is_let_go(self) -> None:
@@ -201,14 +213,18 @@
         events = b"".join(p.encode(p.Kind.CAPSULE_CMD, entry) for entry in entries)
         enable = p.fabrics(p.Fabrics.PROPERTY_SET, 2, p.struct.pack("<B3xIQ", 0, p.Property.CC, 1))
         raw = p.connect(1, 0, 2, 0, 0xFFFF, name, "nqn.h") + p.encode(p.Kind.CAPSULE_CMD, enable) + events
-        await self.play(f"send v1 hex {IC_REQ}{raw.hex()}\nexpect v1 ic_resp\nexpect v1 resp success\n"
-                        "expect v1 resp success\nexpect v1 term 2")
+        await self.play(
+            f"send v1 hex {IC_REQ}{raw.hex()}\nexpect v1 ic_resp\nexpect v1 resp success\n"
+            "expect v1 resp success\nexpect v1 term 2"
+        )
 
     async def test_write_data_beyond_what_may_be_held_is_to_be_tried_again(self) -> None:
         with unittest.mock.patch("shaletiller.net.nvme.front.MOST_HELD", 4096):
-            await self.play("send v1 write 1 a\nexpect n1 PUT 1\nsend v2 write 2 b\nexpect v2 interrupted\n"
-                            "send n1 200\nexpect v1 ok\nsend v2 write 2 b\nexpect n1 PUT 2\nsend n1 200\n"
-                            "expect v2 ok")
+            await self.play(
+                "send v1 write 1 a\nexpect n1 PUT 1\nsend v2 write 2 b\nexpect v2 interrupted\n"
+                "send n1 200\nexpect v1 ok\nsend v2 write 2 b\nexpect n1 PUT 2\nsend n1 200\n"
+                "expect v2 ok"
+            )
         self.assertEqual(self.gateway.nvme.held_bytes, 0)
 
 
@@ -231,22 +247,26 @@
         self.assertEqual((await read_message(client.reader))[2], b"hello".ljust(4096, b"\0"))
 
     async def test_a_box_that_stalls_in_a_command_is_waited_for(self) -> None:
-        await self.play("send c1 PUT 5 a\nexpect b1 write 5 a\nwait 200\n"
-                        "send b1 ok\nexpect c1 200\nexpect b1 nothing")
+        await self.play(
+            "send c1 PUT 5 a\nexpect b1 write 5 a\nwait 200\nsend b1 ok\nexpect c1 200\nexpect b1 nothing"
+        )
 
     async def test_a_box_that_stalls_past_the_deadline_fails_its_write_once(self) -> None:
-        await self.play("send c1 PUT 5 a timeout=150\nexpect b1 write 5 a\nwait 200\n"
-                        "expect c1 502\nexpect b1 left 5")
+        await self.play(
+            "send c1 PUT 5 a timeout=150\nexpect b1 write 5 a\nwait 200\nexpect c1 502\nexpect b1 left 5"
+        )
         self.assertEqual(len((await self.party("b1")).writes), 1)
 
     async def test_a_write_cut_after_its_capsule_fails_and_is_never_sent_again(self) -> None:
-        await self.play("send c1 PUT 5 a\nexpect b1 write 5 a\nclose b1\n"
-                        "expect c1 502\nwait 100\nexpect b1 nothing")
+        await self.play(
+            "send c1 PUT 5 a\nexpect b1 write 5 a\nclose b1\nexpect c1 502\nwait 100\nexpect b1 nothing"
+        )
         self.assertEqual(len((await self.party("b1")).writes), 1)
 
     async def test_a_read_that_is_cut_is_tried_again(self) -> None:
-        await self.play("send c1 GET 5\nexpect b1 read 5\nclose b1\n"
-                        "expect b1 read 5\nsend b1 ok a\nexpect c1 200")
+        await self.play(
+            "send c1 GET 5\nexpect b1 read 5\nclose b1\nexpect b1 read 5\nsend b1 ok a\nexpect c1 200"
+        )
 
     async def test_a_box_that_is_gone_refuses(self) -> None:
         box = await self.party("b1")
@@ -255,8 +275,10 @@
         await self.play("send c1 PUT 5 a timeout=400\nexpect c1 503")
 
     async def test_an_nvme_host_reaches_an_nvme_box(self) -> None:
-        await self.play("send v1 write 9 deep\nexpect b1 write 9 deep\nsend b1 ok\nexpect v1 ok\n"
-                        "send v1 read 9\nexpect b1 read 9\nsend b1 ok deep\nexpect v1 ok deep")
+        await self.play(
+            "send v1 write 9 deep\nexpect b1 write 9 deep\nsend b1 ok\nexpect v1 ok\n"
+            "send v1 read 9\nexpect b1 read 9\nsend b1 ok deep\nexpect v1 ok deep"
+        )
 
     async def test_a_client_that_leaves_closes_the_boxs_connection(self) -> None:
         await self.play("send c1 GET 5\nexpect b1 read 5\nclose c1\nexpect b1 left 5")
@@ -267,12 +289,15 @@
         self.assertEqual(box.writes, [])
 
     async def test_a_write_that_the_box_did_not_begin_goes_again(self) -> None:
-        await self.play("send c1 PUT 5 a\nexpect b1 write 5 a\nsend b1 not_ready\nexpect b1 write 5 a\n"
-                        "send b1 ok\nexpect c1 200")
+        await self.play(
+            "send c1 PUT 5 a\nexpect b1 write 5 a\nsend b1 not_ready\nexpect b1 write 5 a\n"
+            "send b1 ok\nexpect c1 200"
+        )
 
     async def test_a_write_that_the_box_fails_is_failed(self) -> None:
-        await self.play("send c1 PUT 5 a\nexpect b1 write 5 a\nsend b1 fault\nexpect c1 502\n"
-                        "expect b1 nothing")
+        await self.play(
+            "send c1 PUT 5 a\nexpect b1 write 5 a\nsend b1 fault\nexpect c1 502\nexpect b1 nothing"
+        )
 
     async def test_an_association_is_kept_and_closes_when_idle(self) -> None:
         for number in range(3):
@@ -291,8 +316,10 @@
 
     async def test_a_write_larger_than_a_capsule_goes_by_r2t(self) -> None:
         body = "z" * 65536
-        await self.play(f"send c1 PUT 5 {body}\nexpect b1 write 5 {body}\nsend b1 ok\nexpect c1 200\n"
-                        f"send c1 GET 5\nexpect b1 read 5\nsend b1 ok {body}\nexpect c1 200 {body}")
+        await self.play(
+            f"send c1 PUT 5 {body}\nexpect b1 write 5 {body}\nsend b1 ok\nexpect c1 200\n"
+            f"send c1 GET 5\nexpect b1 read 5\nsend b1 ok {body}\nexpect c1 200 {body}"
+        )
 
 
 class WrongBlocks(Scenario):
@@ -346,8 +373,13 @@
                 party = await self.party(name)
                 write = dice.random() < 0.5
                 body = [f"{name}w{number}"] if write else []
-                await party.send("PUT" if write else "GET", str(self.count()), *body,
-                                 shard="1" if dice.random() < 0.5 else "2", timeout="600")
+                await party.send(
+                    "PUT" if write else "GET",
+                    str(self.count()),
+                    *body,
+                    shard="1" if dice.random() < 0.5 else "2",
+                    timeout="600",
+                )
                 first, _, _ = await asyncio.wait_for(read_message(party.reader), 2.0)
                 statuses[first.split()[1]] += 1
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -33,6 +33,7 @@
 
 # ---- the log
 
+
 def test_what_is_committed_is_found_by_the_next_to_open_it(tmp_path: Path) -> None:
     store = Store(tmp_path)
     store.commit([(1, b"a", b"one"), (1, b"b", b"two"), (2, b"a", b"another kind")])
@@ -40,18 +41,30 @@
     store.close()
     found = Store(tmp_path)
     assert {at: record.value for at, record in found.index.items()} == {
-        (1, b"a"): b"newer", (2, b"a"): b"another kind"}
+        (1, b"a"): b"newer",
+        (2, b"a"): b"another kind",
+    }
     assert found.torn == 0
     found.close()
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.lists(st.tuples(
-    st.integers(1, 3), st.binary(max_size=3), st.none() | st.binary(max_size=40)), max_size=4), max_size=12),
-    st.integers(60, 400), st.sets(st.integers(0, 11)))
+@given(
+    st.lists(
+        st.lists(
+            st.tuples(st.integers(1, 3), st.binary(max_size=3), st.none() | st.binary(max_size=40)),
+            max_size=4,
+        ),
+        max_size=12,
+    ),
+    st.integers(60, 400),
+    st.sets(st.integers(0, 11)),
+)
 def test_any_commits_any_segments_and_any_snapshots_give_the_newest_values(
-    tmp_path_factory: pytest.TempPathFactory, commits: list[list[tuple[int, bytes, bytes | None]]],
-    segment_bytes: int, compacted: set[int],
+    tmp_path_factory: pytest.TempPathFactory,
+    commits: list[list[tuple[int, bytes, bytes | None]]],
+    segment_bytes: int,
+    compacted: set[int],
 ) -> None:
     folder, want = tmp_path_factory.mktemp("store"), dict[tuple[int, bytes], bytes]()
     store = Store(folder, segment_bytes=segment_bytes)
@@ -84,11 +97,18 @@
 
 
 def test_a_store_is_open_in_one_process_at_a_time_and_free_when_that_is_killed(tmp_path: Path) -> None:
-    code = ("import sys, pathlib; from shaletiller.store.log import Store\n"
-            "Store(pathlib.Path(sys.argv[1])).commit([(1, b'k', b'v')]); print('open', flush=True)\n"
-            "sys.stdin.read()")
-    with subprocess.Popen([sys.executable, "-c", code, str(tmp_path)], cwd=ROOT, text=True,
-                          stdin=subprocess.PIPE, stdout=subprocess.PIPE) as other:
+    code = (
+        "import sys, pathlib; from shaletiller.store.log import Store\n"
+        "Store(pathlib.Path(sys.argv[1])).commit([(1, b'k', b'v')]); print('open', flush=True)\n"
+        "sys.stdin.read()"
+    )
+    with subprocess.Popen(
+        [sys.executable, "-c", code, str(tmp_path)],
+        cwd=ROOT,
+        text=True,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+    ) as other:
         assert other.stdout is not None and other.stdout.readline() == "open\n"
         with pytest.raises(Locked, match="another process has this store open"):
             Store(tmp_path)
@@ -141,7 +161,7 @@
     with pytest.raises(Damaged, match=f"{names[1]}: byte .*cut short in the midst"):
         Contents(tmp_path, Files())
     # Cut behind a whole record, only the next segment's first number tells.
-    (tmp_path / names[1]).write_bytes(whole[:form.HEADER_BYTES])
+    (tmp_path / names[1]).write_bytes(whole[: form.HEADER_BYTES])
     with pytest.raises(Damaged, match="records are missing"):
         Contents(tmp_path, Files())
     (tmp_path / names[1]).unlink()
@@ -168,13 +188,15 @@
 
 # ---- cuts and flips
 
+
 def test_cuts_flips_and_stopped_compactions_lose_nothing_and_name_all(tmp_path: Path) -> None:
     out = cut.run(tmp_path, seed=2, step=5)
     assert out.kept, "\n".join([*out.lines(), str(out.figures)])
 
 
 def test_the_checker_of_cuts_and_flips_objects_to_a_store_that_believes_what_is_spoilt(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(form.xxhash, "xxh3_64_intdigest", lambda raw, seed=0: 0)  # no checksum is one
     out = cut.run(tmp_path, step=29)
@@ -182,7 +204,8 @@
 
 
 def test_the_checker_of_cuts_objects_to_a_store_that_drops_a_segment_too_soon(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     written, tried, whole = cut.write(tmp_path / "store", 1), cut.Tried(), Snapshot.write
 
@@ -200,6 +223,7 @@
 
 # ---- group commit
 
+
 async def _gathered(folder: Path, faults: Path, count: int) -> Keeper:
     keeper = Keeper(Store(folder, Drilled(faults)))
     keeper.start()
@@ -242,7 +266,8 @@
 
 
 def test_a_wasteful_log_is_compacted_beside_running_commits(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("shaletiller.store.log.WASTE_LEAST", 10_000)
 
@@ -263,9 +288,16 @@
 
 # ---- the command
 
+
 def store_command(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "shaletiller", "store", *words], cwd=ROOT, text=True,
-                          capture_output=True, timeout=60, env={**os.environ, "COLUMNS": "120"})
+    return subprocess.run(
+        [sys.executable, "-m", "shaletiller", "store", *words],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=60,
+        env={**os.environ, "COLUMNS": "120"},
+    )
 
 
 def test_the_command_shows_verifies_and_compacts(tmp_path: Path) -> None:
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -25,30 +25,54 @@
             await server.send("200")
 
         collector.script = take
-        return {"OTEL_EXPORTER_OTLP_ENDPOINT": f"http://127.0.0.1:{collector.port}",
-                "OTEL_TRACES_SAMPLER_ARG": "1", "OTEL_METRIC_EXPORT_INTERVAL": "60000"}
+        return {
+            "OTEL_EXPORTER_OTLP_ENDPOINT": f"http://127.0.0.1:{collector.port}",
+            "OTEL_TRACES_SAMPLER_ARG": "1",
+            "OTEL_METRIC_EXPORT_INTERVAL": "60000",
+        }
 
     async def test_counts_and_spans_reach_the_collector(self) -> None:
-        await self.play("send c1 GET 1\nexpect n1 GET 1\nclose n1\nexpect n1 GET 1\nsend n1 200\n"
-                        "expect c1 200\n"
-                        "send c1 PUT 2 a\nexpect n1 PUT 2 a\nclose n1\nexpect c1 502")
+        await self.play(
+            "send c1 GET 1\nexpect n1 GET 1\nclose n1\nexpect n1 GET 1\nsend n1 200\n"
+            "expect c1 200\n"
+            "send c1 PUT 2 a\nexpect n1 PUT 2 a\nclose n1\nexpect c1 502"
+        )
         await self.gateway.telemetry.stop()
-        spans = [span for path, body in self.taken if path == "/v1/traces"
-                 for each in ExportTraceServiceRequest.FromString(body).resource_spans
-                 for scope in each.scope_spans for span in scope.spans]
+        spans = [
+            span
+            for path, body in self.taken
+            if path == "/v1/traces"
+            for each in ExportTraceServiceRequest.FromString(body).resource_spans
+            for scope in each.scope_spans
+            for span in scope.spans
+        ]
         attempts = [
             next(item.value.string_value for item in span.attributes if item.key == "outcome")
-            for span in spans if span.name == "attempt"]
+            for span in spans
+            if span.name == "attempt"
+        ]
         self.assertEqual(sorted(attempts), ["ok", "reset", "reset"])
         roots = {span.name: span for span in spans if span.name != "attempt"}
         self.assertEqual({name: span.status.code for name, span in roots.items()}, {"read": 0, "write": 2})
-        self.assertTrue(all(span.parent_span_id in {each.span_id for each in roots.values()}
-                            for span in spans if span.name == "attempt"))
-        metrics = {metric.name: metric for path, body in self.taken if path == "/v1/metrics"
-                   for each in ExportMetricsServiceRequest.FromString(body).resource_metrics
-                   for scope in each.scope_metrics for metric in scope.metrics}
-        counts = {point.attributes[0].value.string_value: point.as_int
-                  for point in metrics["shaletiller.requests"].sum.data_points}
+        self.assertTrue(
+            all(
+                span.parent_span_id in {each.span_id for each in roots.values()}
+                for span in spans
+                if span.name == "attempt"
+            )
+        )
+        metrics = {
+            metric.name: metric
+            for path, body in self.taken
+            if path == "/v1/metrics"
+            for each in ExportMetricsServiceRequest.FromString(body).resource_metrics
+            for scope in each.scope_metrics
+            for metric in scope.metrics
+        }
+        counts = {
+            point.attributes[0].value.string_value: point.as_int
+            for point in metrics["shaletiller.requests"].sum.data_points
+        }
         self.assertEqual(counts, {"served": 1, "failed": 1})
         points = metrics["shaletiller.request.duration"].histogram.data_points
         self.assertEqual(sum(point.count for point in points), 2)
@@ -61,8 +85,11 @@
         async def swallow(server: Server, found: Any) -> None: ...
 
         self.parties["o1"].script = swallow
-        return {"OTEL_EXPORTER_OTLP_ENDPOINT": f"http://127.0.0.1:{self.parties['o1'].port}",
-                "OTEL_TRACES_SAMPLER_ARG": "1", "OTEL_METRIC_EXPORT_INTERVAL": "20"}
+        return {
+            "OTEL_EXPORTER_OTLP_ENDPOINT": f"http://127.0.0.1:{self.parties['o1'].port}",
+            "OTEL_TRACES_SAMPLER_ARG": "1",
+            "OTEL_METRIC_EXPORT_INTERVAL": "20",
+        }
 
     async def test_a_silent_collector_delays_no_request_and_no_stop(self) -> None:
         slowest = 0.0
