--- a/shaletiller/__main__.py
+++ b/shaletiller/__main__.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import gc
+import logging
 import signal
 import sys
 
@@ -11,7 +12,9 @@
 
 from shaletiller.config import Config, ConfigError, read_config, read_config_again
 from shaletiller.gateway import Gateway
-from shaletiller.log import forward_libraries, log
+from shaletiller.log import configure_logging
+
+logger = logging.getLogger(__name__)
 
 
 async def serve(config: Config) -> None:
@@ -20,7 +23,9 @@
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, told.set)
-    loop.set_exception_handler(lambda _, what: log(f"{what.get('message')}: {what.get('exception')!r}"))
+    loop.set_exception_handler(
+        lambda _, what: logger.warning(f"{what.get('message')}: {what.get('exception')!r}")
+    )
     gateway = Gateway(config)
 
     # Without a handler SIGHUP ends the process, and all requests that it holds are lost.
@@ -29,7 +34,7 @@
     # What is there by now stays: looked through by each whole collection, it holds up all requests for 50 ms.
     gc.collect()
     gc.freeze()
-    log(f"runs on {type(loop).__module__}, {gc.get_freeze_count()} objects set aside")
+    logger.warning(f"runs on {type(loop).__module__}, {gc.get_freeze_count()} objects set aside")
     await told.wait()
     await gateway.stop()
 
@@ -43,7 +48,7 @@
             return 2
         return store(sys.argv[2:])
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
-    forward_libraries()
+    configure_logging()
     try:
         config = read_config()
     except ConfigError as error:
--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from collections import deque
 from collections.abc import Callable, Coroutine, Sequence
 from dataclasses import replace
@@ -17,7 +18,6 @@
 from shaletiller.core.record import OutcomeRecorder
 from shaletiller.core.respond import Responder
 from shaletiller.core.route import Endpoint, Route
-from shaletiller.log import log
 from shaletiller.messages.actions import (
     CancelAttempt,
     CloseIdleConnections,
@@ -43,6 +43,8 @@
 from shaletiller.policy import Scheduler
 from shaletiller.settings.model import Settings
 
+logger = logging.getLogger(__name__)
+
 MOST_NAMES = 64  # classes in the figures
 GUARD_MS = 15.0  # past the deadline and within the rule's slack: the module's own answer comes first
 
@@ -85,7 +87,7 @@
             WatchEndpoints: lambda act: None,  # the list is watched all the time
             FetchEndpointList: self._on_fetch_list,
             CloseIdleConnections: self._on_close_idle,
-            WriteLog: lambda act: log(act.line),
+            WriteLog: lambda act: logger.warning(act.line),
         }
 
     # ---- what happens
@@ -181,7 +183,7 @@
         try:
             first = self.precede(event, self._clock.now_ms())
         except Exception as error:  # what goes along with the decisions must not end them
-            log(f"what precedes {type(event).__name__} broke: {error!r}")
+            logger.warning(f"what precedes {type(event).__name__} broke: {error!r}")
             first = ()
         for each in (*first, event):
             self._put(each)
@@ -192,13 +194,13 @@
         try:
             actions = self._scheduler.handle(self._clock.now_ms(), event)
         except Exception as error:
-            log(f"decision on {type(event).__name__} broke: {error!r}")
+            logger.warning(f"decision on {type(event).__name__} broke: {error!r}")
             return
         for action in actions:
             try:
                 self._doers[type(action)](action)
             except Exception as error:
-                log(f"action {type(action).__name__} broke: {error!r}")
+                logger.warning(f"action {type(action).__name__} broke: {error!r}")
 
     def answer_all(self) -> None:
         """The process ends: what is still held gets its answer first."""
@@ -208,7 +210,7 @@
     def _on_guard(self, exchange: Exchange) -> None:
         if exchange.answered:
             return
-        log(f"request {exchange.call.id}: no answer by its deadline, guarded")
+        logger.warning(f"request {exchange.call.id}: no answer by its deadline, guarded")
         self.relay.give_up(exchange)
         for attempt in exchange.attempts:
             self.send.stop(attempt, Outcome.TIMEOUT)
@@ -220,7 +222,7 @@
         exchange, now_ms = self.table.get(act.request), self._clock.now_ms()
         place = self.route(exchange, act.node, now_ms)
         if exchange is None:
-            log(f"request {act.request}: send for a request that is over")
+            logger.warning(f"request {act.request}: send for a request that is over")
             return
         attempt = Attempt(len(exchange.attempts), act.node, now_ms)
         exchange.attempts.append(attempt)
@@ -278,7 +280,7 @@
     def _spawned(self, task: asyncio.Task[None]) -> None:
         self._background.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log(f"background work broke: {task.exception()!r}")
+            logger.warning(f"background work broke: {task.exception()!r}")
 
     async def close(self) -> None:
         """End the work beside the requests."""
--- a/shaletiller/core/forward.py
+++ b/shaletiller/core/forward.py
@@ -3,15 +3,17 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 import math
 from collections.abc import Callable
 
 from shaletiller.clock import Clock
 from shaletiller.core.model import Attempt, AttemptResult, Exchange
 from shaletiller.core.route import Endpoint
-from shaletiller.log import log
 from shaletiller.messages.outcomes import Outcome
 
+logger = logging.getLogger(__name__)
+
 
 class AttemptSender:
     def __init__(self, clock: Clock, book: Callable[[Exchange, Attempt, AttemptResult], None]) -> None:
@@ -57,6 +59,6 @@
             return AttemptResult(attempt.stopped or Outcome.CANCELLED)
         error = done.exception()
         if error is not None:
-            log(f"attempt broke: {error!r}")
+            logger.warning(f"attempt broke: {error!r}")
             return AttemptResult(Outcome.RESET)  # it may have run: nothing better is known
         return done.result()
--- a/shaletiller/core/manual_ejection.py
+++ b/shaletiller/core/manual_ejection.py
@@ -6,13 +6,14 @@
 
 from __future__ import annotations
 
+import logging
 import os
 from collections.abc import Callable
 from pathlib import Path
 
 import msgspec
 
-from shaletiller.log import log
+logger = logging.getLogger(__name__)
 
 
 class ManualEjections:
@@ -38,7 +39,7 @@
             part.replace(self._path)
             self._stamp = self._stat()
         except OSError as error:
-            log(f"bans not kept for the next process: {error}")
+            logger.warning(f"bans not kept for the next process: {error}")
         if moved:
             self._changed(set(moved))
 
@@ -60,7 +61,9 @@
             try:
                 nodes = frozenset(msgspec.json.decode(self._path.read_bytes(), type=list[str]))
             except (OSError, msgspec.DecodeError, msgspec.ValidationError) as error:
-                log(f"bans left as they were: {error}")  # a ban that was lifted by a faulty file is lost
+                logger.warning(
+                    f"bans left as they were: {error}"
+                )  # a ban that was lifted by a faulty file is lost
                 return
         moved = nodes ^ self.held
         self.held = nodes
--- a/shaletiller/core/respond.py
+++ b/shaletiller/core/respond.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
+import logging
 from collections.abc import Callable
 
 from shaletiller.core.metrics import tally
 from shaletiller.core.model import Exchange, FinalResponse, FinalResult
-from shaletiller.log import log
+
+logger = logging.getLogger(__name__)
 
 
 class Responder:
@@ -31,7 +33,7 @@
         try:
             exchange.answer(answer)
         except Exception as error:  # a broken front must not take the other requests with it
-            log(f"answer not delivered: {error!r}")
+            logger.warning(f"answer not delivered: {error!r}")
         if keeps is not None:
             keeps(answer)
 
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import TYPE_CHECKING
@@ -15,7 +16,6 @@
 from shaletiller.core.engine import Engine
 from shaletiller.core.manual_ejection import ManualEjections
 from shaletiller.core.model import UpstreamClient
-from shaletiller.log import log
 from shaletiller.messages.events import PeerMessageReceived
 from shaletiller.net.admin import Admin, Refused
 from shaletiller.net.discovery import Discovery
@@ -30,6 +30,8 @@
     from shaletiller.net.replication import ReplicationAgent
     from shaletiller.telemetry.otlp import Otlp
 
+logger = logging.getLogger(__name__)
+
 KEEP_ACCEPTING_S = 0.75  # after SIGTERM: new connections still come for a while
 # A process may be killed so long after SIGTERM and its longest deadline, which counts as so much at the most.
 KEEP_ACCEPTING_MS, MOST_GRACE_MS = 700.0, 3000.0
@@ -136,7 +138,7 @@
     def _listed(self, kept: ServerList) -> None:
         """A node list that was kept: it serves where nothing newer is there yet."""
         if self.discovery.start_from(kept):
-            log(f"node list of version {kept.version} as it was kept")
+            logger.warning(f"node list of version {kept.version} as it was kept")
 
     def _nvme_front(self) -> NvmeFront | None:
         if not self.config.nvme.front.listen:
@@ -241,7 +243,7 @@
             self.promises.open()
         if self.admin is not None and self.config.admin is not None:
             await self.admin.start(*self.config.admin)
-            log(f"operators' door at {self.admin.address[0]}:{self.admin.address[1]}")
+            logger.warning(f"operators' door at {self.admin.address[0]}:{self.admin.address[1]}")
         if self.config.settings.peer_messages_allowed and self.config.peer_listen is not None:
             await self.peers.start(self.config.peer_listen)
         if self.fleet is not None:
@@ -251,10 +253,12 @@
         self.front.start(*self.config.listen)
         if self.nvme is not None:
             await self.nvme.start(*read_address(self.config.nvme.front.listen, "front.listen"))
-            log(f"NVMe/TCP at {self.nvme.address[0]}:{self.nvme.address[1]}")
+            logger.warning(f"NVMe/TCP at {self.nvme.address[0]}:{self.nvme.address[1]}")
         self._watch = self.engine.spawn(self.discovery.run())
         self.engine.spawn(self._look_at_bans())
-        log(f"gateway {self.config.name} listens at {self.front.address[0]}:{self.front.address[1]}")
+        logger.warning(
+            f"gateway {self.config.name} listens at {self.front.address[0]}:{self.front.address[1]}"
+        )
 
     def hup(self, read: Callable[[], Config]) -> None:
         """SIGHUP: the file is read again; a faulty one leaves the configuration as it was."""
@@ -262,7 +266,7 @@
             config = read()
         except ConfigError as error:
             self.sighup["rejected"] += 1
-            log(f"reload: {error}; the configuration stays as it was")
+            logger.warning(f"reload: {error}; the configuration stays as it was")
             return
         self.sighup["applied"] += 1
         self.reload(config)
@@ -274,7 +278,7 @@
         left alone.  The rest is fixed for the life of a process, and is said to be."""
         fixed = [key for key in FIXED_KEYS if getattr(config, key) != getattr(self.config, key)]
         if fixed:
-            log(f"reload: {', '.join(fixed)} need a restart, left as they were")
+            logger.warning(f"reload: {', '.join(fixed)} need a restart, left as they were")
         moved = config.discovery != self.config.discovery
         if config.settings != self.config.settings:
             self.engine.retune(config.settings)
@@ -282,7 +286,9 @@
                 back.retune(config.settings)
             self.discovery.retune(config.settings)
             self._longest_ms = max(spec.deadline_ms for spec in config.settings.classes)
-            log(f"reload: classes {', '.join(spec.name for spec in config.settings.classes)} from now on")
+            logger.warning(
+                f"reload: classes {', '.join(spec.name for spec in config.settings.classes)} from now on"
+            )
         self.config = msgspec.structs.replace(
             self.config, discovery=config.discovery, settings=config.settings
         )
@@ -292,7 +298,7 @@
             self._watch.cancel()
             self._watch = self.engine.spawn(self.discovery.run())
         how = "" if moved else ", as before"
-        log(f"reload: discovery at {config.discovery[0]}:{config.discovery[1]}{how}")
+        logger.warning(f"reload: discovery at {config.discovery[0]}:{config.discovery[1]}{how}")
 
     async def stop(self) -> None:
         """A planned stop: clients still come at first, those that are there may ask on, and all that was
--- a/shaletiller/net/admin.py
+++ b/shaletiller/net/admin.py
@@ -9,11 +9,13 @@
 
 import asyncio
 import contextlib
+import logging
 from collections.abc import Awaitable, Callable
 
-from shaletiller.log import log
 from shaletiller.net.sockets import close_gracefully
 
+logger = logging.getLogger(__name__)
+
 MOST_LINE = 256
 SILENT_S = 4.0  # a caller that sends no whole line by then is closed on; each caller waits alone
 ENDING_S = 0.05  # for callers that are there as the process ends
@@ -75,7 +77,7 @@
         if line.strip():
             answer = await self.answer(line)
             if answer[0].startswith("error"):
-                log(f"admin: {line.strip()[:64]!r}: {answer[0]}")
+                logger.warning(f"admin: {line.strip()[:64]!r}: {answer[0]}")
             writer.write("".join(f"{each}\n" for each in answer).encode())
         with contextlib.suppress(TimeoutError, ConnectionError):
             async with asyncio.timeout(WRITE_S):
--- a/shaletiller/net/discovery.py
+++ b/shaletiller/net/discovery.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 import math
 import random
 from collections.abc import Callable
@@ -14,13 +15,14 @@
 from shaletiller.config import ConfigError, ServerList, ServerRow, read_address
 from shaletiller.core.model import UpstreamClient
 from shaletiller.core.route import Endpoint
-from shaletiller.log import log
 from shaletiller.messages.endpoints import EndpointEntry, EndpointState, UpdateKind
 from shaletiller.net.body import read_bounded
 from shaletiller.net.http_upstream import never_again
 from shaletiller.registry.endpoint_registry import EndpointRegistry, Source
 from shaletiller.settings.model import Settings
 
+logger = logging.getLogger(__name__)
+
 # A watch waits for so short a time since a silent agent and one that has nothing to tell look alike until it
 # is over: with 20 s, a call that fell silent kept the list old for as long, and news count as told after 6 s.
 WAIT_MS = 1_000
@@ -117,7 +119,7 @@
         try:
             self._take(self._known, UpdateKind.REMEMBERED, source)
         except EndpointListError as error:
-            log(f"known list left out: {error}")
+            logger.warning(f"known list left out: {error}")
 
     def _take(self, found: ServerList, kind: UpdateKind, source: Source = Source.DISCOVERY) -> None:
         places = tuple(read_row(row, self._back) for row in found.servers)
@@ -170,7 +172,7 @@
             async with self._session(AT_ONCE) as session:
                 await self._call(session)
         except Exception as error:
-            log(f"discovery: whole list: {type(error).__name__} {error}")
+            logger.warning(f"discovery: whole list: {type(error).__name__} {error}")
             self._apply(UpdateKind.FAILED, 0, (), 0.0)
 
     async def run(self) -> None:
@@ -183,7 +185,7 @@
                     await self._call(session, self._version, watch=True)
                     failed = 0
                 except Exception as error:  # whatever an agent sends, the watch goes on
-                    log(f"discovery: {type(error).__name__} {error}")
+                    logger.warning(f"discovery: {type(error).__name__} {error}")
                     self._unbroken = False
                     silent = isinstance(error, TimeoutError)
                     if silent and self._answered:
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import logging
 from collections.abc import Callable
 
 from shaletiller.clock import Clock, Timer
@@ -11,13 +12,14 @@
 from shaletiller.fleet.coordinator import FleetCoordinator
 from shaletiller.fleet.core import Options
 from shaletiller.fleet.health_gossip import Departs
-from shaletiller.log import log
 from shaletiller.messages.endpoints import EndpointState
 from shaletiller.net.links import Links
 from shaletiller.net.peers import Peers
 from shaletiller.operator_file import FleetPart
 from shaletiller.replication.messages import MARK
 
+logger = logging.getLogger(__name__)
+
 TICK_MS = 25.0
 SAYS = {
     EndpointState.DRAINING: Departs.DRAINING,
@@ -88,7 +90,9 @@
             self.liaison.ban(node, True, now_ms)
         self._tick()
         fleet = self.liaison.fleet
-        log(f"fleet: member {fleet.names[fleet.me]} of {len(fleet.names)}, life {fleet.incarnation}")
+        logger.warning(
+            f"fleet: member {fleet.names[fleet.me]} of {len(fleet.names)}, life {fleet.incarnation}"
+        )
 
     def _tick(self) -> None:
         now_ms = self._clock.now_ms()
@@ -99,7 +103,7 @@
         try:
             self.liaison.tick(now_ms)
         except Exception as error:  # a fault here must not take the requests with it
-            log(f"fleet: tick broke: {error!r}")
+            logger.warning(f"fleet: tick broke: {error!r}")
 
     def receive(self, data: bytes) -> None:
         if data[:1] == MARK:
@@ -109,7 +113,7 @@
         try:
             self.liaison.receive(data, self._clock.now_ms())
         except Exception as error:
-            log(f"fleet: message broke: {error!r}")
+            logger.warning(f"fleet: message broke: {error!r}")
 
     def send(self, member: int, data: bytes) -> None:
         """A message of any kind to a member; it may be lost."""
--- a/shaletiller/net/http_server.py
+++ b/shaletiller/net/http_server.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import functools
+import logging
 import math
 import re
 from collections.abc import Callable
@@ -16,10 +17,11 @@
 from shaletiller.clock import Clock
 from shaletiller.core.engine import Engine
 from shaletiller.core.model import BadRequestError, ClientCall, FinalResponse, FinalResult
-from shaletiller.log import log
 from shaletiller.net.body import MOST_BODY, read_bounded
 from shaletiller.net.listener import WHOLE_MS, Connection, Door
 
+logger = logging.getLogger(__name__)
+
 LAST_MS = 300.0  # a request that comes so shortly before the end is refused
 HEX16 = re.compile(r"[0-9a-f]{16}", re.IGNORECASE | re.ASCII)
 ID = re.compile(r"[!-~]{1,128}", re.ASCII)
@@ -222,7 +224,7 @@
     def _bad(self, status: int, why: str, request: web.BaseRequest) -> web.Response:
         """An error that ends the connection; it counts as failed for the class that the request named."""
         self._engine.tally(request.headers.get("Request-Class", ""), FinalResult.FAILED)
-        log(f"turned down with {status}: {why}")
+        logger.warning(f"turned down with {status}: {why}")
         answer = web.Response(status=status, text=why + "\n")
         answer.force_close()
         return answer
--- a/shaletiller/net/http_upstream.py
+++ b/shaletiller/net/http_upstream.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import contextlib
+import logging
 import math
 import re
 import time
@@ -17,12 +18,13 @@
 from yarl import URL
 
 from shaletiller.core.model import AttemptResult, ClientCall
-from shaletiller.log import log
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.net.body import MOST_BODY, read_bounded
 from shaletiller.net.pool import UpstreamConnector, UpstreamProtocol
 from shaletiller.settings.model import Settings
 
+logger = logging.getLogger(__name__)
+
 WHOLE_BODY = 16 * 1024  # up to this a body is handed to the socket in one piece
 # Of the node's idle limit.  aiohttp sweeps its pool once in each such time, so that a connection closes after
 # twice this part at the latest, which must come before the node's own close.
@@ -170,7 +172,7 @@
             sound = body is not None and message.code != 101
             return self._reply(message.code, message.headers, body, self._lag_ms(protocol))
         except Exception as error:
-            log(f"node {address}: {type(error).__name__} after the last byte: {error}")
+            logger.warning(f"node {address}: {type(error).__name__} after the last byte: {error}")
             return AttemptResult(Outcome.RESET)
         finally:
             connector.give_back(address, protocol, sound)
@@ -213,7 +215,7 @@
             # Before its last byte was written a request cannot have run; after that it may have.
             sent = written.last or handed_over(tracker)
             when = "after" if sent else "before"
-            log(f"node {address}: {type(error).__name__} {when} the last byte: {error}")
+            logger.warning(f"node {address}: {type(error).__name__} {when} the last byte: {error}")
             return AttemptResult(Outcome.RESET if sent else Outcome.CONNECT_FAILED)
         finally:
             handed_over(tracker)  # its exception is taken, so that it is not reported as forgotten
@@ -283,7 +285,9 @@
         except TimeoutError:
             return AttemptResult(Outcome.TIMEOUT)
         except Exception as error:
-            log(f"probe of {address} broke after {(time.monotonic() - started) * 1000:.0f} ms: {error}")
+            logger.warning(
+                f"probe of {address} broke after {(time.monotonic() - started) * 1000:.0f} ms: {error}"
+            )
             return AttemptResult(Outcome.CONNECT_FAILED)
 
     def close_idle(self, address: str) -> None:
--- a/shaletiller/net/links.py
+++ b/shaletiller/net/links.py
@@ -9,13 +9,15 @@
 
 import asyncio
 import contextlib
+import logging
 import random
 import socket
 import struct
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from shaletiller.log import log
+logger = logging.getLogger(__name__)
+
 
 LENGTH = struct.Struct(">I")
 MOST_FRAME = 160 * 1024  # an answer of 64 KiB that is copied, and what goes along
@@ -64,7 +66,7 @@
             except Exception as error:
                 # Not OSError alone: uvloop answers a call on a connection that has just been reset with a
                 # RuntimeError, and a link that ended with it stayed down for good.
-                log(f"fleet link to {self._address[0]}:{self._address[1]}: {error!r}")
+                logger.warning(f"fleet link to {self._address[0]}:{self._address[1]}: {error!r}")
             finally:
                 writer.transport.abort()
             await asyncio.sleep(self._random.uniform(0, AGAIN_S))
@@ -131,7 +133,7 @@
             while True:
                 (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
                 if not 0 < length <= MOST_FRAME:
-                    log(f"fleet link: a frame of {length} bytes, at most {MOST_FRAME}")
+                    logger.warning(f"fleet link: a frame of {length} bytes, at most {MOST_FRAME}")
                     return
                 self._heard(await reader.readexactly(length))
         except (asyncio.IncompleteReadError, OSError):
--- a/shaletiller/net/listener.py
+++ b/shaletiller/net/listener.py
@@ -9,6 +9,7 @@
 import asyncio
 import collections
 import contextlib
+import logging
 import math
 import socket
 from collections.abc import Awaitable, Callable, Coroutine
@@ -20,10 +21,11 @@
 from aiohttp.web_protocol import RequestHandler
 
 from shaletiller.clock import Clock, Timer
-from shaletiller.log import log
 from shaletiller.net.body import MOST_BODY
 from shaletiller.net.sockets import left, readable, unacknowledged, waiting
 
+logger = logging.getLogger(__name__)
+
 WHOLE_MS = 2200.0  # a request that is not whole by then gets an error: 3 s from connecting it is owed one
 LONGEST_IDLE_MS = 10_000.0
 LINGER_S = 4.0  # how long an error waits for a client that is still sending
@@ -356,7 +358,7 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 break
             except OSError as error:
-                log(f"no connection taken: {error}")
+                logger.warning(f"no connection taken: {error}")
                 self._pause()
                 break
             taken.setblocking(False)
@@ -464,7 +466,7 @@
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: connection, taken)
         except OSError as error:
-            log(f"connection not taken: {error}")
+            logger.warning(f"connection not taken: {error}")
             self.gone(connection)
             taken.close()
 
--- a/shaletiller/net/nvme/server.py
+++ b/shaletiller/net/nvme/server.py
@@ -10,6 +10,7 @@
 import asyncio
 import contextlib
 import itertools
+import logging
 import secrets
 import struct
 from dataclasses import dataclass, field
@@ -24,7 +25,6 @@
     FinalResult,
     RequestSink,
 )
-from shaletiller.log import log
 from shaletiller.net.nvme import identify
 from shaletiller.net.nvme.pdu import (
     CONNECT_DATA_BYTES,
@@ -53,6 +53,8 @@
 )
 from shaletiller.net.nvme.stream import PduStream
 
+logger = logging.getLogger(__name__)
+
 OPENING_S = 5.0  # a connection that has not connected its queue by then is closed
 HALF_CLOSED_S = 0.05  # how long a connection that is shut waits for its host to close it too
 MOST_QUEUES = 16  # I/O queues of one association
@@ -171,7 +173,7 @@
         owed = (self.config.queue_depth + 1) * NVME_TRANSFER
         stream = PduStream(reader, writer, FROM_HOST, owed)
         if len(self._queues) >= self.config.connections:
-            log("too many NVMe connections, one closed")
+            logger.warning("too many NVMe connections, one closed")
             stream.abort()
             return
         task = asyncio.current_task()
@@ -182,7 +184,7 @@
         except asyncio.CancelledError:
             pass  # the process ends: so does this task, in order
         except Exception as error:  # one connection's trouble is no other's
-            log(f"NVMe connection broke: {error!r}")
+            logger.warning(f"NVMe connection broke: {error!r}")
         finally:
             queue.end()
             try:
@@ -218,10 +220,10 @@
                 await self.stream.flushed()
         except PduError as error:
             # The offending header goes back with the reason, then the connection ends.
-            log(f"NVMe connection ended: {error}")
+            logger.warning(f"NVMe connection ended: {error}")
             self.stream.send(term_req(Kind.C2H_TERM, error))
         except (TimeoutError, ConnectionError) as error:
-            log(f"NVMe connection ended: {type(error).__name__}")
+            logger.warning(f"NVMe connection ended: {type(error).__name__}")
 
     @property
     def admin(self) -> bool:
@@ -260,7 +262,7 @@
         elif pdu.kind is Kind.H2C_DATA:
             self._on_data(pdu)
         elif pdu.kind is Kind.H2C_TERM:
-            log(f"NVMe host ended the connection: {pdu.field('H', 8):#x}")
+            logger.warning(f"NVMe host ended the connection: {pdu.field('H', 8):#x}")
             return False
         else:
             raise PduError(Fatal.SEQUENCE, "a second ICReq")
@@ -547,7 +549,7 @@
             try:
                 pending.exchanges.append(self.front.calls.call(call, answered))
             except BadRequestError as error:
-                log(f"NVMe call turned down: {error}")
+                logger.warning(f"NVMe call turned down: {error}")
                 answered(FinalResponse(FinalResult.FAILED))
         # A block may be answered before the next one is put: the command is settled from here on only.
         pending.put = True
@@ -611,7 +613,7 @@
 
     def _served(self, pending: Pending, space: NvmeNamespace, data: bytes | None) -> None:
         if data is None:
-            log(f"namespace {space.nsid}: an object is larger than a block")
+            logger.warning(f"namespace {space.nsid}: an object is larger than a block")
             self._finish(pending, Status.DATA_TRANSFER, final=True)
         else:
             self._finish(pending, Status.SUCCESS, data=data)
--- a/shaletiller/net/nvme/upstream.py
+++ b/shaletiller/net/nvme/upstream.py
@@ -7,13 +7,13 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 import math
 import struct
 import time
 
 from shaletiller.config import NvmeBox, read_address
 from shaletiller.core.model import AttemptResult, ClientCall
-from shaletiller.log import log
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.net.nvme.pdu import (
     FROM_CONTROLLER,
@@ -43,6 +43,8 @@
 from shaletiller.net.nvme.stream import PduStream
 from shaletiller.settings.model import Settings
 
+logger = logging.getLogger(__name__)
+
 HOST = "nqn.2026-12.example.shaletiller:host"
 QUEUE_SIZE = 2
 ENABLE = 0x00460001  # CC: enabled, entries of 64 and 16 bytes
@@ -231,7 +233,7 @@
     ) -> AttemptResult:
         block = int(call.key, 16) - self._box.first_key
         if block < 0 or len(call.body) > self._box.block_bytes:
-            log(f"box {self._box.node}: key {call.key} or its body does not fit")
+            logger.warning(f"box {self._box.node}: key {call.key} or its body does not fit")
             return AttemptResult(Outcome.ERROR)
         bound_s = time.monotonic() + start_within_ms / 1000  # for the wait for a place and the association
         try:
@@ -249,7 +251,7 @@
             async with asyncio.timeout(max(0.0, min(self._connect_s, bound_s - time.monotonic()))):
                 association = await self._take(address)
         except (OSError, NvmeUpstreamError, PduError) as error:  # TimeoutError is an OSError
-            log(f"box {self._box.node}: no association: {type(error).__name__} {error}")
+            logger.warning(f"box {self._box.node}: no association: {type(error).__name__} {error}")
             return AttemptResult(Outcome.CONNECT_FAILED)
         kept = False
         try:
@@ -259,7 +261,9 @@
         except (OSError, NvmeUpstreamError, PduError) as error:
             sent = association.io.handed_over
             when = "after" if sent else "before"
-            log(f"box {self._box.node}: {type(error).__name__} {when} the capsule was sent: {error}")
+            logger.warning(
+                f"box {self._box.node}: {type(error).__name__} {when} the capsule was sent: {error}"
+            )
             return AttemptResult(Outcome.RESET if sent else Outcome.CONNECT_FAILED)
         finally:
             # Cancelled or broken: the command may still come to its end over there, but never on a
--- a/shaletiller/net/peers.py
+++ b/shaletiller/net/peers.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from collections.abc import Callable
 
-from shaletiller.log import log
+logger = logging.getLogger(__name__)
+
 
 MOST_BYTES = 256  # a longer datagram breaks the platform's rules
 FLEET = b"\x97"  # begins an envelope of the fleet (an array of seven), and never a text
@@ -39,7 +41,7 @@
     def send(self, peer: int | None, raw: bytes) -> None:
         """A datagram to one gateway, or to all of them (None)."""
         if len(raw) > MOST_BYTES:
-            log(f"message of {len(raw)} bytes left out: at most {MOST_BYTES}")
+            logger.warning(f"message of {len(raw)} bytes left out: at most {MOST_BYTES}")
             return
         known = peer is None or 0 <= peer < len(self._peers)
         address = self._everyone if peer is None else self._peers[peer] if known else None
@@ -56,10 +58,10 @@
         try:
             self._heard(number, data.decode())
         except UnicodeDecodeError:
-            log(f"message of peer {number} is not text")
+            logger.warning(f"message of peer {number} is not text")
 
     def error_received(self, exc: Exception) -> None:
-        log(f"peers: {exc}")
+        logger.warning(f"peers: {exc}")
 
     def close(self) -> None:
         if self._transport is not None:
--- a/shaletiller/net/replication.py
+++ b/shaletiller/net/replication.py
@@ -5,6 +5,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from collections.abc import Callable
 from pathlib import Path
 
@@ -22,7 +23,6 @@
 from shaletiller.fleet.health_gossip import LONGEST_MS, Kind
 from shaletiller.fleet.membership import State
 from shaletiller.fleet.quotas import NOTHING, Amount, from_wire, to_wire
-from shaletiller.log import log
 from shaletiller.net.fleet import FleetAgent
 from shaletiller.operator_file import OperatorFile
 from shaletiller.replication.core import Keep, ReplicationNode, Send
@@ -36,6 +36,8 @@
 from shaletiller.store.segment_store import Store
 from shaletiller.store.writer import StoreWriter
 
+logger = logging.getLogger(__name__)
+
 TICK_MS, IDLE_TICK_MS = 4.0, 25.0
 WORD_MS = 2_000.0  # how long a DISABLE or DRAIN waits for a majority
 YEAR_MS = 365 * 24 * 3600_000.0  # how long operators' words and node lists are kept
@@ -112,18 +114,24 @@
                 self.damaged = str(error)
                 aside = folder.with_name(f"{folder.name}.damaged-{int(self._clock.now_ms())}")
                 folder.rename(aside)
-                log(f"store: damaged: {error}; set aside as {aside.name}, and filled anew from the copies")
+                logger.warning(
+                    f"store: damaged: {error}; set aside as {aside.name}, and filled anew from the copies"
+                )
                 store = Store(folder, files, int(part.segment_mb * (1 << 20)))
         except (StoreLockedError, OSError) as error:
-            log(f"store: {error}; no votes, and nothing copied is promised, until it can be opened")
+            logger.warning(
+                f"store: {error}; no votes, and nothing copied is promised, until it can be opened"
+            )
             return False
         if store.torn:
-            log(f"store: {store.torn} bytes behind the last whole record of {store.torn_file} left out")
+            logger.warning(
+                f"store: {store.torn} bytes behind the last whole record of {store.torn_file} left out"
+            )
         self.keeper = StoreWriter(store)
         self.keeper.start()
         kept = [(record.kind, record.key, record.value) for record in store]
         self.promises.open(kept, self._clock.now_ms())
-        log(f"store: {len(kept)} records, life {self.promises.acceptor.incarnation}")
+        logger.warning(f"store: {len(kept)} records, life {self.promises.acceptor.incarnation}")
         raw = store.get(META, LIST_KEY)
         if raw is not None:
             self._take_list(raw)
@@ -152,7 +160,7 @@
         self._tell_words()
         while not self.promises.filled:
             await asyncio.sleep(IDLE_TICK_MS / 1000)
-        log("promises: filled, votes on all its keys")
+        logger.warning("promises: filled, votes on all its keys")
         self._tell_words()
         for node in sorted(self._bans.held - self.banned().keys()):
             # Taken out by the process before this one, and kept here only.
@@ -195,7 +203,7 @@
             call()
             self._carry_out()
         except Exception as error:  # a fault here must not take the requests with it
-            log(f"promises: broke: {error!r}")
+            logger.warning(f"promises: broke: {error!r}")
 
     def _heard(self, data: bytes) -> None:
         found = self._codec.read(data)
@@ -298,7 +306,7 @@
         self._exchanges.pop(decision.number, None)
         final = {"served": Final.SERVED, "failed": Final.FAILED, "refused": Final.REFUSED}[decision.what]
         if decision.why:
-            log(f"request {exchange.call.id}: {decision.what}: {decision.why}")
+            logger.warning(f"request {exchange.call.id}: {decision.what}: {decision.why}")
         self._engine.relay(
             exchange,
             FinalResponse(final, decision.body, min(decision.retry_after_ms, NO_MAJORITY_MS)),
@@ -395,7 +403,7 @@
         try:
             self.listed(msgspec.json.decode(raw, type=ServerList))
         except msgspec.MsgspecError as error:
-            log(f"store: the node list that was kept is left out: {error}")
+            logger.warning(f"store: the node list that was kept is left out: {error}")
 
     # ---- figures and the end
 
--- a/shaletiller/store/writer.py
+++ b/shaletiller/store/writer.py
@@ -9,13 +9,15 @@
 import asyncio
 import contextlib
 import functools
+import logging
 from collections import deque
 from collections.abc import Callable, Sequence
 from concurrent.futures import ThreadPoolExecutor
 
-from shaletiller.log import log
 from shaletiller.store.segment_store import Row, Snapshot, Store, StoreBrokenError, StoreFullError
 
+logger = logging.getLogger(__name__)
+
 MOST_ROWS = 2_000  # of one commit
 Done = Callable[[bool], None]
 
@@ -74,11 +76,11 @@
             self.store.commit(rows)
         except (StoreFullError, StoreBrokenError) as error:
             if not self.full:
-                log(f"store: promises nothing: {error}")
+                logger.warning(f"store: promises nothing: {error}")
             self.full = True
             return False
         if self.full:
-            log("store: there is room again")
+            logger.warning("store: there is room again")
         self.full = False
         return True
 
@@ -90,7 +92,7 @@
             await loop.run_in_executor(self._thread, functools.partial(self.store.end_snapshot, begun))
             self.snapshots += 1
         except (OSError, StoreFullError, StoreBrokenError) as error:
-            log(f"store: no snapshot: {error}")
+            logger.warning(f"store: no snapshot: {error}")
             await asyncio.sleep(1.0)
         finally:
             self._snapshot = None
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from collections.abc import Iterable, Mapping
 
 from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
@@ -24,7 +25,8 @@
 from shaletiller.config import Telemetry as TelemetryConfig
 from shaletiller.core.engine import Engine
 from shaletiller.core.model import Exchange, FinalResult
-from shaletiller.log import log
+
+logger = logging.getLogger(__name__)
 
 MOST_SPANS = 1024
 MOST_BATCH = 256
@@ -126,4 +128,4 @@
         work = [loop.run_in_executor(None, each.shutdown) for each in (self._tracers, self._meters)]
         _, late = await asyncio.wait(work, timeout=STOP_S)
         if late:
-            log("telemetry: the last export did not end in time")
+            logger.warning("telemetry: the last export did not end in time")
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -1,45 +1,56 @@
-"""Lines to standard error, rate-limited."""
+"""Log records are single lines on standard error, limited in number per second."""
 
 from __future__ import annotations
 
 import logging
+from collections.abc import Iterator
 
 import pytest
 
 from shaletiller import log
 
 
+@pytest.fixture
+def _configured() -> Iterator[None]:
+    """Logging configured as in a gateway, and put back afterwards."""
+    handlers, level = logging.root.handlers[:], logging.root.level
+    log.configure_logging()
+    yield
+    logging.root.handlers[:], logging.root.level = handlers, level
+    logging.getLogger(log.PROGRAM).setLevel(logging.NOTSET)
+
+
+@pytest.mark.usefixtures("_configured")
 def test_a_flood_is_cut_and_counted(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """More lines come in one second than may be written; a second later one more line comes."""
     now = [1000.0]
-    monkeypatch.setattr(log, "_window", [0.0, 0, 0])
     monkeypatch.setattr("shaletiller.log.time.monotonic", lambda: now[0])
-    for number in range(log.LINES_A_SECOND + 5):
-        log.log(f"line {number}")
+    logger = logging.getLogger("shaletiller.core.engine")
+    for number in range(log.MAX_LINES_PER_SECOND + 5):
+        logger.info("line %d", number)
     now[0] += 1.0
-    log.log("later")
+    logger.info("later")
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == log.LINES_A_SECOND + 2
-    assert lines[-2:] == ["shaletiller: 5 lines left out", "shaletiller: later"]
+    assert len(lines) == log.MAX_LINES_PER_SECOND + 2
+    assert lines[0] == "shaletiller: line 0"
+    assert lines[-2:] == ["shaletiller: 5 log lines dropped", "shaletiller: later"]
 
 
+@pytest.mark.usefixtures("_configured")
 def test_what_libraries_log_is_one_line_and_keeps_to_the_rate(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(log, "_window", [0.0, 0, 0])
-    handlers, level = logging.root.handlers[:], logging.root.level
-    log.forward_libraries()
-    try:
-        for _ in range(log.LINES_A_SECOND + 9):
-            try:
-                raise ValueError("odd")
-            except ValueError:
-                logging.getLogger("aiohttp.server").exception("Error handling request")
-    finally:
-        logging.root.handlers[:], logging.root.level = handlers, level
+    """A library logs an exception with its traceback more often than may be written."""
+    monkeypatch.setattr("shaletiller.log.time.monotonic", lambda: 1000.0)
+    for _ in range(log.MAX_LINES_PER_SECOND + 9):
+        try:
+            raise ValueError("odd")
+        except ValueError:
+            logging.getLogger("aiohttp.server").exception("Error handling request")
     lines = capsys.readouterr().err.splitlines()
     line = "shaletiller: aiohttp.server: Error handling request (ValueError('odd'))"
-    assert lines == [line] * log.LINES_A_SECOND
+    assert lines == [line] * log.MAX_LINES_PER_SECOND
