--- a/shaletiller/__main__.py
+++ b/shaletiller/__main__.py
@@ -14,7 +14,7 @@
 from shaletiller.gateway import Gateway
 from shaletiller.log import configure_logging
 
-logger = logging.getLogger(__name__)
+logger = logging.getLogger("shaletiller")  # `__name__` is `__main__` here
 
 
 async def serve(config: Config) -> None:
