--- a/shaletiller/core/admit.py
+++ b/shaletiller/core/admit.py
@@ -1,4 +1,4 @@
-"""Admit: a call is put before the decision module."""
+"""Admit: an accepted request is put before the scheduler."""
 
 from __future__ import annotations
 
@@ -8,14 +8,19 @@
 from shaletiller.messages.events import Event, Request
 
 
-class Admit:
-    def __init__(self, decide: Callable[[Event], None]) -> None:
-        self._decide = decide
+class AdmitRequest:
+    """Turns an exchange into the scheduler's event."""
 
-    def __call__(self, exchange: Exchange, left_ms: float | None = None) -> None:
-        """`left_ms`: what is left of its time, where it has waited."""
+    def __init__(self, notify: Callable[[Event], None]) -> None:
+        self._notify = notify
+
+    def __call__(self, exchange: Exchange, remaining_ms: float | None = None) -> None:
+        """Put a request before the scheduler.
+
+        :param remaining_ms: what is left of its time-out, where it has waited; None: all of it.
+        """
         call = exchange.call
-        self._decide(
+        self._notify(
             Request(
                 request=call.id,
                 shard=call.shard,
@@ -24,7 +29,7 @@
                 service=call.service,
                 volume=call.volume,
                 units=call.units,
-                deadline_in_ms=call.timeout_ms if left_ms is None else left_ms,
+                deadline_in_ms=call.timeout_ms if remaining_ms is None else remaining_ms,
                 volume_gateways=call.hosts,
                 repeat=call.repeat,
                 write=call.write,
--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -1,4 +1,9 @@
-"""The engine: it tells the decision module what happens and does what the module asks for."""
+"""The engine: it notifies the scheduler of what happens and carries out what the scheduler asks for.
+
+It owns the exchanges of all servers from acceptance to their one final response.  Decisions are the
+scheduler's; the engine guards what must hold even if the scheduler fails: every request gets a response by
+its deadline, and one fault ends neither the process nor another request.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +15,24 @@
 from typing import Any
 
 from shaletiller.clock import Clock
-from shaletiller.core import metrics
 from shaletiller.core.accept import AcceptRequest
-from shaletiller.core.admit import Admit
+from shaletiller.core.admit import AdmitRequest
 from shaletiller.core.forward import AttemptSender
-from shaletiller.core.model import Attempt, AttemptResult, ClientCall, Exchange, FinalResponse, FinalResult
+from shaletiller.core.interfaces import EngineServices, NoServices
+from shaletiller.core.metrics import Counters
+from shaletiller.core.model import (
+    Attempt,
+    AttemptResult,
+    ClientCall,
+    Exchange,
+    FinalResponse,
+    FinalResult,
+)
 from shaletiller.core.record import OutcomeRecorder
 from shaletiller.core.respond import Responder
-from shaletiller.core.route import Endpoint, Route
+from shaletiller.core.route import Endpoint, RouteTable
 from shaletiller.messages.actions import (
+    Action,
     CancelAttempt,
     CloseIdleConnections,
     Fail,
@@ -45,245 +59,279 @@
 
 logger = logging.getLogger(__name__)
 
-MOST_NAMES = 64  # classes in the figures
-GUARD_MS = 15.0  # past the deadline and within the rule's slack: the module's own answer comes first
+MAX_COUNTED_CLASSES = 64  # clients choose class names: they must not grow the counters without end
+# A request without a response gets one so long after its deadline: the scheduler's own response comes first,
+# and the platform allows 50 ms.
+DEADLINE_GUARD_MS = 15.0
 
 
 class Engine:
-    """One gateway's requests, from all fronts, under one decision module."""
+    """One gateway's requests, from all servers, under one scheduler.
 
-    def __init__(self, settings: Settings, seed: int, clock: Clock) -> None:
+    :param settings: the settings in force.
+    :param seed: of the scheduler's random numbers.
+    :param services: what the gateway does for the engine beside sending attempts.
+    """
+
+    def __init__(
+        self, settings: Settings, seed: int, clock: Clock, services: EngineServices | None = None
+    ) -> None:
         self.settings = settings
-        self.counts: dict[str, int] = {}
-        self.table: dict[str, Exchange] = {}
-        self.tell: Callable[[int | None, str], None] = lambda peer, data: None
-        self.fetch_list: Callable[[], object] = lambda: None
-        # Takes a call whose promise is to be copied first, and admits it itself; False: it is none of those.
-        self.vow: Callable[[Exchange], bool] = lambda exchange: False
-        # Shown each event before the module has it; gives the events that the module must have first.
-        self.precede: Callable[[Event, float], Sequence[Event]] = lambda event, now_ms: ()
+        self.counters = Counters()
+        self.exchanges: dict[str, Exchange] = {}  # the requests in flight, by id
+        self.endpoints: dict[str, Endpoint] = {}  # as listed, ejected by hand or not
+        self.ejected: frozenset[str] = frozenset()  # by hand: reported to the rest as gone
+        self._services: EngineServices = services or NoServices()
         self._clock = clock
         self._scheduler = Scheduler(settings, seed)
         self._events: deque[Event] = deque()
-        self._deciding = False
+        self._handling = False
         self._background: set[asyncio.Task[None]] = set()
-        self.listed: dict[str, Endpoint] = {}  # the nodes as the list has them, out by hand or not
-        self.banned: frozenset[str] = frozenset()  # out by hand: named to the rest as gone
-        self._named = {spec.name for spec in settings.classes}
-        self.relay = Responder(self.table, self.counts)
-        self.admit = Admit(self.decide)
-        self.route = Route(settings.max_attempts, settings.hedging_allowed)
-        self.book = OutcomeRecorder(clock, self.relay, self.decide, self.counts)
-        self.send = AttemptSender(clock, self.book)
-        self.take_in = AcceptRequest(settings, clock, self.table, self.send.out)
-        self._doers: dict[type, Callable[[Any], None]] = {
-            SendAttempt: self._on_send,
-            Reject: self._on_refuse,
-            Fail: self._on_fail,
-            CancelAttempt: self._on_cancel,
-            StartTimer: self._on_timer,
-            SendHealthCheck: self._on_probe,
-            SendPeerMessage: lambda act: self.tell(act.peer, act.data),
-            WatchEndpoints: lambda act: None,  # the list is watched all the time
-            FetchEndpointList: self._on_fetch_list,
-            CloseIdleConnections: self._on_close_idle,
-            WriteLog: lambda act: logger.warning(act.line),
+        self._counted_classes = {spec.name for spec in settings.classes}
+        self.respond = Responder(self.exchanges, self.counters, self._services.request_ended)
+        self.admit = AdmitRequest(self.notify)
+        self.routes = RouteTable(settings.max_attempts, settings.hedging_allowed)
+        self._record = OutcomeRecorder(clock, self.respond, self.notify, self.counters)
+        self.attempts = AttemptSender(clock, self._record)
+        self._accept = AcceptRequest(settings, clock, self.exchanges, self.attempts.in_flight)
+        self._performers: dict[type[Action], Callable[[Any], None]] = {
+            SendAttempt: self._send_attempt,
+            Reject: self._reject,
+            Fail: self._fail,
+            CancelAttempt: self._cancel_attempt,
+            StartTimer: self._start_timer,
+            SendHealthCheck: self._send_health_check,
+            SendPeerMessage: self._send_peer_message,
+            WatchEndpoints: self._watch_endpoints,
+            FetchEndpointList: self._fetch_endpoint_list,
+            CloseIdleConnections: self._close_idle_connections,
+            WriteLog: self._write_log,
         }
 
     # ---- what happens
 
-    def call(self, call: ClientCall, answer: Callable[[FinalResponse], None]) -> Exchange:
-        """A client's call; BadCall where no node must see it.  The answer may come before this returns."""
-        exchange = self.take_in(call, answer)
-        wait_ms = call.timeout_ms + GUARD_MS
-        exchange.guard = self._clock.call_later(wait_ms, self._on_guard, exchange)
-        if not self.vow(exchange):
+    def submit(self, call: ClientCall, respond: Callable[[FinalResponse], None]) -> Exchange:
+        """Accept a client request.
+
+        :param respond: called once with the final response, perhaps before this method returns.
+        :raises BadRequestError: where no storage node may see the request; `respond` is not called.
+        """
+        exchange = self._accept(call, respond)
+        wait_ms = call.timeout_ms + DEADLINE_GUARD_MS
+        exchange.deadline_timer = self._clock.call_later(wait_ms, self._guard_deadline, exchange)
+        if not self._services.replicate_intent(exchange):
             self.admit(exchange)
         return exchange
 
-    def client_left(self, exchange: Exchange) -> None:
-        """Nothing is owed any more; what is out is given up."""
-        if exchange.over:
+    def client_disconnected(self, exchange: Exchange) -> None:
+        """Cancel the attempts of a request whose client has closed its connection: no response is owed.
+
+        Without effect where the exchange is finished.
+        """
+        if exchange.finished:
             return
-        self.relay.left(exchange)
+        self.respond.client_disconnected(exchange)
         for attempt in exchange.attempts:
-            self.send.stop(attempt, Outcome.CANCELLED)
-        self.decide(ClientDisconnected(exchange.call.id))
-
-    def nodes(
-        self,
-        kind: UpdateKind,
-        version: int,
-        places: tuple[Endpoint, ...],
-        late_ms: float = 0.0,
+            self.attempts.stop(attempt, Outcome.CANCELLED)
+        self.notify(ClientDisconnected(exchange.call.id))
+
+    def update_endpoints(
+        self, kind: UpdateKind, version: int, endpoints: tuple[Endpoint, ...], late_ms: float = 0.0
     ) -> None:
-        """News of the node list, told so long ago at the most; a node out by hand stays gone to the route
-        and the module."""
+        """Apply an update of the endpoint list; nodes ejected by hand stay gone to routes and scheduler.
+
+        :param late_ms: how long ago the update may have been notified at the most.
+        """
         if kind is not UpdateKind.FAILED:
-            whole = kind is not UpdateKind.CHANGES
-            if whole:
-                self.listed = {}
-            for place in places:
-                if place.entry.state is EndpointState.GONE:
-                    self.listed.pop(place.entry.node, None)
-                else:
-                    self.listed[place.entry.node] = place
-            places = tuple(map(self._masked, places))
-            self.route.learn(places, whole=whole)
-        self.decide(EndpointListUpdate(kind, tuple(place.entry for place in places), version, late_ms))
-
-    def _masked(self, place: Endpoint) -> Endpoint:
-        if place.entry.node not in self.banned or place.entry.state is EndpointState.GONE:
-            return place
-        return Endpoint(replace(place.entry, state=EndpointState.GONE), place.address, place.back)
-
-    def ban(self, banned: frozenset[str], moved: set[str]) -> None:
-        """Operators took nodes out or let them in again: what the list has of them is told anew."""
-        self.banned = banned
-        places = tuple(self.listed[node] for node in sorted(moved) if node in self.listed)
-        if places:
-            self.nodes(UpdateKind.CHANGES, 0, places)
-
-    def renew(self, node: str, started_ms: float) -> None:
-        """Another gateway's list names a newer life of a node: it is held for just started from now on.
-
-        Nothing else is taken from there: where the node is reached is this gateway's own list's to say."""
-        place = self.listed.get(node)
-        if place is not None and started_ms > place.entry.started_ms:
-            entry = replace(place.entry, started_ms=started_ms)
-            self.nodes(UpdateKind.CHANGES, 0, (Endpoint(entry, place.address, place.back),))
-
-    def tally(self, service: str, verdict: FinalResult) -> None:
-        """A final answer given without the module, to a request that named its class."""
-        # Names that clients make up must not grow the figures without end.
-        if service and (service in self._named or len(self._named) < MOST_NAMES):
-            self._named.add(service)
-            metrics.tally(self.counts, service, verdict)
+            full = kind is not UpdateKind.CHANGES
+            self._list_endpoints(endpoints, full)
+            endpoints = tuple(map(self._masked, endpoints))
+            self.routes.learn(endpoints, full=full)
+        entries = tuple(endpoint.entry for endpoint in endpoints)
+        self.notify(EndpointListUpdate(kind, entries, version, late_ms))
+
+    def _list_endpoints(self, endpoints: tuple[Endpoint, ...], full: bool) -> None:
+        if full:
+            self.endpoints = {}
+        for endpoint in endpoints:
+            if endpoint.entry.state is EndpointState.GONE:
+                self.endpoints.pop(endpoint.entry.node, None)
+            else:
+                self.endpoints[endpoint.entry.node] = endpoint
+
+    def _masked(self, endpoint: Endpoint) -> Endpoint:
+        """An endpoint as the rest sees it: gone, where it is ejected by hand."""
+        if endpoint.entry.node not in self.ejected or endpoint.entry.state is EndpointState.GONE:
+            return endpoint
+        entry = replace(endpoint.entry, state=EndpointState.GONE)
+        return Endpoint(entry, endpoint.address, endpoint.back)
+
+    def eject(self, ejected: frozenset[str], changed: set[str]) -> None:
+        """Apply the list entries of nodes anew that operators have ejected or whose ejection they lifted.
+
+        :param ejected: all nodes that are ejected by hand now.
+        :param changed: the nodes for which that has changed.
+        """
+        self.ejected = ejected
+        endpoints = tuple(self.endpoints[node] for node in sorted(changed) if node in self.endpoints)
+        if endpoints:
+            self.update_endpoints(UpdateKind.CHANGES, 0, endpoints)
+
+    def note_restart(self, node: str, started_ms: float) -> None:
+        """Treat a node as warming up, of which another gateway's list has a newer incarnation.
+
+        Nothing else is taken from that list: a node's address may differ from one gateway to the next.
+        """
+        endpoint = self.endpoints.get(node)
+        if endpoint is not None and started_ms > endpoint.entry.started_ms:
+            entry = replace(endpoint.entry, started_ms=started_ms)
+            restarted = Endpoint(entry, endpoint.address, endpoint.back)
+            self.update_endpoints(UpdateKind.CHANGES, 0, (restarted,))
+
+    def count_result(self, request_class: str, result: FinalResult) -> None:
+        """Count a final response that a server gave by itself to a request that named its class."""
+        known = request_class in self._counted_classes
+        if request_class and (known or len(self._counted_classes) < MAX_COUNTED_CLASSES):
+            self._counted_classes.add(request_class)
+            self.counters.count_result(request_class, result)
 
     def retune(self, settings: Settings) -> None:
-        """New settings at SIGHUP: new calls are checked by them; what is held keeps its class."""
+        """Apply new settings (SIGHUP) to new requests; those in flight keep their class."""
         self.settings = settings
         self._scheduler.retune(settings)
-        self.take_in = AcceptRequest(settings, self._clock, self.table, self.send.out)
-        self.route.retune(settings.max_attempts, settings.hedging_allowed)
+        self._accept = AcceptRequest(settings, self._clock, self.exchanges, self.attempts.in_flight)
+        self.routes.retune(settings.max_attempts, settings.hedging_allowed)
 
-    def decide(self, event: Event) -> None:
-        """Tell the module; events that its actions cause follow in turn, never in the midst of another."""
+    def notify(self, event: Event) -> None:
+        """Notify the scheduler; events that its actions cause follow in turn, never amid another one."""
         self._events.append(event)
-        if self._deciding:
+        if self._handling:
             return
-        self._deciding = True
+        self._handling = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
-            self._deciding = False
+            self._handling = False
 
     def _handle(self, event: Event) -> None:
+        for each in (*self._events_before(event), event):
+            self._schedule(each)
+
+    def _events_before(self, event: Event) -> Sequence[Event]:
         try:
-            first = self.precede(event, self._clock.now_ms())
-        except Exception as error:  # what goes along with the decisions must not end them
-            logger.warning(f"what precedes {type(event).__name__} broke: {error!r}")
-            first = ()
-        for each in (*first, event):
-            self._put(each)
-
-    def _put(self, event: Event) -> None:
-        # An error in the module or in one action ends neither the process nor another request: the guard
-        # still answers what is left hanging.
+            return self._services.events_before(event, self._clock.now_ms())
+        except Exception:
+            logger.exception("%s: the fleet failed, scheduled without it", type(event).__name__)
+            return ()
+
+    def _schedule(self, event: Event) -> None:
         try:
             actions = self._scheduler.handle(self._clock.now_ms(), event)
-        except Exception as error:
-            logger.warning(f"decision on {type(event).__name__} broke: {error!r}")
+        except Exception:
+            logger.exception("%s: the scheduler failed, no action follows", type(event).__name__)
             return
         for action in actions:
             try:
-                self._doers[type(action)](action)
-            except Exception as error:
-                logger.warning(f"action {type(action).__name__} broke: {error!r}")
-
-    def answer_all(self) -> None:
-        """The process ends: what is still held gets its answer first."""
-        for exchange in list(self.table.values()):
-            self._on_guard(exchange)
-
-    def _on_guard(self, exchange: Exchange) -> None:
-        if exchange.answered:
+                self._performers[type(action)](action)
+            except Exception:
+                logger.exception("action %s failed", type(action).__name__)
+
+    def respond_to_all(self) -> None:
+        """Respond to every request that is in flight, for the process ends."""
+        for exchange in list(self.exchanges.values()):
+            self._guard_deadline(exchange)
+
+    def _guard_deadline(self, exchange: Exchange) -> None:
+        """Respond to a request that has no response when its deadline has passed."""
+        if exchange.ended:
             return
-        logger.warning(f"request {exchange.call.id}: no answer by its deadline, guarded")
-        self.relay.give_up(exchange)
+        logger.warning("request %s: no response by its deadline, ended by the guard", exchange.call.id)
+        self.respond.give_up(exchange)
         for attempt in exchange.attempts:
-            self.send.stop(attempt, Outcome.TIMEOUT)
-        self.decide(ClientDisconnected(exchange.call.id))
+            self.attempts.stop(attempt, Outcome.TIMEOUT)
+        self.notify(ClientDisconnected(exchange.call.id))
 
-    # ---- what the module asks for
+    # ---- what the scheduler asks for
 
-    def _on_send(self, act: SendAttempt) -> None:
-        exchange, now_ms = self.table.get(act.request), self._clock.now_ms()
-        place = self.route(exchange, act.node, now_ms)
+    def _send_attempt(self, action: SendAttempt) -> None:
+        exchange, now_ms = self.exchanges.get(action.request), self._clock.now_ms()
+        endpoint = self.routes.route(exchange, action.node, now_ms)
         if exchange is None:
-            logger.warning(f"request {act.request}: send for a request that is over")
+            logger.warning("request %s: no attempt, the request has ended", action.request)
             return
-        attempt = Attempt(len(exchange.attempts), act.node, now_ms)
+        attempt = Attempt(len(exchange.attempts), action.node, now_ms)
         exchange.attempts.append(attempt)
-        if place is None:
-            self.book(exchange, attempt, AttemptResult(Outcome.MOOT))
+        if endpoint is None:
+            self._record(exchange, attempt, AttemptResult(Outcome.MOOT))
         else:
-            self.send(exchange, attempt, place, act.timeout_ms, act.start_within_ms)
+            self.attempts(exchange, attempt, endpoint, action.timeout_ms, action.start_within_ms)
 
-    def _on_refuse(self, act: Reject) -> None:
-        self._finish(act.request, FinalResponse(FinalResult.REFUSED, retry_after_ms=act.retry_after_ms))
+    def _reject(self, action: Reject) -> None:
+        response = FinalResponse(FinalResult.REJECTED, retry_after_ms=action.retry_after_ms)
+        self._end(action.request, response)
 
-    def _on_fail(self, act: Fail) -> None:
-        self._finish(act.request, FinalResponse(FinalResult.FAILED))
+    def _fail(self, action: Fail) -> None:
+        self._end(action.request, FinalResponse(FinalResult.FAILED))
 
-    def _finish(self, request: str, answer: FinalResponse) -> None:
-        exchange = self.table.get(request)
+    def _end(self, request: str, response: FinalResponse) -> None:
+        exchange = self.exchanges.get(request)
         if exchange is not None:
-            self.relay(exchange, answer)
+            self.respond(exchange, response)
 
-    def _on_cancel(self, act: CancelAttempt) -> None:
-        # Looked up among the attempts that are out: one may be called off after its request is over.
-        attempt = self.send.out.get((act.request, act.attempt))
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        # Found among the attempts in flight: one may be cancelled after its request has ended.
+        attempt = self.attempts.in_flight.get((action.request, action.attempt))
         if attempt is not None:
-            self.send.stop(attempt, Outcome.CANCELLED)
+            self.attempts.stop(attempt, Outcome.CANCELLED)
 
-    def _on_timer(self, act: StartTimer) -> None:
-        self._clock.call_later(act.wait_ms, self.decide, TimerExpired(act.token))
+    def _start_timer(self, action: StartTimer) -> None:
+        self._clock.call_later(action.wait_ms, self.notify, TimerExpired(action.token))
 
-    def _on_close_idle(self, act: CloseIdleConnections) -> None:
-        place = self.route.find(act.node)
-        if place is not None:
-            place.back.close_idle(place.address)
+    def _send_peer_message(self, action: SendPeerMessage) -> None:
+        self._services.send_peer_message(action.peer, action.data)
 
-    def _on_fetch_list(self, act: FetchEndpointList) -> None:
-        self.fetch_list()
+    def _watch_endpoints(self, action: WatchEndpoints) -> None:
+        """Nothing to do: discovery watches the list all the time."""
 
-    def _on_probe(self, act: SendHealthCheck) -> None:
-        place = self.route.find(act.node)
-        if place is not None:
-            self.spawn(self._probe(place))
+    def _fetch_endpoint_list(self, action: FetchEndpointList) -> None:
+        self._services.fetch_endpoint_list()
 
-    async def _probe(self, place: Endpoint) -> None:
+    def _close_idle_connections(self, action: CloseIdleConnections) -> None:
+        endpoint = self.routes.find(action.node)
+        if endpoint is not None:
+            endpoint.back.close_idle(endpoint.address)
+
+    def _write_log(self, action: WriteLog) -> None:
+        logger.info("%s", action.line)
+
+    def _send_health_check(self, action: SendHealthCheck) -> None:
+        endpoint = self.routes.find(action.node)
+        if endpoint is not None:
+            self.spawn(self._health_check(endpoint))
+
+    async def _health_check(self, endpoint: Endpoint) -> None:
         sent_ms = self._clock.now_ms()
-        reply = await place.back.probe(place.address)
+        result = await endpoint.back.probe(endpoint.address)
         latency_ms = self._clock.now_ms() - sent_ms
-        self.decide(HealthCheckEnded(place.entry.node, reply.outcome, latency_ms, reply.report))
+        self.notify(HealthCheckEnded(endpoint.entry.node, result.outcome, latency_ms, result.report))
+
+    # ---- background tasks
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Work beside the requests; its errors are logged and end nothing else."""
+        """Run a coroutine beside the requests; its exception is logged and ends nothing else."""
         task = asyncio.ensure_future(work)
         self._background.add(task)
-        task.add_done_callback(self._spawned)
+        task.add_done_callback(self._background_ended)
         return task
 
-    def _spawned(self, task: asyncio.Task[None]) -> None:
+    def _background_ended(self, task: asyncio.Task[None]) -> None:
         self._background.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            logger.warning(f"background work broke: {task.exception()!r}")
+            logger.error("background task %s failed: %r", task.get_name(), task.exception())
 
     async def close(self) -> None:
-        """End the work beside the requests."""
+        """End the background tasks."""
         for task in list(self._background):
             task.cancel()
         await asyncio.gather(*self._background, return_exceptions=True)
--- a/shaletiller/core/forward.py
+++ b/shaletiller/core/forward.py
@@ -1,4 +1,4 @@
-"""Send: one attempt at one node, with exactly one reply."""
+"""Forward: one attempt at one storage node, with exactly one result."""
 
 from __future__ import annotations
 
@@ -16,49 +16,70 @@
 
 
 class AttemptSender:
-    def __init__(self, clock: Clock, book: Callable[[Exchange, Attempt, AttemptResult], None]) -> None:
+    """Runs attempts as tasks; each ends by its result, its time-out or a stop.
+
+    `in_flight` holds the attempts without a result by (request id, attempt number).
+
+    :param record: called once with the result of each attempt.
+    """
+
+    def __init__(self, clock: Clock, record: Callable[[Exchange, Attempt, AttemptResult], None]) -> None:
         self._clock = clock
-        self._book = book
-        self.out: dict[tuple[str, int], Attempt] = {}
+        self._record = record
+        self.in_flight: dict[tuple[str, int], Attempt] = {}
 
     def __call__(
         self,
         exchange: Exchange,
         attempt: Attempt,
-        place: Endpoint,
+        endpoint: Endpoint,
         timeout_ms: float,
         start_within_ms: float = math.inf,
     ) -> None:
-        left_ms = exchange.deadline_ms - self._clock.now_ms()
-        wait_ms = min(timeout_ms, left_ms) if timeout_ms > 0 else left_ms
+        """Start an attempt.
+
+        :param timeout_ms: after which it is stopped; 0: at the request's deadline, which also bounds it.
+        :param start_within_ms: an attempt that cannot be written by then is not written at all.
+        """
+        remaining_ms = exchange.deadline_ms - self._clock.now_ms()
+        wait_ms = min(timeout_ms, remaining_ms) if timeout_ms > 0 else remaining_ms
         task = asyncio.ensure_future(
-            place.back.attempt(place.address, exchange.call, wait_ms, start_within_ms)
+            endpoint.back.attempt(endpoint.address, exchange.call, wait_ms, start_within_ms)
         )
         attempt.task = task
-        self.out[exchange.call.id, attempt.number] = attempt
+        self.in_flight[exchange.call.id, attempt.number] = attempt
         timer = self._clock.call_later(wait_ms, self.stop, attempt, Outcome.TIMEOUT)
 
         def ended(done: asyncio.Task[AttemptResult]) -> None:
             # A callback and not code after an await: a task cancelled before its first step runs none of it,
             # and the attempt would never get its outcome.
             timer.cancel()
-            self.out.pop((exchange.call.id, attempt.number), None)
-            self._book(exchange, attempt, self._reply(done, attempt))
+            self.in_flight.pop((exchange.call.id, attempt.number), None)
+            self._record(exchange, attempt, self._result(done, exchange, attempt))
 
         task.add_done_callback(ended)
 
-    def stop(self, attempt: Attempt, why: Outcome) -> None:
-        """Give up an attempt: its back closes the connection, then the outcome is booked."""
-        if attempt.outcome is None and attempt.stopped is None and attempt.task is not None:
-            attempt.stopped = why
+    def stop(self, attempt: Attempt, reason: Outcome) -> None:
+        """End an attempt: its connection is closed, then `reason` is recorded as its outcome.
+
+        Without effect where it has an outcome or is being stopped.
+        """
+        if attempt.outcome is None and attempt.stop_reason is None and attempt.task is not None:
+            attempt.stop_reason = reason
             attempt.task.cancel()
 
     @staticmethod
-    def _reply(done: asyncio.Task[AttemptResult], attempt: Attempt) -> AttemptResult:
+    def _result(done: asyncio.Task[AttemptResult], exchange: Exchange, attempt: Attempt) -> AttemptResult:
         if done.cancelled():
-            return AttemptResult(attempt.stopped or Outcome.CANCELLED)
+            return AttemptResult(attempt.stop_reason or Outcome.CANCELLED)
         error = done.exception()
         if error is not None:
-            logger.warning(f"attempt broke: {error!r}")
+            logger.error(
+                "request %s: attempt %d at node %s failed, recorded as reset: %r",
+                exchange.call.id,
+                attempt.number,
+                attempt.node,
+                error,
+            )
             return AttemptResult(Outcome.RESET)  # it may have run: nothing better is known
         return done.result()
--- a/shaletiller/core/metrics.py
+++ b/shaletiller/core/metrics.py
@@ -1,24 +1,39 @@
-"""Figures: what the gateway has done since its start, as operators read them."""
+"""Counters of what the gateway has done since its start, and the lines in which operators read them."""
 
 from __future__ import annotations
 
 from shaletiller.core.model import FinalResult
 
-RESULT = {FinalResult.SERVED: "succeeded", FinalResult.REFUSED: "declined", FinalResult.FAILED: "aborted"}
+# The words of the operators' STATS lines.
+RESULT_WORDS = {
+    FinalResult.SERVED: "succeeded",
+    FinalResult.REJECTED: "declined",
+    FinalResult.FAILED: "aborted",
+}
+RESULTS_PREFIX = "results."
 
 
-def tally(counts: dict[str, int], service: str, verdict: FinalResult) -> None:
-    """One final answer of a class."""
-    name = f"results.{service}.{RESULT[verdict]}"
-    counts[name] = counts.get(name, 0) + 1
+class Counters(dict[str, int]):
+    """Counters by name; a name that was never counted reads 0 with `get(name, 0)`."""
 
+    def increment(self, name: str) -> None:
+        """Count one occurrence."""
+        self[name] = self.get(name, 0) + 1
 
-def lines(counts: dict[str, int], classes: list[str], gauges: dict[str, int]) -> list[str]:
-    """`edge.NAME=VALUE`, each class's results first, those of a class that is no longer set too."""
-    told = [name.split(".")[1] for name in counts if name.startswith("results.")]
-    found = [
-        f"edge.results.{service}.{word}={counts.get(f'results.{service}.{word}', 0)}"
-        for service in dict.fromkeys([*classes, *told])
-        for word in RESULT.values()
-    ]
-    return found + [f"edge.{name}={value}" for name, value in gauges.items()]
+    def count_result(self, request_class: str, result: FinalResult) -> None:
+        """Count one final result of a request class."""
+        self.increment(f"{RESULTS_PREFIX}{request_class}.{RESULT_WORDS[result]}")
+
+
+def stats_lines(counters: Counters, classes: list[str], gauges: dict[str, int]) -> list[str]:
+    """The lines `edge.NAME=VALUE` of the operators' STATS.
+
+    :param classes: the request classes in force; classes that were counted before are listed after them.
+    """
+    counted = [name.split(".")[1] for name in counters if name.startswith(RESULTS_PREFIX)]
+    lines = []
+    for request_class in dict.fromkeys([*classes, *counted]):
+        for word in RESULT_WORDS.values():
+            name = f"{RESULTS_PREFIX}{request_class}.{word}"
+            lines.append(f"edge.{name}={counters.get(name, 0)}")
+    return lines + [f"edge.{name}={value}" for name, value in gauges.items()]
--- a/shaletiller/core/model.py
+++ b/shaletiller/core/model.py
@@ -1,4 +1,7 @@
-"""What the core deals in: calls, answers, attempts and replies."""
+"""The data of the core: client requests, their attempts at storage nodes, and the results of both.
+
+Times are milliseconds of the gateway's clock.  Nothing here belongs to a particular wire protocol.
+"""
 
 from __future__ import annotations
 
@@ -6,17 +9,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
-from math import inf
-from typing import Protocol
 
 from shaletiller.clock import Timer
 from shaletiller.messages.outcomes import Outcome
-from shaletiller.settings.model import Settings
 
 
 @dataclass(slots=True, frozen=True)
 class ClientCall:
-    """What a client asks for.  `method` and `target` pass to the node as they came."""
+    """A client's request, as a server decoded it.
+
+    `method`, `target` and `body` are forwarded to the storage node unchanged.  `hosts` is the number of
+    gateways through which the volume's requests come; a `shard` of -1 stands for a new object.
+    """
 
     id: str
     service: str
@@ -32,110 +36,88 @@
     target: str
     body: bytes = b""
     repeat: bool = False
-    idempotency_key: str = ""  # of a keyed class: what the nodes tell its repeats by; passes on as it came
+    idempotency_key: str = ""  # storage nodes recognise a retry by it; forwarded unchanged
 
 
 class FinalResult(Enum):
+    """How a client request ended; the values are labels of the exported metrics."""
+
     SERVED = "served"
-    REFUSED = "refused"
-    FAILED = "failed"
+    REJECTED = "refused"  # no attempt ran, or a retry does no harm
+    FAILED = "failed"  # an attempt may have run
 
 
 @dataclass(slots=True, frozen=True)
 class FinalResponse:
-    """The one final answer to a call."""
+    """The one final response to a client request.
 
-    verdict: FinalResult
+    `retry_after_ms` is the advice of a rejection on when to try again; 0 gives none.
+    """
+
+    result: FinalResult
     body: bytes = b""
     retry_after_ms: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
-    """How one attempt went, as the back saw it."""
+    """How one attempt ended, as the upstream client saw it.
+
+    `latency_ms` is the time the storage node took, where the client can tell it from its own delays.
+    """
 
     outcome: Outcome
     body: bytes = b""
     used: float = 0.0
     other_gateways_units: float = 0.0
     report: tuple[tuple[str, float], ...] = ()
-    latency_ms: float | None = (
-        None  # how long the node took, where the back could tell that from its own delays
-    )
+    latency_ms: float | None = None
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One try of a call at one node."""
+    """One attempt of a client request at one storage node."""
 
     number: int
     node: str
     sent_ms: float
     task: asyncio.Task[AttemptResult] | None = None
-    stopped: Outcome | None = None  # why the gateway itself ended it
+    stop_reason: Outcome | None = None  # why the gateway itself ended it
     outcome: Outcome | None = None
     ended_ms: float | None = None
 
 
 @dataclass(slots=True)
 class Exchange:
-    """A call from its arrival to its final answer and the end of its last attempt."""
+    """A client request from its acceptance to its final response and the end of its last attempt.
+
+    It is owned by the engine until it has its result.  `on_result` is set for writes whose outcome is
+    replicated: it is called once with the response, or with None where the client disconnected.
+    """
 
     call: ClientCall
-    answer: Callable[[FinalResponse], None]
-    taken_ms: float
+    respond: Callable[[FinalResponse], None]
+    accepted_ms: float
     deadline_ms: float
-    safe: bool = False  # whether its class, as it was when it came, may simply be repeated
-    guard: Timer | None = None
-    final: FinalResult | None = None
-    left: bool = False
+    idempotent: bool = False  # by its class's settings at the time of acceptance
+    deadline_timer: Timer | None = None
+    result: FinalResult | None = None
+    client_gone: bool = False
     attempts: list[Attempt] = field(default_factory=list)
-    # Whether its outcome is being copied: nothing more is sent for it, and then it has its answer.
-    settling: bool = False
-    keeps: Callable[[FinalResponse | None], None] | None = (
-        None  # told how it ended, None where its client left
-    )
+    replicating_outcome: bool = False  # no further attempt starts; the response follows the replication
+    on_result: Callable[[FinalResponse | None], None] | None = None
 
     @property
-    def answered(self) -> bool:
-        return self.left or self.final is not None
+    def ended(self) -> bool:
+        """Whether the client has its response, or has disconnected."""
+        return self.client_gone or self.result is not None
 
     @property
-    def over(self) -> bool:
-        """Whether nothing is owed to it by the decision module any more."""
-        return self.answered or self.settling
+    def finished(self) -> bool:
+        """Whether the scheduler owes it nothing more."""
+        return self.ended or self.replicating_outcome
 
     @property
-    def harmless(self) -> bool:
-        """Whether every attempt is proven never to have run."""
+    def never_ran(self) -> bool:
+        """Whether every attempt is proven not to have run."""
         return all(each.outcome is not None and each.outcome.never_ran for each in self.attempts)
-
-
-class BadRequestError(Exception):
-    """A call that no node must see."""
-
-
-class RequestSink(Protocol):
-    """What a front needs of the engine."""
-
-    def call(self, call: ClientCall, answer: Callable[[FinalResponse], None]) -> Exchange: ...
-
-    def client_left(self, exchange: Exchange) -> None: ...
-
-
-class UpstreamClient(Protocol):
-    """A way to nodes.  A cancelled attempt leaves its connection closed.
-
-    An attempt that cannot be written within `start_within_ms` is not written at all."""
-
-    async def attempt(
-        self, address: str, call: ClientCall, timeout_ms: float, start_within_ms: float = inf
-    ) -> AttemptResult: ...
-
-    def retune(self, settings: Settings) -> None: ...
-
-    async def probe(self, address: str) -> AttemptResult: ...
-
-    def close_idle(self, address: str) -> None: ...
-
-    async def close(self) -> None: ...
--- a/shaletiller/core/record.py
+++ b/shaletiller/core/record.py
@@ -1,53 +1,53 @@
-"""Book: an attempt's one outcome is kept and told to the decision module."""
+"""Record: the one outcome of an attempt is counted and the scheduler notified of it."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from shaletiller.clock import Clock
+from shaletiller.core.metrics import Counters
 from shaletiller.core.model import Attempt, AttemptResult, Exchange, FinalResponse, FinalResult
 from shaletiller.core.respond import Responder
 from shaletiller.messages.events import AttemptEnded, Event
 from shaletiller.messages.outcomes import Outcome
 
-UNSENT = (Outcome.CONNECT_FAILED, Outcome.MOOT)  # the attempts that no node was handed whole
+# Outcomes of attempts that no storage node was handed completely.
+NOT_FORWARDED = (Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class OutcomeRecorder:
+    """Ends attempts, each exactly once."""
+
     def __init__(
-        self,
-        clock: Clock,
-        relay: Responder,
-        decide: Callable[[Event], None],
-        counts: dict[str, int],
+        self, clock: Clock, respond: Responder, notify: Callable[[Event], None], counters: Counters
     ) -> None:
         self._clock = clock
-        self._relay = relay
-        self._decide = decide
-        self._counts = counts
+        self._respond = respond
+        self._notify = notify
+        self._counters = counters
 
-    def __call__(self, exchange: Exchange, attempt: Attempt, reply: AttemptResult) -> None:
+    def __call__(self, exchange: Exchange, attempt: Attempt, result: AttemptResult) -> None:
+        """Record an attempt's result; without effect where it has one.  A success is responded first."""
         if attempt.outcome is not None:
             return
-        attempt.outcome = reply.outcome
+        attempt.outcome = result.outcome
         attempt.ended_ms = self._clock.now_ms()
-        name = f"attempt.{reply.outcome.value}"
-        self._counts[name] = self._counts.get(name, 0) + 1
-        if reply.outcome not in UNSENT:
-            self._counts["forwards"] = self._counts.get("forwards", 0) + 1
-        if reply.outcome is Outcome.OK:
-            self._relay(exchange, FinalResponse(FinalResult.SERVED, reply.body))
-        latency_ms = attempt.ended_ms - attempt.sent_ms if reply.latency_ms is None else reply.latency_ms
-        self._decide(
+        self._counters.increment(f"attempt.{result.outcome.value}")
+        if result.outcome not in NOT_FORWARDED:
+            self._counters.increment("forwards")
+        if result.outcome is Outcome.OK:
+            self._respond(exchange, FinalResponse(FinalResult.SERVED, result.body))
+        elapsed_ms = attempt.ended_ms - attempt.sent_ms
+        self._notify(
             AttemptEnded(
                 request=exchange.call.id,
                 attempt=attempt.number,
                 node=attempt.node,
-                outcome=reply.outcome,
-                latency_ms=latency_ms,
-                over=exchange.over,
-                used=reply.used,
-                other_gateways_units=reply.other_gateways_units,
-                report=reply.report,
+                outcome=result.outcome,
+                latency_ms=elapsed_ms if result.latency_ms is None else result.latency_ms,
+                over=exchange.finished,
+                used=result.used,
+                other_gateways_units=result.other_gateways_units,
+                report=result.report,
             )
         )
--- a/shaletiller/core/respond.py
+++ b/shaletiller/core/respond.py
@@ -1,60 +1,73 @@
-"""Relay: the one final answer of a call goes back to its client."""
+"""Respond: the one final response of a request goes to its client."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 
-from shaletiller.core.metrics import tally
+from shaletiller.core.metrics import Counters
 from shaletiller.core.model import Exchange, FinalResponse, FinalResult
 
 logger = logging.getLogger(__name__)
 
 
 class Responder:
-    def __init__(self, table: dict[str, Exchange], counts: dict[str, int]) -> None:
-        self._table = table
-        self._counts = counts
-        self.seen: Callable[[Exchange], None] = lambda exchange: None
-
-    def __call__(self, exchange: Exchange, answer: FinalResponse, settled: bool = False) -> None:
-        """`settled`: the answer of one who keeps the call's outcome, which needs no further word of it."""
-        if exchange.answered or (exchange.settling and not settled):
+    """Ends exchanges, each exactly once.
+
+    :param request_ended: called with each exchange as it ends.
+    """
+
+    def __init__(
+        self,
+        exchanges: dict[str, Exchange],
+        counters: Counters,
+        request_ended: Callable[[Exchange], None],
+    ) -> None:
+        self._exchanges = exchanges
+        self._counters = counters
+        self._request_ended = request_ended
+
+    def __call__(self, exchange: Exchange, response: FinalResponse, replicated: bool = False) -> None:
+        """Give a request its final response; without effect where it has one, or its client is gone.
+
+        :param replicated: the response comes from the replication of the outcome, which is complete; the
+            replication is then not called again.
+        """
+        if exchange.ended or (exchange.replicating_outcome and not replicated):
             return
-        keeps = None if settled else exchange.keeps
-        if keeps is not None and answer.verdict is FinalResult.SERVED:
-            exchange.settling = True  # told only when it is kept
-            keeps(answer)
+        on_result = None if replicated else exchange.on_result
+        if on_result is not None and response.result is FinalResult.SERVED:
+            # The client must not learn of a success that a lost machine would forget.
+            exchange.replicating_outcome = True
+            on_result(response)
             return
-        exchange.final = answer.verdict
-        self.forget(exchange)
-        self._counts[answer.verdict.value] = self._counts.get(answer.verdict.value, 0) + 1
-        tally(self._counts, exchange.call.service, answer.verdict)
+        exchange.result = response.result
+        self._end(exchange)
+        self._counters.increment(response.result.value)
+        self._counters.count_result(exchange.call.service, response.result)
         try:
-            exchange.answer(answer)
-        except Exception as error:  # a broken front must not take the other requests with it
-            logger.warning(f"answer not delivered: {error!r}")
-        if keeps is not None:
-            keeps(answer)
-
-    def left(self, exchange: Exchange) -> None:
-        exchange.left = True
-        self.forget(exchange)
-        self._counts["left"] = self._counts.get("left", 0) + 1
-        if exchange.keeps is not None:
-            exchange.keeps(None)
-
-    def forget(self, exchange: Exchange) -> None:
-        if exchange.guard is not None:
-            exchange.guard.cancel()
-        self.seen(exchange)
-        self._table.pop(exchange.call.id, None)
+            exchange.respond(response)
+        except Exception:
+            logger.exception("request %s: response not delivered to its client", exchange.call.id)
+        if on_result is not None:
+            on_result(response)
+
+    def client_disconnected(self, exchange: Exchange) -> None:
+        """End an exchange whose client has closed its connection."""
+        exchange.client_gone = True
+        self._end(exchange)
+        self._counters.increment("left")
+        if exchange.on_result is not None:
+            exchange.on_result(None)
 
     def give_up(self, exchange: Exchange) -> None:
-        """The module kept silent: refuse only where a repeat does no harm."""
-        refused = exchange.safe or exchange.harmless
-        self(
-            exchange,
-            FinalResponse(FinalResult.REFUSED if refused else FinalResult.FAILED),
-            settled=exchange.settling,
-        )
+        """Respond for a scheduler that has not: reject only where a retry does no harm, else fail."""
+        harmless = exchange.idempotent or exchange.never_ran
+        result = FinalResult.REJECTED if harmless else FinalResult.FAILED
+        self(exchange, FinalResponse(result), replicated=exchange.replicating_outcome)
+
+    def _end(self, exchange: Exchange) -> None:
+        if exchange.deadline_timer is not None:
+            exchange.deadline_timer.cancel()
+        self._request_ended(exchange)
+        self._exchanges.pop(exchange.call.id, None)
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import logging
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -14,9 +14,10 @@
 from shaletiller.config import Config, ConfigError, ServerList, read_address
 from shaletiller.core import metrics
 from shaletiller.core.engine import Engine
+from shaletiller.core.interfaces import UpstreamClient
 from shaletiller.core.manual_ejection import ManualEjections
-from shaletiller.core.model import UpstreamClient
-from shaletiller.messages.events import PeerMessageReceived
+from shaletiller.core.model import Exchange
+from shaletiller.messages.events import Event, PeerMessageReceived
 from shaletiller.net.admin import Admin, Refused
 from shaletiller.net.discovery import Discovery
 from shaletiller.net.http_server import HttpServer
@@ -54,18 +55,56 @@
 )
 
 
+class GatewayServices:
+    """What a gateway does for its engine beside sending attempts; parts that are off do nothing."""
+
+    def __init__(self, gateway: Gateway) -> None:
+        self._gateway = gateway
+
+    def send_peer_message(self, peer: int | None, data: str) -> None:
+        """Send a datagram to one gateway, or to all (None)."""
+        self._gateway.peers.tell(peer, data)
+
+    def fetch_endpoint_list(self) -> None:
+        """Fetch the full endpoint list once, in the background."""
+        self._gateway.engine.spawn(self._gateway.discovery.fetch())
+
+    def events_before(self, event: Event, now_ms: float) -> Sequence[Event]:
+        """What the fleet has for the scheduler before an event."""
+        fleet = self._gateway.fleet
+        return fleet.events_before(event, now_ms) if fleet is not None else ()
+
+    def replicate_intent(self, exchange: Exchange) -> bool:
+        """Hand a write to the replication, where its class is replicated."""
+        replication = self._gateway.promises
+        return replication is not None and replication.replicate_intent(exchange)
+
+    def request_ended(self, exchange: Exchange) -> None:
+        """Report a request to the telemetry."""
+        telemetry = self._gateway.telemetry
+        if telemetry is not None:
+            telemetry.request_ended(exchange)
+
+
 class Gateway:
+    """One gateway put together: its servers, upstream clients, engine and operators' calls."""
+
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config = config
         self._clock = clock or Clock()
-        self.engine = Engine(config.settings, config.seed, self._clock)
+        self.engine = Engine(config.settings, config.seed, self._clock, GatewayServices(self))
         self.telemetry: Otlp | None = None
         # Shared by all nodes that speak HTTP: what is kept for one node would add up over those that go.
         self._http = HttpUpstreamClient(config.settings, config.back_sockets // (2 if config.nvme.box else 1))
         a_box = config.back_sockets // 2 // max(1, len(config.nvme.box))
         self._boxes = self._nvme_boxes(a_box)
         self.discovery = Discovery(
-            config.discovery, config.known, self._back_of, self.engine.nodes, config.seed, self._clock.now_ms
+            config.discovery,
+            config.known,
+            self._back_of,
+            self.engine.update_endpoints,
+            config.seed,
+            self._clock.now_ms,
         )
         self.discovery.retune(config.settings)
         self.front = HttpServer(self.engine, config.front_sockets, lambda: self.discovery.held, self._clock)
@@ -76,15 +115,13 @@
             self._heard,
             self.fleet.receive if self.fleet is not None else None,
         )
-        self.engine.tell = self.peers.tell
-        self.engine.fetch_list = lambda: self.engine.spawn(self.discovery.fetch())
         self.nvme = self._nvme_front()
         self._watch: asyncio.Task[None] | None = None
         self._longest_ms = max(spec.deadline_ms for spec in config.settings.classes)
         self._stopping = False
         self.sighup = {"applied": 0, "rejected": 0}
         bans = Path(config.state_dir) / f"shaletiller-{config.name or 'gateway'}-bans.json"
-        self.bans = ManualEjections(bans, lambda moved: self.engine.ban(self.bans.held, moved))
+        self.bans = ManualEjections(bans, lambda moved: self.engine.eject(self.bans.nodes, moved))
         self.promises = self._promise_port()
         self.admin = (
             Admin(
@@ -157,10 +194,11 @@
     def _stats(self, words: list[str]) -> list[str]:
         engine = self.engine
         gauges = {
-            "forwards": engine.counts.get("forwards", 0) + len(engine.send.out),  # out: mostly written
-            "outstanding": len(engine.table),
-            "discovered": len(engine.listed),
-            "ejected": len(engine.banned & engine.listed.keys()),
+            "forwards": engine.counters.get("forwards", 0)
+            + len(engine.attempts.in_flight),  # out: mostly written
+            "outstanding": len(engine.exchanges),
+            "discovered": len(engine.endpoints),
+            "ejected": len(engine.ejected & engine.endpoints.keys()),
             "sighup_applied": self.sighup["applied"],
             "sighup_rejected": self.sighup["rejected"],
             **(self.fleet.figures() if self.fleet is not None else {}),
@@ -168,7 +206,7 @@
             **(self.promises.figures() if self.promises is not None else {}),
         }
         classes = [spec.name for spec in engine.settings.classes]
-        return ["", *metrics.lines(engine.counts, classes, gauges), "end"]
+        return ["", *metrics.stats_lines(engine.counters, classes, gauges), "end"]
 
     @staticmethod
     def _node(words: list[str]) -> str:
@@ -188,7 +226,7 @@
 
     def _disable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
         node = self._node(words)
-        if node not in self.engine.listed and node not in self.bans.held:
+        if node not in self.engine.endpoints and node not in self.bans.nodes:
             raise Refused(f"no: no storage node {node[:64]} on the list")
         self.bans.add(node)
         if self.fleet is not None:
@@ -197,7 +235,7 @@
 
     def _enable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
         node = self._node(words)
-        if node not in self.engine.listed and node not in self.bans.held:
+        if node not in self.engine.endpoints and node not in self.bans.nodes:
             raise Refused(f"no: no storage node {node[:64]} on the list")
         self.bans.remove(node)
         if self.fleet is not None:
@@ -211,7 +249,7 @@
     async def _look_at_bans(self) -> None:
         while True:
             await asyncio.sleep(BANS_S)
-            self.bans.look()
+            self.bans.reload()
 
     @property
     def _backs(self) -> tuple[UpstreamClient, ...]:
@@ -224,12 +262,12 @@
         while self._clock.now_ms() < ends_ms and (self.front.clients or (self.nvme and self.nvme.busy)):
             await asyncio.sleep(WATCH_S)
         self.front.end()
-        self.engine.answer_all()  # before either front ends: it is owed by both
+        self.engine.respond_to_all()  # before either front ends: it is owed by both
         fronts = (self.front, self.nvme) if self.nvme else (self.front,)
         await asyncio.gather(*(front.stop(SPARE_MS / 2000) for front in fronts))
 
     def _heard(self, peer: int, data: str) -> None:
-        self.engine.decide(PeerMessageReceived(peer, data))
+        self.engine.notify(PeerMessageReceived(peer, data))
 
     async def start(self) -> None:
         if self.config.telemetry.endpoint:
@@ -237,7 +275,7 @@
             from shaletiller.telemetry.otlp import Otlp
 
             self.telemetry = Otlp(self.config.telemetry, self.config.name, self.engine, self._clock)
-        self.bans.look()  # before the first list: what the process before this one took out stays out
+        self.bans.reload()  # before the first list: what the process before this one took out stays out
         self.discovery.start_from_known()
         if self.promises is not None:
             self.promises.open()
@@ -275,7 +313,8 @@
         """A new configuration, under load: the list comes from its `discovery` from now on.
 
         The old agent may take no further call, so the watch moves at once; requests and the list in hand are
-        left alone.  The rest is fixed for the life of a process, and is said to be."""
+        left alone.  The rest is fixed for the life of a process, and is said to be.
+        """
         fixed = [key for key in FIXED_KEYS if getattr(config, key) != getattr(self.config, key)]
         if fixed:
             logger.warning(f"reload: {', '.join(fixed)} need a restart, left as they were")
@@ -304,7 +343,8 @@
         """A planned stop: clients still come at first, those that are there may ask on, and all that was
         taken gets its answer before the process can be killed.
 
-        To close what clients hold any sooner would turn them away while no other process takes over."""
+        To close what clients hold any sooner would turn them away while no other process takes over.
+        """
         self._stopping = True
         if self.fleet is not None:
             self.fleet.stop()
--- a/shaletiller/net/discovery.py
+++ b/shaletiller/net/discovery.py
@@ -13,7 +13,7 @@
 
 from shaletiller.clock import Clock
 from shaletiller.config import ConfigError, ServerList, ServerRow, read_address
-from shaletiller.core.model import UpstreamClient
+from shaletiller.core.interfaces import UpstreamClient
 from shaletiller.core.route import Endpoint
 from shaletiller.messages.endpoints import EndpointEntry, EndpointState, UpdateKind
 from shaletiller.net.body import read_bounded
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
 from shaletiller.clock import Clock, Timer
 from shaletiller.config import Config, ConfigError, read_address
@@ -13,6 +13,7 @@
 from shaletiller.fleet.core import Options
 from shaletiller.fleet.health_gossip import Departs
 from shaletiller.messages.endpoints import EndpointState
+from shaletiller.messages.events import Event
 from shaletiller.net.links import Links
 from shaletiller.net.peers import Peers
 from shaletiller.operator_file import FleetPart
@@ -51,9 +52,9 @@
             options,
             {limit.name: limit.policy for limit in part.limit},
             self.send,
-            engine.decide,
+            engine.notify,
             self._ban,
-            engine.renew,
+            engine.note_restart,
             config.seed,
             self._fleet_name(config, part),
             part.cold_budgets,
@@ -61,7 +62,6 @@
         if part.carrier == "tcp":
             addresses = [read_address(each.address, f"fleet.member {each.name}") for each in part.member]
             self._links = Links(me, addresses, self.receive, config.seed)
-        engine.precede = self.liaison.precede
 
     @staticmethod
     def _fleet_name(config: Config, part: FleetPart) -> str:
@@ -86,7 +86,7 @@
         if self._links is not None:
             await self._links.start()
         now_ms = self._clock.now_ms()
-        for node in sorted(bans.held) if tell else ():
+        for node in sorted(bans.nodes) if tell else ():
             self.liaison.ban(node, True, now_ms)
         self._tick()
         fleet = self.liaison.fleet
@@ -105,6 +105,10 @@
         except Exception as error:  # a fault here must not take the requests with it
             logger.warning(f"fleet: tick broke: {error!r}")
 
+    def events_before(self, event: Event, now_ms: float) -> Sequence[Event]:
+        """The events that the scheduler must handle before this one."""
+        return self.liaison.precede(event, now_ms)
+
     def receive(self, data: bytes) -> None:
         if data[:1] == MARK:
             if self.heard_promises is not None:
@@ -124,7 +128,7 @@
 
     def _ban(self, node: str, out: bool) -> None:
         """Another gateway's operator has taken a node out, or let it in."""
-        if self._bans is not None and out != (node in self._bans.held):
+        if self._bans is not None and out != (node in self._bans.nodes):
             (self._bans.add if out else self._bans.remove)(node)
 
     def ban(self, node: str, out: bool) -> None:
--- a/shaletiller/net/http_server.py
+++ b/shaletiller/net/http_server.py
@@ -16,7 +16,8 @@
 
 from shaletiller.clock import Clock
 from shaletiller.core.engine import Engine
-from shaletiller.core.model import BadRequestError, ClientCall, FinalResponse, FinalResult
+from shaletiller.core.errors import BadRequestError
+from shaletiller.core.model import ClientCall, FinalResponse, FinalResult
 from shaletiller.net.body import MOST_BODY, read_bounded
 from shaletiller.net.listener import WHOLE_MS, Connection, Door
 
@@ -201,7 +202,7 @@
             call = read_call(request._message, body, waited_ms, left_ms)
             if self._too_late(call, left_ms):
                 return self._refused(request)
-            exchange = self._engine.call(call, answered)
+            exchange = self._engine.submit(call, answered)
         except TooLate:
             return self._refused(request)
         except BadRequestError as error:
@@ -209,21 +210,21 @@
         try:
             answer = await done
         finally:
-            self._engine.client_left(exchange)  # nothing where it is already over
+            self._engine.client_disconnected(exchange)  # nothing where it is already over
         return self._response(answer, connection)
 
     def _refused_unread(self, head: bytes) -> None:
         found = CLASS.search(head)
-        self._engine.tally(found[1].decode() if found else "", FinalResult.REFUSED)
+        self._engine.count_result(found[1].decode() if found else "", FinalResult.REJECTED)
 
     def _refused(self, request: web.BaseRequest) -> web.Response:
-        self._engine.tally(request.headers.get("Request-Class", ""), FinalResult.REFUSED)
+        self._engine.count_result(request.headers.get("Request-Class", ""), FinalResult.REJECTED)
         assert isinstance(request.protocol, Connection)
-        return self._response(FinalResponse(FinalResult.REFUSED, retry_after_ms=LAST_MS), request.protocol)
+        return self._response(FinalResponse(FinalResult.REJECTED, retry_after_ms=LAST_MS), request.protocol)
 
     def _bad(self, status: int, why: str, request: web.BaseRequest) -> web.Response:
         """An error that ends the connection; it counts as failed for the class that the request named."""
-        self._engine.tally(request.headers.get("Request-Class", ""), FinalResult.FAILED)
+        self._engine.count_result(request.headers.get("Request-Class", ""), FinalResult.FAILED)
         logger.warning(f"turned down with {status}: {why}")
         answer = web.Response(status=status, text=why + "\n")
         answer.force_close()
@@ -243,11 +244,11 @@
             call = read_call(head, body, 0.0, left_ms)
             if self._too_late(call, left_ms):
                 return False
-            exchange = self._engine.call(call, answered)
+            exchange = self._engine.submit(call, answered)
         except (BadRequestError, TooLate):
             return False
         if connection.owed:
-            connection.leave = functools.partial(self._engine.client_left, exchange)
+            connection.leave = functools.partial(self._engine.client_disconnected, exchange)
         return True
 
     def _raw(self, answer: FinalResponse, leaves: bool) -> bytes:
@@ -262,9 +263,9 @@
 
     def _told(self, answer: FinalResponse) -> tuple[int, str]:
         """An answer's status, and when to come back."""
-        if answer.verdict is FinalResult.SERVED:
+        if answer.result is FinalResult.SERVED:
             return 200, ""
-        if answer.verdict is FinalResult.FAILED:
+        if answer.result is FinalResult.FAILED:
             return 502, ""
         advised = answer.retry_after_ms > 0 and self._engine.settings.retry_after_allowed
         return 503, f"{answer.retry_after_ms / 1000:.3f}" if advised else ""
--- a/shaletiller/net/nvme/server.py
+++ b/shaletiller/net/nvme/server.py
@@ -17,14 +17,9 @@
 
 from shaletiller.config import NVME_TRANSFER, NvmeNamespace
 from shaletiller.config import NvmeFront as FrontConfig
-from shaletiller.core.model import (
-    BadRequestError,
-    ClientCall,
-    Exchange,
-    FinalResponse,
-    FinalResult,
-    RequestSink,
-)
+from shaletiller.core.errors import BadRequestError
+from shaletiller.core.interfaces import RequestSink
+from shaletiller.core.model import ClientCall, Exchange, FinalResponse, FinalResult
 from shaletiller.net.nvme import identify
 from shaletiller.net.nvme.pdu import (
     CONNECT_DATA_BYTES,
@@ -346,7 +341,7 @@
         pending.done = True
         self._drop(pending)
         for exchange in pending.exchanges:
-            self.front.calls.client_left(exchange)
+            self.front.calls.client_disconnected(exchange)
 
     # ---- fabrics
 
@@ -471,7 +466,7 @@
         exchanges = list(pending.exchanges)
         queue._finish(pending, Status.ABORTED, final=sent)
         for exchange in exchanges:
-            queue.front.calls.client_left(exchange)
+            queue.front.calls.client_disconnected(exchange)
         return True
 
     # ---- I/O commands
@@ -547,7 +542,7 @@
                 self._answered(pending, at, answer)
 
             try:
-                pending.exchanges.append(self.front.calls.call(call, answered))
+                pending.exchanges.append(self.front.calls.submit(call, answered))
             except BadRequestError as error:
                 logger.warning(f"NVMe call turned down: {error}")
                 answered(FinalResponse(FinalResult.FAILED))
@@ -589,11 +584,11 @@
             return
         assert pending.space is not None
         answers = [pending.answers[at] for at in range(pending.command.blocks)]
-        verdicts = {answer.verdict for answer in answers}
+        verdicts = {answer.result for answer in answers}
         write = pending.command.opcode == Io.WRITE
         if verdicts == {FinalResult.SERVED}:
             self._served(pending, pending.space, b"" if write else self._joined(answers, pending.space))
-        elif verdicts == {FinalResult.REFUSED} or (not write and FinalResult.FAILED not in verdicts):
+        elif verdicts == {FinalResult.REJECTED} or (not write and FinalResult.FAILED not in verdicts):
             wait_ms = max(answer.retry_after_ms for answer in answers)
             told = self._association is not None and self._association.retries
             retry = identify.retry_number(wait_ms) if told else 0
--- a/shaletiller/net/replication.py
+++ b/shaletiller/net/replication.py
@@ -95,7 +95,6 @@
         self._tables: dict[str, tuple[bytes, Held | None]] = {}  # of the limits granted here: the last kept
         if part.lease_tables:
             members.leases.table = self
-        engine.vow = self._vow
         fleet.heard_promises = self._heard
 
     # ---- the store
@@ -162,7 +161,7 @@
             await asyncio.sleep(IDLE_TICK_MS / 1000)
         logger.warning("promises: filled, votes on all its keys")
         self._tell_words()
-        for node in sorted(self._bans.held - self.banned().keys()):
+        for node in sorted(self._bans.nodes - self.banned().keys()):
             # Taken out by the process before this one, and kept here only.
             self._fleet.liaison.ban(node, True, self._clock.now_ms())
         done = await self._ask(f"{DRAIN}{self._name}", Expect.NEVER, b"", 30_000.0)
@@ -179,7 +178,7 @@
         process before this one left in its file."""
         now_ms = self._clock.now_ms()
         for node, word in self.banned().items():
-            if not word.out and node in self._bans.held:
+            if not word.out and node in self._bans.nodes:
                 self._bans.remove(node)
             until = int(min(word.until, now_ms + LONGEST_MS / 2))
             self._fleet.liaison.restore(
@@ -260,7 +259,7 @@
 
     # ---- writes
 
-    def _vow(self, exchange: Exchange) -> bool:
+    def replicate_intent(self, exchange: Exchange) -> bool:
         call = exchange.call
         if call.service not in self._copied or not call.write:
             return False
@@ -270,12 +269,12 @@
         gone = sum(n != self._me and peers[n].state is State.DEAD for n in groups.of(key))
         if groups.copies - gone < groups.majority:
             self.writes.counts["no_majority"] += 1
-            self._engine.relay(exchange, FinalResponse(Final.REFUSED, retry_after_ms=NO_MAJORITY_MS))
+            self._engine.respond(exchange, FinalResponse(Final.REJECTED, retry_after_ms=NO_MAJORITY_MS))
             return True
         self._number += 1
         number = self._number
         self._exchanges[number] = exchange
-        exchange.keeps = lambda answer: self._ended(number, answer)
+        exchange.on_result = lambda answer: self._ended(number, answer)
         mark = xxhash.xxh3_64_intdigest(f"{call.method} {call.target}\n".encode() + call.body)
         now_ms = self._clock.now_ms()
         self._guarded(lambda: self.writes.begin(number, key, mark, exchange.deadline_ms, now_ms))
@@ -285,12 +284,12 @@
         """The engine's answer to a copied write, or its client has left."""
         exchange = self._exchanges[number]
         what: What
-        if answer is not None and answer.verdict is Final.SERVED:
+        if answer is not None and answer.result is Final.SERVED:
             what = "served"
         else:
             self._exchanges.pop(number, None)
             # A refusal may be harmless for other reasons than that nothing ran: what is known is kept.
-            what = "refused" if exchange.harmless else "failed"
+            what = "refused" if exchange.never_ran else "failed"
         body = answer.body if answer is not None else b""
         self._guarded(lambda: self.writes.end(number, what, body, self._clock.now_ms()))
 
@@ -304,10 +303,10 @@
                 self._engine.admit(exchange, left_ms)
             return  # else the guard answers it, and what was asked for is taken back
         self._exchanges.pop(decision.number, None)
-        final = {"served": Final.SERVED, "failed": Final.FAILED, "refused": Final.REFUSED}[decision.what]
+        final = {"served": Final.SERVED, "failed": Final.FAILED, "refused": Final.REJECTED}[decision.what]
         if decision.why:
             logger.warning(f"request {exchange.call.id}: {decision.what}: {decision.why}")
-        self._engine.relay(
+        self._engine.respond(
             exchange,
             FinalResponse(final, decision.body, min(decision.retry_after_ms, NO_MAJORITY_MS)),
             settled=True,
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -81,32 +81,31 @@
         self._duration = meter.create_histogram(
             "shaletiller.request.duration", unit="ms", description="From taking in to the final answer"
         )
-        engine.relay.seen = self._ended
 
     def _requests(self, _: CallbackOptions) -> Iterable[Observation]:
-        return _observed(self._engine.counts, "", "answer")
+        return _observed(self._engine.counters, "", "answer")
 
     def _attempts(self, _: CallbackOptions) -> Iterable[Observation]:
-        return _observed(self._engine.counts, "attempt.", "outcome")
+        return _observed(self._engine.counters, "attempt.", "outcome")
 
     def _held(self, _: CallbackOptions) -> Iterable[Observation]:
-        return [Observation(len(self._engine.table))]
+        return [Observation(len(self._engine.exchanges))]
 
-    def _ended(self, exchange: Exchange) -> None:
+    def request_ended(self, exchange: Exchange) -> None:
         """A request is over: its figures, and a span with one below it for each attempt."""
         now_ms = self._clock.now_ms()
         call = exchange.call
-        answer = "left" if exchange.final is None else exchange.final.value
+        answer = "left" if exchange.result is None else exchange.result.value
         labels = {"class": call.service, "plan": call.plan, "answer": answer}
-        self._duration.record(now_ms - exchange.taken_ms, labels)
+        self._duration.record(now_ms - exchange.accepted_ms, labels)
         span = self._tracer.start_span(
             call.service,
             kind=SpanKind.SERVER,
-            start_time=int(exchange.taken_ms * NS_PER_MS),
+            start_time=int(exchange.accepted_ms * NS_PER_MS),
             attributes={**labels, "shard": call.shard, "units": call.units},
         )
         if span.is_recording():
-            if exchange.final is FinalResult.FAILED:
+            if exchange.result is FinalResult.FAILED:
                 span.set_status(Status(StatusCode.ERROR))
             context = set_span_in_context(span)
             for attempt in exchange.attempts:
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -9,14 +9,8 @@
 
 from shaletiller.clock import SettableClock
 from shaletiller.core.engine import Engine
-from shaletiller.core.model import (
-    AttemptResult,
-    BadRequestError,
-    ClientCall,
-    Exchange,
-    FinalResponse,
-    FinalResult,
-)
+from shaletiller.core.errors import BadRequestError
+from shaletiller.core.model import AttemptResult, ClientCall, Exchange, FinalResponse, FinalResult
 from shaletiller.core.route import Endpoint
 from shaletiller.messages.actions import Action, Fail, Reject, SendAttempt, SendHealthCheck
 from shaletiller.messages.endpoints import EndpointState, UpdateKind
@@ -62,7 +56,7 @@
             classes=(SAFE, UNSAFE), cancellation_allowed=True, max_attempts=3, health_checks_allowed=True
         )
         self.engine = Engine(known, 1, self.clock)
-        self.engine.nodes(UpdateKind.FULL, 1, (Endpoint(entry(), "a:1", self.back),))
+        self.engine.update_endpoints(UpdateKind.FULL, 1, (Endpoint(entry(), "a:1", self.back),))
         self.answers: list[FinalResponse] = []
         self.told: list[Event] = []
         handle = self.engine._scheduler.handle
@@ -74,7 +68,7 @@
         self.engine._scheduler.handle = told  # type: ignore[method-assign]
 
     async def call(self, call: ClientCall) -> Exchange:
-        exchange = self.engine.call(call, self.answers.append)
+        exchange = self.engine.submit(call, self.answers.append)
         await self.settle()
         return exchange
 
@@ -106,11 +100,11 @@
         self.assertTrue(self.back.out[0].cancelled())
 
     async def test_an_attempt_cancelled_before_its_first_step_still_has_its_outcome(self) -> None:
-        exchange = self.engine.call(WRITE, self.answers.append)
-        self.engine.client_left(exchange)
+        exchange = self.engine.submit(WRITE, self.answers.append)
+        self.engine.client_disconnected(exchange)
         await self.settle()
         self.assertEqual(self.outcomes(), [Outcome.CANCELLED])
-        self.assertEqual(self.engine.send.out, {})
+        self.assertEqual(self.engine.attempts.in_flight, {})
 
     async def test_a_back_that_breaks_counts_as_a_reset(self) -> None:
         await self.call(WRITE)
@@ -139,7 +133,7 @@
         self.engine._on_fail(Fail("r1"))
         self.back.out[0].set_result(AttemptResult(Outcome.OK, b"late"))
         await self.settle()
-        self.assertEqual(self.answers, [FinalResponse(FinalResult.REFUSED, retry_after_ms=250)])
+        self.assertEqual(self.answers, [FinalResponse(FinalResult.REJECTED, retry_after_ms=250)])
 
     async def test_the_guard_fails_a_write_that_may_have_run_and_refuses_one_that_did_not(self) -> None:
         await self.call(WRITE)
@@ -147,7 +141,7 @@
         self.engine._scheduler.handle = lambda now_ms, event: []  # type: ignore[method-assign]
         self.clock.advance(420)
         await self.settle()
-        self.assertEqual([each.verdict for each in self.answers], [FinalResult.FAILED, FinalResult.REFUSED])
+        self.assertEqual([each.verdict for each in self.answers], [FinalResult.FAILED, FinalResult.REJECTED])
 
     async def test_a_probe_comes_back_as_an_event(self) -> None:
         self.engine._on_probe(SendHealthCheck("n1"))
@@ -156,24 +150,26 @@
 
     async def test_a_draining_nodes_idle_connections_stay_until_it_is_gone(self) -> None:
         for state, closed in ((EndpointState.DRAINING, 0), (EndpointState.GONE, 1)):
-            self.engine.nodes(UpdateKind.CHANGES, 2, (Endpoint(entry(state=state), "a:1", self.back),))
+            self.engine.update_endpoints(
+                UpdateKind.CHANGES, 2, (Endpoint(entry(state=state), "a:1", self.back),)
+            )
             self.assertEqual(self.back.closed, closed)
 
     async def test_a_node_that_left_is_forgotten_with_its_connections(self) -> None:
         for number in range(50):
             new = Endpoint(entry(f"m{number}"), f"b:{number}", self.back)
             gone = Endpoint(entry(f"m{number - 1}", state=EndpointState.GONE), "", self.back)
-            self.engine.nodes(UpdateKind.CHANGES, number, (new, gone))
-        self.assertEqual(set(self.engine.route._places), {"n1", "m49"})
-        self.engine.nodes(UpdateKind.FAILED, 0, ())
-        self.engine.nodes(UpdateKind.FULL, 50, (new,))
-        self.assertEqual((set(self.engine.route._places), self.back.closed), ({"m49"}, 50))
+            self.engine.update_endpoints(UpdateKind.CHANGES, number, (new, gone))
+        self.assertEqual(set(self.engine.routes._endpoints), {"n1", "m49"})
+        self.engine.update_endpoints(UpdateKind.FAILED, 0, ())
+        self.engine.update_endpoints(UpdateKind.FULL, 50, (new,))
+        self.assertEqual((set(self.engine.routes._endpoints), self.back.closed), ({"m49"}, 50))
 
     async def test_an_id_is_not_taken_again_while_an_attempt_of_it_is_out(self) -> None:
         await self.call(WRITE)
         self.engine._on_refuse(Reject("w1"))
         with self.assertRaises(BadRequestError):
-            self.engine.call(replace(WRITE), self.answers.append)
+            self.engine.submit(replace(WRITE), self.answers.append)
         self.back.out[0].set_result(AttemptResult(Outcome.OK))
         await self.settle()
         await self.call(WRITE)
--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -13,6 +13,7 @@
 from shaletiller.clock import SettableClock
 from shaletiller.config import ConfigError, read_config
 from shaletiller.core.engine import Engine
+from shaletiller.core.interfaces import EngineServices, NoServices
 from shaletiller.core.route import Endpoint
 from shaletiller.fleet.coordinator import FleetCoordinator
 from shaletiller.fleet.core import Options
@@ -208,9 +209,9 @@
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
-    def make(self) -> tuple[Engine, list[Event]]:
-        engine = Engine(settings(), 1, SettableClock(1_000.0))
-        engine.nodes(UpdateKind.FULL, 1, (Endpoint(entry(), "a:1", ScriptedUpstream()),))
+    def make(self, services: EngineServices | None = None) -> tuple[Engine, list[Event]]:
+        engine = Engine(settings(), 1, SettableClock(1_000.0), services)
+        engine.update_endpoints(UpdateKind.FULL, 1, (Endpoint(entry(), "a:1", ScriptedUpstream()),))
         told: list[Event] = []
         handle = engine._scheduler.handle
 
@@ -222,31 +223,34 @@
         return engine, told
 
     async def test_what_precedes_an_event_reaches_the_module_first(self) -> None:
-        engine, told = self.make()
-        share = QuotaUpdated("v1", Quota())
-        engine.precede = lambda event, now_ms: [share] if isinstance(event, Request) else []
-        engine.call(CALL, lambda answer: None)
+        class QuotaFirst(NoServices):
+            def events_before(self, event: Event, now_ms: float) -> list[Event]:
+                return [QuotaUpdated("v1", Quota())] if isinstance(event, Request) else []
+
+        engine, told = self.make(QuotaFirst())
+        engine.submit(CALL, lambda answer: None)
         self.assertEqual([type(each) for each in told], [QuotaUpdated, Request])
 
     async def test_a_fault_beside_the_decisions_ends_none_of_them(self) -> None:
-        engine, told = self.make()
-
-        def broken(event: Event, now_ms: float) -> list[Event]:
-            raise RuntimeError
-
-        engine.precede = broken
-        engine.call(CALL, lambda answer: None)
+        class Failing(NoServices):
+            def events_before(self, event: Event, now_ms: float) -> list[Event]:
+                if isinstance(event, Request):
+                    raise RuntimeError
+                return []
+
+        engine, told = self.make(Failing())
+        engine.submit(CALL, lambda answer: None)
         self.assertEqual([type(each) for each in told], [Request])
 
     async def test_a_newer_life_changes_neither_address_nor_list(self) -> None:
         engine, told = self.make()
-        engine.renew("n1", 900.0)
-        engine.renew("n9", 900.0)  # the own list has not named it
-        engine.renew("n1", 500.0)  # older
+        engine.note_restart("n1", 900.0)
+        engine.note_restart("n9", 900.0)  # the own list has not named it
+        engine.note_restart("n1", 500.0)  # older
         lists = [each for each in told if isinstance(each, EndpointListUpdate)]
         self.assertEqual([each.entries[0].started_ms for each in lists], [900.0])
-        self.assertEqual(engine.listed["n1"].address, "a:1")
-        self.assertEqual(set(engine.listed), {"n1"})
+        self.assertEqual(engine.endpoints["n1"].address, "a:1")
+        self.assertEqual(set(engine.endpoints), {"n1"})
 
 
 # ---- the operators' file
--- a/tests/gateway/test_operators.py
+++ b/tests/gateway/test_operators.py
@@ -162,13 +162,13 @@
         await self.play("send a1 DISABLE n1\nexpect a1 done n1")
         follower = Gateway(read_config(self.env, self.nvme))
         follower.discovery.start_from_known = lambda: None  # type: ignore[method-assign]
-        follower.bans.look()
-        self.assertEqual(follower.engine.banned, {"n1"})
+        follower.bans.reload()
+        self.assertEqual(follower.engine.ejected, {"n1"})
 
     async def test_a_ban_that_the_other_process_lifts_is_lifted_here(self) -> None:
         await self.play("send a1 DISABLE n1\nexpect a1 done n1")
         other = Gateway(read_config(self.env, self.nvme))
-        other.bans.look()
+        other.bans.reload()
         other.bans.remove("n1")
         await self.play("""
             wait 300
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -365,7 +365,7 @@
         wires["waits"].send(
             ask(5, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1", Request_Timeout_Ms="5000")
         )
-        await until(lambda: len(self.gateway.engine.table) == 4, "all in hand")
+        await until(lambda: len(self.gateway.engine.exchanges) == 4, "all in hand")
         stop = self.stop()
         await until(lambda: self.gateway._stopping, "the stop")
         wires["body"].send(whole[-5:])
@@ -380,7 +380,9 @@
         for wire in wires.values():
             await wire.end()
         await asyncio.wait_for(stop, PATIENCE_S)
-        self.assertEqual((self.gateway.engine.table, self.gateway.engine.send.out, self.came), ({}, {}, 0))
+        self.assertEqual(
+            (self.gateway.engine.exchanges, self.gateway.engine.attempts.in_flight, self.came), ({}, {}, 0)
+        )
 
     async def test_clients_that_send_up_to_the_end_lose_nothing(self) -> None:
         answered, unread = [], []
@@ -437,7 +439,7 @@
         self.at_any_close(lambda: late[0].send(ask(1)))
         await asyncio.wait_for(self.stop(), PATIENCE_S)
         await late[0].end()
-        self.assertEqual((self.came, self.gateway.engine.counts), (0, {}))
+        self.assertEqual((self.came, self.gateway.engine.counters), (0, {}))
         late[0].close()
 
 
@@ -446,7 +448,7 @@
 
     async def gone(self, wire: Wire, how: Callable[[], None], free: Callable[[], Awaitable[None]]) -> None:
         how()
-        await until(lambda: not self.gateway.engine.table, "the close was seen")
+        await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await free()
         await asyncio.sleep(0.05)  # all that would be sent on would be by now
         self.assertEqual(self.came, 0)
@@ -461,7 +463,7 @@
                         1, IO_Info=f"volume={VOLUME},units=2,shard={shard},hosts=1", Request_Timeout_Ms="5000"
                     )
                 )
-                await until(lambda: self.gateway.engine.table, "the request")
+                await until(lambda: self.gateway.engine.exchanges, "the request")
                 ways = {
                     "close": wire.close,
                     "reset": lambda wire=wire: reset(wire.sock),
@@ -482,18 +484,18 @@
         wire.close()
         await self.play("expect n1 closed")
         await asyncio.sleep(0.05)
-        self.assertEqual((self.came, self.gateway.engine.table), (0, {}))
+        self.assertEqual((self.came, self.gateway.engine.exchanges), (0, {}))
 
     async def test_as_its_connection_to_the_node_comes_up(self) -> None:
         wire, engine = await self.wire(), self.gateway.engine
         self.at(
             UpstreamProtocol,
             "connection_made",
-            lambda: [engine.client_left(each) for each in list(engine.table.values())],
+            lambda: [engine.client_disconnected(each) for each in list(engine.exchanges.values())],
         )
         wire.send(ask(1, "PUT", b"x", Request_Timeout_Ms="5000"))
-        await until(lambda: engine.counts.get("left"), "the close")
-        await until(lambda: not engine.send.out, "the attempt's end")
+        await until(lambda: engine.counters.get("left"), "the close")
+        await until(lambda: not engine.attempts.in_flight, "the attempt's end")
         node = self.parties["n1"]
         await until(lambda: node.writers, "the connection")
         await until(lambda: all(each.transport.is_closing() for each in node.writers), "its end")
@@ -503,9 +505,9 @@
         wire = await self.wire()
         await self.play("close n1 door")
         wire.send(ask(1, "PUT", b"x", Request_Timeout_Ms="5000"))
-        await until(lambda: self.gateway.engine.counts.get("attempt.connect_failed"), "the failed attempt")
+        await until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
         wire.close()
-        await until(lambda: not self.gateway.engine.table, "the close was seen")
+        await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await self.parties["n1"].start()  # it is back, on its port
         await asyncio.sleep(0.3)
         self.assertEqual((self.came, self.parties["n1"].seen), (0, []))
@@ -579,9 +581,9 @@
 
     async def test_a_host_that_leaves_while_its_command_waits_is_not_sent_on(self) -> None:
         await self.play("close n1 door\nsend v1 write 5 data")
-        await until(lambda: self.gateway.engine.counts.get("attempt.connect_failed"), "the failed attempt")
+        await until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
         await self.play("close v1")
-        await until(lambda: not self.gateway.engine.table, "the close was seen")
+        await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await self.parties["n1"].start()
         await asyncio.sleep(0.3)
         self.assertEqual((self.came, self.parties["n1"].seen), (0, []))
@@ -640,7 +642,7 @@
         self.assertIn(b"Request-Id: PUT-1\r\n", raw)
         sock.sendall(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
         self.assertEqual(await wire.answer(), (200, b"ok"))
-        self.assertEqual(self.gateway.engine.counts.get("attempt.ok"), 1)
+        self.assertEqual(self.gateway.engine.counters.get("attempt.ok"), 1)
         self.assertEqual(connections_to(self.port), 2)  # it, and the filler
 
     async def test_one_that_is_not_up_as_its_time_ends_or_its_client_leaves_is_given_up(self) -> None:
@@ -651,7 +653,7 @@
         gone.close()
         self.assertEqual((await slow.answer())[0], 502)  # a time-out promises nothing
         slow.close()
-        await until(lambda: not self.gateway.engine.send.out, "the ends of both")
+        await until(lambda: not self.gateway.engine.attempts.in_flight, "the ends of both")
         self.comes_up()
         self.taken.pop().close()
         self.fillers.pop().close()
@@ -666,7 +668,7 @@
         with PATCH.object(self.gateway._http, "_settings", self.replaced(connect_timeout_ms=100.0)):
             wire.send(ask(1, "PUT", b"x", Request_Timeout_Ms="400"))
             self.assertEqual((await wire.answer())[0], 503)
-        counts = self.gateway.engine.counts
+        counts = self.gateway.engine.counters
         self.assertGreaterEqual(counts.get("attempt.connect_failed", 0), 1)
         self.assertIsNone(counts.get("attempt.reset"))
 
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -76,7 +76,7 @@
                 with self.subTest(end=end, size=size):
                     for name in ("read", "write"):
                         await self.ends(ANSWER[:size], end, *ASKS[name])
-        await until(lambda: not self.gateway.engine.send.out, "the attempts' ends")
+        await until(lambda: not self.gateway.engine.attempts.in_flight, "the attempts' ends")
 
     async def test_an_answer_without_a_length_that_is_reset_is_no_answer(self) -> None:
         raw = b"HTTP/1.1 200 OK\r\nServer: a\r\n\r\nbody"
@@ -136,7 +136,7 @@
                 writer.write(ANSWER)
                 self.assertEqual(await wire.answer(), (200, b"body"))
                 self.assertEqual(
-                    self.gateway.engine.counts["attempt.connect_failed"], 1 if name == "write" else 2
+                    self.gateway.engine.counters["attempt.connect_failed"], 1 if name == "write" else 2
                 )
                 wire.close()
 
@@ -279,7 +279,7 @@
         far = f"volume={VOLUME},units=2,shard=3,hosts=1"
         wire.send(ask(1, "PUT", b"x", IO_Info=far, Request_Timeout_Ms="5000"))  # no node has it yet
         reader.send(ask(2, IO_Info=far, Request_Timeout_Ms="5000"))
-        await until(lambda: len(self.gateway.engine.table) == 2, "both to be held")
+        await until(lambda: len(self.gateway.engine.exchanges) == 2, "both to be held")
         # Another customer's: reads may not be repeated, writes may, and one class has gone.
         read, write, _ = EFFECTS["classes"]
         self.retold(
@@ -388,7 +388,7 @@
         agent.current = (await agent.next())[3]
         await self.whole(agent, 7, 40, n1="left", n2="active")
         self.assertIn("since=7&", (await agent.next())[0])
-        self.assertEqual(list(self.gateway.engine.listed), ["n2"])
+        self.assertEqual(list(self.gateway.engine.endpoints), ["n2"])
 
     async def test_a_list_that_is_cut_is_none_and_asked_for_again(self) -> None:
         agent = await self.party("d")
@@ -397,7 +397,7 @@
         await agent.current.drain()
         agent.current.transport.abort()
         self.assertIn("since=1&", (await agent.next())[0])
-        self.assertEqual(list(self.gateway.engine.listed), ["n1", "n2"])
+        self.assertEqual(list(self.gateway.engine.endpoints), ["n1", "n2"])
 
     async def test_a_drain_that_was_pushed_as_the_watch_broke_has_less_of_its_grace_left(self) -> None:
         """Reset, ended or silent: what comes with the next call was told since the last answer."""
@@ -448,7 +448,7 @@
         clock = self.gateway._clock
         await self.play("send d n1=leaving")
         await until(
-            lambda: self.gateway.engine.listed["n1"].entry.state is EndpointState.DRAINING, "the drain"
+            lambda: self.gateway.engine.endpoints["n1"].entry.state is EndpointState.DRAINING, "the drain"
         )
         with PATCH.object(clock, "_offset_ms", clock._offset_ms + 3000.0):  # its grace is over
             late.send(ask(2, "PUT", b"y", Request_Timeout_Ms="200"))
@@ -467,7 +467,7 @@
         self.assertEqual(first, "GET /discovery/hosts HTTP/1.1")
         await self.whole(new, 3, n1="active", n2="left")
         self.assertIn("since=3&", (await new.next())[0])
-        self.assertEqual(list(self.gateway.engine.listed), ["n1"])
+        self.assertEqual(list(self.gateway.engine.endpoints), ["n1"])
         await self.served(await self.wire(), 1)
 
 
@@ -555,8 +555,10 @@
     async def rest(self) -> None:
         await until(lambda: not self.gateway.front.clients, "no connection to be left")
         door = self.gateway.front._door
-        self.assertFalse(door._fresh or door._turned_away or self.gateway.engine.table)
-        await until(lambda: not door._taking and not self.gateway.engine.send.out, "no task to be left")
+        self.assertFalse(door._fresh or door._turned_away or self.gateway.engine.exchanges)
+        await until(
+            lambda: not door._taking and not self.gateway.engine.attempts.in_flight, "no task to be left"
+        )
 
     async def flood(self, act: Any, count: int = 300) -> None:
         address, most = self.gateway.front.address, 0
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -108,7 +108,7 @@
 
     async def test_a_client_that_leaves_takes_its_attempt_along(self) -> None:
         await self.play("send c1 GET 1 timeout=9000\nexpect n1 GET 1\nclose c1\nexpect n1 closed")
-        self.assertEqual(self.gateway.engine.table, {})
+        self.assertEqual(self.gateway.engine.exchanges, {})
 
     async def test_an_answer_cut_in_its_body_is_a_reset(self) -> None:
         await self.play("send c1 PUT 1 a\nexpect n1 PUT 1 a")
@@ -273,7 +273,7 @@
             """)
 
     async def test_the_module_may_ask_for_the_whole_list(self) -> None:
-        self.gateway.engine.fetch_list()
+        self.gateway.engine._services.fetch_endpoint_list()
         await self.play("wait 50")
         node = await self.party("d")
         calls = [node.came.get_nowait()[0] for _ in range(2)]
@@ -681,7 +681,7 @@
         self.assertEqual((old.came.qsize(), new.came.qsize()), (0, 0))
 
     async def test_an_answer_of_the_address_before_is_left_out(self) -> None:
-        self.gateway.engine.fetch_list()  # beside the watch, and not ended with it
+        self.gateway.engine._services.fetch_endpoint_list()  # beside the watch, and not ended with it
         agent = await self.party("d")
         calls = [await agent.next() for _ in range(2)]
         agent.current = next(call[3] for call in calls if "since" not in call[0])
--- a/tests/nvme/test_scenarios_nvme.py
+++ b/tests/nvme/test_scenarios_nvme.py
@@ -8,7 +8,8 @@
 from collections import Counter
 from typing import Any
 
-from shaletiller.core.model import BadRequestError, FinalResponse, FinalResult
+from shaletiller.core.errors import BadRequestError
+from shaletiller.core.model import FinalResponse, FinalResult
 from shaletiller.messages.actions import Reject
 from shaletiller.net.nvme import pdu as p
 from tests.support.scenario import Box, Scenario, Server, key, read_message
@@ -161,10 +162,10 @@
         tail = p.struct.pack("<B3xIQ", 0, p.Property.CC, 0)
         await admin.run(p.fabrics(p.Fabrics.PROPERTY_SET, admin.next_cid(), tail))
         await self.play("expect n1 closed")
-        self.assertEqual(self.gateway.engine.table, {})
+        self.assertEqual(self.gateway.engine.exchanges, {})
 
     async def test_a_call_that_is_turned_down_ends_its_command(self) -> None:
-        call, calls = self.gateway.engine.call, []
+        call, calls = self.gateway.engine.submit, []
 
         def second_is_bad(asked: Any, answer: Any) -> Any:
             calls.append(asked)
@@ -172,7 +173,7 @@
                 raise BadRequestError("bad on purpose")
             return call(asked, answer)
 
-        self.gateway.engine.call = second_is_bad
+        self.gateway.engine.submit = second_is_bad
         await self.play(
             "send v1 read 7 - 3\nexpect n1 GET 7\nsend n1 200\nexpect n1 GET 9\nsend n1 200\n"
             "expect v1 internal"
@@ -402,4 +403,4 @@
         self.assertEqual([each for each, count in ran.items() if count > 1], [])
         self.assertGreater(statuses["200"], 30)
         self.assertGreater(statuses["SUCCESS"], 30)
-        self.assertEqual(self.gateway.engine.table, {})
+        self.assertEqual(self.gateway.engine.exchanges, {})
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -324,7 +324,7 @@
         await self.front.start("127.0.0.1", self.port)
         self.port = self.front.address[1]
 
-    def call(self, call: ClientCall, answer: Any) -> Exchange:
+    def submit(self, call: ClientCall, answer: Any) -> Exchange:
         if call.write:
             self.writes.append((call.key, call.body))
         if self.script is not None:
@@ -333,7 +333,7 @@
             self.came.put_nowait((call, answer))
         return Exchange(call, answer, 0, 0)
 
-    def client_left(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: Exchange) -> None:
         self.left.append(exchange.call.key)
 
     async def expect(self, what: str, *rest: str) -> None:
