--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -51,21 +51,21 @@
 class EngineTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.clock = SettableClock(1000.0)
-        self.back = ScriptedUpstream()
+        self.upstream = ScriptedUpstream()
         known = settings(
             classes=(SAFE, UNSAFE), cancellation_allowed=True, max_attempts=3, health_checks_allowed=True
         )
         self.engine = Engine(known, 1, self.clock)
-        self.engine.update_endpoints(UpdateKind.FULL, 1, (Endpoint(entry(), "a:1", self.back),))
+        self.engine.update_endpoints(UpdateKind.FULL, 1, (Endpoint(entry(), "a:1", self.upstream),))
         self.answers: list[FinalResponse] = []
-        self.told: list[Event] = []
+        self.events: list[Event] = []
         handle = self.engine._scheduler.handle
 
-        def told(now_ms: float, event: Event) -> list[Action]:
-            self.told.append(event)
+        def record(now_ms: float, event: Event) -> list[Action]:
+            self.events.append(event)
             return handle(now_ms, event)
 
-        self.engine._scheduler.handle = told  # type: ignore[method-assign]
+        self.engine._scheduler.handle = record  # type: ignore[method-assign]
 
     async def call(self, call: ClientCall) -> Exchange:
         exchange = self.engine.submit(call, self.answers.append)
@@ -77,18 +77,26 @@
             await asyncio.sleep(0)
 
     def outcomes(self) -> list[Outcome]:
-        return [event.outcome for event in self.told if isinstance(event, AttemptEnded)]
+        return [event.outcome for event in self.events if isinstance(event, AttemptEnded)]
 
     async def test_served(self) -> None:
+        """A client asks, the node answers after 30 ms.
+
+        The client has the node's body, the scheduler the latency.
+        """
         await self.call(CALL)
         self.clock.advance(30)
-        self.back.out[0].set_result(AttemptResult(Outcome.OK, b"data", used=87))
+        self.upstream.out[0].set_result(AttemptResult(Outcome.OK, b"data", used=87))
         await self.settle()
         self.assertEqual(self.answers, [FinalResponse(FinalResult.SERVED, b"data")])
-        (done,) = (event for event in self.told if isinstance(event, AttemptEnded))
+        (done,) = (event for event in self.events if isinstance(event, AttemptEnded))
         self.assertEqual((done.latency_ms, done.over, done.used), (30.0, True, 87))
 
     async def test_a_silent_node_times_out_at_the_deadline_with_one_outcome(self) -> None:
+        """A node never answers a write.
+
+        Not before its deadline the write fails, once, and its attempt is ended.
+        """
         await self.call(WRITE)
         self.clock.advance(399)
         await self.settle()
@@ -97,83 +105,111 @@
         await self.settle()
         self.assertEqual(self.answers, [FinalResponse(FinalResult.FAILED)])
         self.assertEqual(self.outcomes(), [Outcome.TIMEOUT])
-        self.assertTrue(self.back.out[0].cancelled())
+        self.assertTrue(self.upstream.out[0].cancelled())
 
     async def test_an_attempt_cancelled_before_its_first_step_still_has_its_outcome(self) -> None:
+        """A client disconnects before the attempt's task has run at all.
+
+        The attempt is recorded as cancelled.
+        """
         exchange = self.engine.submit(WRITE, self.answers.append)
         self.engine.client_disconnected(exchange)
         await self.settle()
         self.assertEqual(self.outcomes(), [Outcome.CANCELLED])
         self.assertEqual(self.engine.attempts.in_flight, {})
 
-    async def test_a_back_that_breaks_counts_as_a_reset(self) -> None:
+    async def test_an_upstream_client_that_fails_counts_as_a_reset(self) -> None:
+        """An upstream client raises an error of its own.
+
+        The write may have run: it is recorded as reset and fails.
+        """
         await self.call(WRITE)
-        self.back.out[0].set_exception(RuntimeError("broken on purpose"))
+        self.upstream.out[0].set_exception(RuntimeError("broken on purpose"))
         await self.settle()
         self.assertEqual(
             (self.outcomes(), self.answers), ([Outcome.RESET], [FinalResponse(FinalResult.FAILED)])
         )
 
-    async def test_no_second_attempt_while_one_is_open(self) -> None:
+    async def test_no_second_attempt_while_one_is_in_flight(self) -> None:
+        """The scheduler asks for a second attempt while one is in flight, which the settings do not allow."""
         await self.call(CALL)
-        self.engine._on_send(SendAttempt("r1", "n1"))
+        self.engine._send_attempt(SendAttempt("r1", "n1"))
         await self.settle()
-        self.assertEqual((len(self.back.out), self.outcomes()), (1, [Outcome.MOOT]))
+        self.assertEqual((len(self.upstream.out), self.outcomes()), (1, [Outcome.MOOT]))
 
     async def test_a_send_to_another_shard_or_an_unknown_node_is_moot(self) -> None:
+        """The scheduler names a node of another shard, or one that is not listed: nothing is sent."""
         await self.call(replace(CALL, shard=7))
-        self.engine._on_send(SendAttempt("r1", "n1"))
-        self.engine._on_send(SendAttempt("r1", "n9"))
+        self.engine._send_attempt(SendAttempt("r1", "n1"))
+        self.engine._send_attempt(SendAttempt("r1", "n9"))
         await self.settle()
-        self.assertEqual((self.back.out, self.outcomes()), ([], [Outcome.MOOT] * 2))
+        self.assertEqual((self.upstream.out, self.outcomes()), ([], [Outcome.MOOT] * 2))
 
-    async def test_the_first_final_answer_is_the_only_one(self) -> None:
+    async def test_the_first_final_response_is_the_only_one(self) -> None:
+        """A request is rejected, then failed, then served: the client sees the first response alone."""
         await self.call(CALL)
-        self.engine._on_refuse(Reject("r1", 250))
-        self.engine._on_fail(Fail("r1"))
-        self.back.out[0].set_result(AttemptResult(Outcome.OK, b"late"))
+        self.engine._reject(Reject("r1", 250))
+        self.engine._fail(Fail("r1"))
+        self.upstream.out[0].set_result(AttemptResult(Outcome.OK, b"late"))
         await self.settle()
         self.assertEqual(self.answers, [FinalResponse(FinalResult.REJECTED, retry_after_ms=250)])
 
-    async def test_the_guard_fails_a_write_that_may_have_run_and_refuses_one_that_did_not(self) -> None:
+    async def test_the_deadline_guard_fails_a_write_that_may_have_run_and_rejects_one_that_did_not(
+        self,
+    ) -> None:
+        """The scheduler stops deciding.
+
+        The guard fails the write that was sent, and rejects the one that was not.
+        """
         await self.call(WRITE)
         await self.call(replace(WRITE, id="w2", shard=5))
         self.engine._scheduler.handle = lambda now_ms, event: []  # type: ignore[method-assign]
         self.clock.advance(420)
         await self.settle()
-        self.assertEqual([each.verdict for each in self.answers], [FinalResult.FAILED, FinalResult.REJECTED])
+        self.assertEqual([each.result for each in self.answers], [FinalResult.FAILED, FinalResult.REJECTED])
 
-    async def test_a_probe_comes_back_as_an_event(self) -> None:
-        self.engine._on_probe(SendHealthCheck("n1"))
+    async def test_a_health_check_comes_back_as_an_event(self) -> None:
+        """The scheduler asks for a health check and is notified of its result."""
+        self.engine._send_health_check(SendHealthCheck("n1"))
         await self.settle()
-        self.assertIn(HealthCheckEnded("n1", Outcome.OK, 0.0), self.told)
+        self.assertIn(HealthCheckEnded("n1", Outcome.OK, 0.0), self.events)
 
     async def test_a_draining_nodes_idle_connections_stay_until_it_is_gone(self) -> None:
+        """A node drains, then leaves the list: its idle connections are closed only as it leaves."""
         for state, closed in ((EndpointState.DRAINING, 0), (EndpointState.GONE, 1)):
             self.engine.update_endpoints(
-                UpdateKind.CHANGES, 2, (Endpoint(entry(state=state), "a:1", self.back),)
+                UpdateKind.CHANGES, 2, (Endpoint(entry(state=state), "a:1", self.upstream),)
             )
-            self.assertEqual(self.back.closed, closed)
+            self.assertEqual(self.upstream.closed, closed)
 
     async def test_a_node_that_left_is_forgotten_with_its_connections(self) -> None:
+        """Fifty nodes come and leave one after the other.
+
+        Only the listed ones are known, all others are closed.
+        """
         for number in range(50):
-            new = Endpoint(entry(f"m{number}"), f"b:{number}", self.back)
-            gone = Endpoint(entry(f"m{number - 1}", state=EndpointState.GONE), "", self.back)
+            new = Endpoint(entry(f"m{number}"), f"b:{number}", self.upstream)
+            gone = Endpoint(entry(f"m{number - 1}", state=EndpointState.GONE), "", self.upstream)
             self.engine.update_endpoints(UpdateKind.CHANGES, number, (new, gone))
         self.assertEqual(set(self.engine.routes._endpoints), {"n1", "m49"})
         self.engine.update_endpoints(UpdateKind.FAILED, 0, ())
         self.engine.update_endpoints(UpdateKind.FULL, 50, (new,))
-        self.assertEqual((set(self.engine.routes._endpoints), self.back.closed), ({"m49"}, 50))
+        self.assertEqual((set(self.engine.routes._endpoints), self.upstream.closed), ({"m49"}, 50))
+
+    async def test_an_id_is_not_accepted_again_while_an_attempt_of_it_is_in_flight(self) -> None:
+        """A request is rejected while its attempt is in flight, and a request of the same id comes.
 
-    async def test_an_id_is_not_taken_again_while_an_attempt_of_it_is_out(self) -> None:
+        It is a bad request
+        until the attempt has ended, for its outcome would be taken for the other's.
+        """
         await self.call(WRITE)
-        self.engine._on_refuse(Reject("w1"))
+        self.engine._reject(Reject("w1"))
         with self.assertRaises(BadRequestError):
             self.engine.submit(replace(WRITE), self.answers.append)
-        self.back.out[0].set_result(AttemptResult(Outcome.OK))
+        self.upstream.out[0].set_result(AttemptResult(Outcome.OK))
         await self.settle()
         await self.call(WRITE)
-        self.assertEqual(len(self.back.out), 2)
+        self.assertEqual(len(self.upstream.out), 2)
 
 
 class ClockTest(unittest.TestCase):
