--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -210,7 +210,7 @@
         now, _, event = heapq.heappop(queue)
         for act in scheduler.handle(now, event):
             if isinstance(act, StartTimer):
-                put(now + act.wait_ms, TimerExpired(act.token))
+                put(now + act.wait_ms, TimerExpired(act.timer))
             elif isinstance(act, SendAttempt):
                 slot = free.index(min(free))
                 free[slot] = max(free[slot], now) + works[act.request]
