--- a/shaletiller/core/accept.py
+++ b/shaletiller/core/accept.py
@@ -53,19 +53,19 @@
         return exchange
 
     def _check(self, call: ClientCall) -> ClassSpec:
-        spec = self._classes.get(call.service)
+        spec = self._classes.get(call.request_class)
         if spec is None:
-            raise BadRequestError(f"unknown class {call.service!r}")
+            raise BadRequestError(f"unknown class {call.request_class!r}")
         if call.plan not in self._plans:
             raise BadRequestError(f"unknown plan {call.plan!r}")
         if not 0 < call.units <= self._max_units:
             raise BadRequestError("units out of range")
         if self._site_marks_writes and spec.writes != call.write:
-            raise BadRequestError(f"class {call.service!r} is not for this method")
+            raise BadRequestError(f"class {call.request_class!r} is not for this method")
         if spec.effect is Idempotency.KEYED and not call.idempotency_key:
             # Without a key the storage nodes take each retry for new work and run it again.
-            raise BadRequestError(f"class {call.service!r} wants an Idempotency-Key")
-        if call.shard < -1 or call.hosts < 1 or 0 < self._shards <= call.shard:
+            raise BadRequestError(f"class {call.request_class!r} wants an Idempotency-Key")
+        if call.shard < -1 or call.volume_gateways < 1 or 0 < self._shards <= call.shard:
             raise BadRequestError("shard or hosts out of range")
         self._check_timeout(call, spec)
         self._check_id(call)
--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -263,7 +263,7 @@
         attempt = Attempt(len(exchange.attempts), action.node, now_ms)
         exchange.attempts.append(attempt)
         if endpoint is None:
-            self._record(exchange, attempt, AttemptResult(Outcome.MOOT))
+            self._record(exchange, attempt, AttemptResult(Outcome.NOT_SENT))
         else:
             self.attempts(exchange, attempt, endpoint, action.timeout_ms, action.start_within_ms)
 
@@ -286,7 +286,7 @@
             self.attempts.stop(attempt, Outcome.CANCELLED)
 
     def _start_timer(self, action: StartTimer) -> None:
-        self._clock.call_later(action.wait_ms, self.notify, TimerExpired(action.token))
+        self._clock.call_later(action.wait_ms, self.notify, TimerExpired(action.timer))
 
     def _send_peer_message(self, action: SendPeerMessage) -> None:
         self._services.send_peer_message(action.peer, action.data)
@@ -314,7 +314,7 @@
         sent_ms = self._clock.now_ms()
         result = await endpoint.back.probe(endpoint.address)
         latency_ms = self._clock.now_ms() - sent_ms
-        self.notify(HealthCheckEnded(endpoint.entry.node, result.outcome, latency_ms, result.report))
+        self.notify(HealthCheckEnded(endpoint.entry.node, result.outcome, latency_ms, result.load_report))
 
     # ---- background tasks
 
--- a/shaletiller/core/record.py
+++ b/shaletiller/core/record.py
@@ -12,7 +12,7 @@
 from shaletiller.messages.outcomes import Outcome
 
 # Outcomes of attempts that no storage node was handed completely.
-NOT_FORWARDED = (Outcome.CONNECT_FAILED, Outcome.MOOT)
+NOT_FORWARDED = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class OutcomeRecorder:
@@ -45,9 +45,9 @@
                 node=attempt.node,
                 outcome=result.outcome,
                 latency_ms=elapsed_ms if result.latency_ms is None else result.latency_ms,
-                over=exchange.finished,
-                used=result.used,
+                request_finished=exchange.finished,
+                usage_percent_plus_one=result.usage_percent_plus_one,
                 other_gateways_units=result.other_gateways_units,
-                report=result.report,
+                load_report=result.load_report,
             )
         )
--- a/shaletiller/core/respond.py
+++ b/shaletiller/core/respond.py
@@ -44,7 +44,7 @@
         exchange.result = response.result
         self._end(exchange)
         self._counters.increment(response.result.value)
-        self._counters.count_result(exchange.call.service, response.result)
+        self._counters.count_result(exchange.call.request_class, response.result)
         try:
             exchange.respond(response)
         except Exception:
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -96,10 +96,10 @@
         now_ms = self._clock.now_ms()
         call = exchange.call
         answer = "left" if exchange.result is None else exchange.result.value
-        labels = {"class": call.service, "plan": call.plan, "answer": answer}
+        labels = {"class": call.request_class, "plan": call.plan, "answer": answer}
         self._duration.record(now_ms - exchange.accepted_ms, labels)
         span = self._tracer.start_span(
-            call.service,
+            call.request_class,
             kind=SpanKind.SERVER,
             start_time=int(exchange.accepted_ms * NS_PER_MS),
             attributes={**labels, "shard": call.shard, "units": call.units},
