--- /dev/null
+++ b/tests/test_golden_bytes.py
@@ -0,0 +1,859 @@
+"""Bytes and names that leave the process, as commit 1ba7699 has them.
+
+Gateways of two versions run side by side during an upgrade, a store outlives the process that wrote it, and
+configuration files, operators' scripts and the simulator are not renamed with the program.  So a change of
+names inside the program must not move one byte of what is sent, kept, read or shown.  These tests hold
+literal bytes and texts that were recorded from that commit.  Names of the program stand in one section,
+between the two lines marked PROGRAM; below it there are only bytes, texts and plain values.  Where a
+structure has to be compared, it is compared by position (`plain`), so that its fields may get other names.
+
+No file of a store has a random part or a time in it: nothing is masked.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import dataclasses
+import json
+import random
+import types
+from enum import Enum
+from pathlib import Path
+
+import msgspec
+import pytest
+
+# ==== PROGRAM: the only section that names what the program calls its parts ================================
+from shaletiller import adapter, config, gateway, settings
+from shaletiller import interface as i
+from shaletiller.core import bans, figures
+from shaletiller.core.model import Call as ClientCall
+from shaletiller.core.model import Verdict as Final
+from shaletiller.fleet import codec
+from shaletiller.fleet.core import group_of
+from shaletiller.fleet.hlc import stamp_of
+from shaletiller.fleet.rendezvous import ranked
+from shaletiller.fleet.verdicts import Departs, Kind, Verdicts
+from shaletiller.net import discovery, links, peers
+from shaletiller.net import promises as port
+from shaletiller.operator_file import FileError
+from shaletiller.operator_file import read as read_operator
+from shaletiller.promises import acceptor, groups, messages, rows
+from shaletiller.promises.rows import Row, describe, pack, read_row, read_says
+from shaletiller.store import keeper, log
+
+# fmt: off
+FLEET_KINDS = dict(zip(
+    ("ping", "ack", "ping-req", "rumor", "want", "call", "pledge", "grant", "verdict"),
+    (codec.Ping, codec.Ack, codec.PingReq, codec.Rumor, codec.Want, codec.Call, codec.Pledge, codec.Grant,
+     codec.Verdict), strict=True))
+MESSAGE_KINDS = dict(zip(
+    ("prepare", "accept", "reply", "join", "page", "compare", "keys", "pull", "rows"),
+    (messages.Prepare, messages.Accept, messages.Reply, messages.Join, messages.Page, messages.Compare,
+     messages.Keys, messages.Pull, messages.Rows), strict=True))
+SAYING_KINDS = dict(zip(
+    ("intent", "outcome", "word", "listed", "leased"),
+    (rows.Intent, rows.Outcome, rows.Word, rows.Listed, rows.Leased), strict=True))
+EVENT_KINDS = {"PeersKnown": i.NodeList, "Submit": i.Request, "Alarm": i.TimerDue, "Done": i.Attempted,
+               "Headers": i.StreamStarted, "NeighbourSays": i.PeerSaid, "Abandoned": i.ClientLeft,
+               "ProbeResult": i.Probed}
+ACTIONS = (
+    i.Send("t/1", "n1", 12.5), i.Refuse("t/2", 40.0), i.Fail("t/3"), i.Cancel("t/4", 2),
+    i.SetTimer(3.5, "tok"), i.Probe("n2"), i.Tell(None, "é"), i.Tell(4, "x"), i.Subscribe(True),
+    i.FetchList(), i.CloseIdle("n3"), i.Log("line"))
+SERVED, REFUSED, FAILED = Final.SERVED, Final.REFUSED, Final.FAILED
+NUMBERS = [[each.value for each in group] for group in (
+    (Kind.BAN, Kind.DEAD, Kind.COLD, Kind.TURNING, Kind.SLOW, Kind.LEAVING),
+    (Departs.DRAINING, Departs.LEFT, Departs.ACTIVE),
+    (i.NodeState.GONE, i.NodeState.READY, i.NodeState.DRAINING),
+    (i.ListKind.CHANGES, i.ListKind.FULL, i.ListKind.REMEMBERED, i.ListKind.FAILED))]
+STORE_KEYS = (acceptor.LIFE, acceptor.LIVES, acceptor.SYNCED, port.LIST_KEY)
+PREFIXES = (port.BAN, port.DRAIN, port.LIST, port.LEASE)
+FaultyConfig, FaultyFile = config.ConfigError, FileError
+pack_part, bucket_of, row_sum = codec.pack, acceptor.bucket_of, acceptor._sum
+read_settings, read_config, simulator_reads = settings.read_settings, config.read_config, adapter.read_batch
+# fmt: on
+
+
+def fleet_writes(group, me, life, *letters):
+    """The room that an envelope takes beside its parts, and envelopes one after another."""
+    writer = codec.Writer(group, me, life)
+    return writer.overhead, [writer.write(stamp, parts) for stamp, parts in letters]
+
+
+def reads(reader, data, *now):
+    """What was read, and what has been dropped so far, by reason."""
+    return reader.read(data, *now), dict(reader.dropped)
+
+
+FleetReader, PromiseReader = codec.Reader, messages.Codec
+
+
+def promise_writes(group, me, members, message):
+    return messages.Codec(group, me, members).write(message)
+
+
+def value_of(name, values):
+    """A message of a promise; rows in it are built too."""
+    rowed = {
+        "reply": lambda v: (*v[:3], Row(*v[3]), v[4]),
+        "rows": lambda v: (tuple((key, Row(*row)) for key, row in v[0]),),
+        "page": lambda v: (*v[:4], tuple((key, Row(*row)) for key, row in v[4]), v[5]),
+    }
+    return MESSAGE_KINDS[name](*rowed.get(name, lambda v: v)(values))
+
+
+def acceptor_of(kept):
+    """What a gateway knows after it has opened a store: life, lives, synced, rows."""
+    found = acceptor.Acceptor(0, groups.Groups(["", "", ""]))
+    found.load(kept)
+    return found.life, found.lives, found.synced, {key: plain(row) for key, row in found.rows.items()}
+
+
+def born(life):
+    return acceptor.Acceptor(0, groups.Groups(["", "", ""])).born(life)
+
+
+def digest_of(word):
+    held = Verdicts(lambda said: None)
+    held.take(word, 0.0)
+    return held.digest
+
+
+def group_members(key, zones, copies):
+    return groups.Groups(zones, copies).of(key)
+
+
+def write_key(service, volume, own_id, repeats_by):
+    rest = (1.0, 0, 1, 1.0, True, "PUT", "/", b"", False, repeats_by)
+    return port.key_of(ClientCall(own_id, service, "plan", volume, "k", *rest))
+
+
+def write_store(folder, commits, segment_bytes, compacted=False):
+    store = log.Store(folder, None, segment_bytes)
+    if compacted:
+        store.compact()
+    for commit in commits:
+        store.commit(commit)
+    store.close()
+
+
+async def keep_in_store(folder, commits, segment_bytes):
+    kept = keeper.Keeper(log.Store(folder, None, segment_bytes))
+    kept.start()
+    for commit in commits:
+        done = asyncio.get_running_loop().create_future()
+        kept.keep(commit, done.set_result)
+        assert await done
+    await kept.stop()
+
+
+def read_store(folder):
+    """Kind, key, value, sequence number and whether it is gone, of each record; bytes of a torn tail."""
+    store = log.Store(folder)
+    found = [(each.kind, each.key, each.value, each.sequence, each.gone) for each in store]
+    store.close()
+    return found, store.torn
+
+
+def figure_lines(results, classes, gauges):
+    counts = {}
+    for service, final in results:
+        figures.tally(counts, service, final)
+    return figures.lines(counts, classes, gauges)
+
+
+def bans_read(path):
+    moved = []
+    found = bans.Bans(path, moved.append)
+    found.look()
+    return found.held, moved
+
+
+def simulator_writes(actions, line):
+    link = adapter.Link()
+    link._schedulers["host-0"] = types.SimpleNamespace(handle=lambda now_ms, event: actions)
+    return link.reply(line)
+
+
+def list_row(row):
+    place = discovery.read_row(msgspec.convert(row, config.ServerRow), lambda node: None)
+    return plain(place.entry), place.address
+
+
+def gateway_of(configuration):
+    """A gateway that runs nothing, what to call to have it know its list, and its operators' door."""
+    gate = gateway.Gateway(configuration)
+    return gate, gate.discovery.start_from_known, gate.admin.answer
+
+
+async def fleet_hears(gate, *frames):
+    """Hashes of the fleet and of its promises; what of the frames went to the promises, what of the rest was
+    dropped.  The store is open from here on."""
+    gate.promises.open()
+    await asyncio.sleep(0)
+    heard, taken = [], gate.fleet.heard_promises
+    gate.fleet.heard_promises = lambda data: (heard.append(data), taken(data))
+    for frame in frames:
+        gate.fleet.receive(frame)
+    fleet = gate.fleet.liaison.fleet
+    return (fleet._writer._head[0], gate.promises._codec._group), heard, dict(fleet.reader.dropped)
+
+
+async def fleet_ends(gate):
+    await gate.promises.close()
+    gate.fleet.close()
+
+
+def datagrams(addresses, everyone, text, fleet, sent):
+    """How a gateway tells a text, sends bytes, and is given a datagram."""
+    found = peers.Peers(addresses, everyone, lambda number, data: text.append((number, data)), fleet.append)
+    found._transport = types.SimpleNamespace(sendto=lambda raw, address: sent.append((raw, address)))
+    return found.tell, found.send, found.datagram_received
+
+
+def link_sends(address, *data):
+    link = links.Link(address, random.Random(1))
+    for each in data:
+        link.send(each)
+    return link.run()
+
+
+def link_takes(heard):
+    """The side of a link that listens, as a callback of asyncio.start_server."""
+    return links.Links(0, [("127.0.0.1", 1)], heard, 0)._take
+
+
+# ==== end of PROGRAM =======================================================================================
+
+
+def plain(what):
+    """A value by position: structures as tuples, enumerations as their values."""
+    if isinstance(what, Enum):
+        return what.value
+    if isinstance(what, msgspec.Struct):
+        return tuple(plain(each) for each in msgspec.structs.astuple(what))
+    if dataclasses.is_dataclass(what):
+        return tuple(plain(getattr(what, field.name)) for field in dataclasses.fields(what))
+    if isinstance(what, list | tuple):
+        return tuple(plain(each) for each in what)
+    return what
+
+
+def hexed(text):
+    return bytes.fromhex(text)
+
+
+def words(text):
+    return text.split()
+
+
+GOLDEN = Path(__file__).parent / "golden"
+NVME, OPERATOR = (GOLDEN / "nvme.toml").read_text(), (GOLDEN / "operator.kdl").read_text()
+CONFIG = json.loads((GOLDEN / "config.json").read_text())
+INFO = CONFIG["settings"]
+NOW = 1_700_000_000_000
+STAMP = NOW << 16  # of the hybrid clock
+GROUP = 0xDEADBEEF
+
+# ---- 1. messages of the fleet
+
+# fmt: off
+FLEET_PARTS = [
+    ("ping", (11, 12), "93010b0c"),
+    ("ack", (13, 2, 14), "94020d020e"),
+    ("ping-req", (15, 1), "93030f01"),
+    ("rumor", (1, 3, NOW + 1, 4), "95040103cf0000018bcfe5680104"),
+    ("want", ("v:vol", 21, 22000, 23000, 24000, 25000, 26), "9805a5763a766f6c15cd55f0cd59d8cd5dc0cd61a81a"),
+    ("call", ("v:vol", 31, 32000, 33000, 34, 2, NOW + 2),
+     "9806a5763a766f6c1fcd7d00cd80e82202cf0000018bcfe56802"),
+    ("pledge", ("c:n1", 41, 42000, 43000, 44), "9607a4633a6e3129cda410cda7f82c"),
+    ("grant", ("v:vol", 51, 52000, 53000, 54), "9608a5763a766f6c33cdcb20cdcf0836"),
+    ("verdict", ("n1", 5, 2, NOW + 3, STAMP + 1, NOW + 60000, 61),
+     "9809a26e310502cf0000018bcfe56803cf018bcfe568000001cf0000018bcfe652603d"),
+]
+# fmt: on
+
+
+@pytest.mark.parametrize(("kind", "values", "golden"), FLEET_PARTS)
+def test_each_part_of_a_fleet_message_keeps_its_bytes(kind, values, golden):
+    assert pack_part(FLEET_KINDS[kind](*values)).hex() == golden
+    envelope = hexed(f"9701cedeadbeef02cf0000018bcfe56800010791{golden}")
+    (head, [part]), dropped = reads(FleetReader(GROUP, 0, 3), envelope, NOW)
+    assert (plain(head)[:6], dropped) == ((1, GROUP, 2, NOW, 1, 7), {})
+    assert (type(part), plain(part)) == (FLEET_KINDS[kind], values)
+    assert pack_part(part).hex() == golden
+
+
+def test_the_envelope_of_the_fleet_keeps_its_bytes_and_counts_on():
+    letters = (STAMP + 7, []), (STAMP + 8, [hexed("93010b0c"), hexed("93030f01")])
+    overhead, (empty, two) = fleet_writes(GROUP, 2, NOW, *letters)
+    assert overhead == 38
+    assert empty.hex() == "9701cedeadbeef02cf0000018bcfe5680001cf018bcfe56800000790"
+    assert two.hex() == "9701cedeadbeef02cf0000018bcfe5680002cf018bcfe5680000089293010b0c93030f01"
+    (head, parts), _ = reads(FleetReader(GROUP, 0, 3), two, NOW)
+    assert plain(head)[:6] == (1, GROUP, 2, NOW, 2, STAMP + 8)
+    assert [plain(part) for part in parts] == [(11, 12), (15, 1)]
+
+
+FLEET_DROPS = {
+    "version": (2, 1, 1, 5, 1, 5, []), "group": (1, 2, 1, 5, 1, 5, []), "sender": (1, 1, 0, 5, 1, 5, []),
+    "ahead": (1, 1, 1, 10**9, 1, 5, []), "malformed": (1, 1, 1, 7, 1, 5, [[1, 2]]),
+    "tag": (1, 1, 1, 7, 2, 5, [[99, 2]]), "replayed": (1, 1, 1, 7, 2, 5, []), "life": (1, 1, 1, 6, 9, 5, []),
+}  # fmt: skip
+PROMISE_DROPS = {
+    "malformed": (1, 1, 1, [99]), "version": (2, 1, 1, [8, []]), "group": (1, 2, 1, [8, []]),
+    "sender": (1, 1, 0, [8, []]),
+}  # fmt: skip
+
+
+def test_both_readers_count_what_they_drop_under_these_names():
+    fleet, promises = FleetReader(1, 0, 3), PromiseReader(1, 0, 3)
+    for at, head in enumerate(FLEET_DROPS.values(), 1):
+        _, dropped = reads(fleet, msgspec.msgpack.encode(head), 1000.0)
+        assert dropped == dict.fromkeys(list(FLEET_DROPS)[:at], 1)
+    for at, head in enumerate(PROMISE_DROPS.values(), 1):
+        found, dropped = reads(promises, b"P" + msgspec.msgpack.encode(head))
+        assert (found, dropped) == (None, dict.fromkeys(list(PROMISE_DROPS)[:at], 1))
+
+
+# ---- 2. messages of the promises, and what stands in their registers
+
+ROW = ((1, 2, 3), (4, 1, 6), 7, b"\x01val", NOW + 99)
+NOTHING = ((0, 0, 0), (0, 0, 0), 0, b"", 0)
+ROW_HEX, EMPTY_HEX = "95930102039304010607c4040176616ccf0000018bcfe56863", "95930000009300000000c40000"
+BYTE_LIST = "".join(f"{n:02x}" if n < 128 else f"cc{n:02x}" for n in range(256))  # the numbers as MessagePack
+# fmt: off
+MESSAGES = [
+    ("prepare", (101, "w:c:v:k", (2, 1, 9), NOW + 100, (5, 6, 7)),
+     "960165a7773a633a763a6b93020109cf0000018bcfe5686493050607"),
+    ("accept", (102, "ban:n1", (3, 0, 8), 4, b"value", NOW + 200, (5, 6)),
+     "980266a662616e3a6e319303000804c40576616c7565cf0000018bcfe568c8920506"),
+    ("reply", (103, 2, NOW + 300, ROW, (5, 6, 7)), f"96036702cf0000018bcfe5692c{ROW_HEX}93050607"),
+    ("join", (104, NOW + 400, "after"), "940468cf0000018bcfe56990a56166746572"),
+    ("page", (105, NOW + 500, True, (8, 9, 10), (("k1", ROW), ("k2", NOTHING)), "k2"),
+     f"970569cf0000018bcfe569f4c39308090a9292a26b31{ROW_HEX}92a26b32{EMPTY_HEX}a26b32"),
+    ("compare", (tuple(range(256)),), f"9206dc0100{BYTE_LIST}"),
+    ("keys", (17, (("k1", (4, 1, 6), 7),)), "9307119193a26b319304010607"),
+    ("pull", (("k1", "k2"),), "920892a26b31a26b32"),
+    ("rows", ((("k1", ROW),),), f"92099192a26b31{ROW_HEX}"),
+]
+# fmt: on
+
+
+@pytest.mark.parametrize(("kind", "values", "golden"), MESSAGES)
+def test_each_message_of_the_promises_keeps_its_bytes(kind, values, golden):
+    golden = f"509401cedeadbeef02{golden}"  # "P", and then an array: version, fleet, sender, message
+    (sender, message), dropped = reads(PromiseReader(GROUP, 0, 3), hexed(golden))
+    assert (sender, type(message), plain(message)) == (2, MESSAGE_KINDS[kind], values)
+    assert dropped == {}
+    assert promise_writes(GROUP, 2, 3, value_of(kind, values)).hex() == golden
+    assert promise_writes(GROUP, 2, 3, message).hex() == golden
+
+
+SHOWN = {"kind": "register", "key": "key", "promised": (1, 2, 3), "ballot": (4, 1, 6), "step": 7, "until": 99}
+# fmt: off
+SAYINGS = [
+    ("intent", (1, NOW, 3, -4, NOW + 5, NOW + 6),
+     "970101cf0000018bcfe5680003fccf0000018bcfe56805cf0000018bcfe56806", {"owner": 1, "at": NOW + 5}),
+    ("outcome", (True, b"body", 7, NOW + 8), "9502c3c404626f647907cf0000018bcfe56808",
+     {"served": True, "bytes": 4, "at": NOW + 8}),
+    ("word", (True, STAMP + 9, 2, NOW + 10), "9503c3cf018bcfe56800000902cf0000018bcfe5680a",
+     {"out": True, "by": 2}),
+    ("listed", (NOW + 11, b'{"version":1}'), "9304cf0000018bcfe5680bc40d7b2276657273696f6e223a317d",
+     {"bytes": 13, "at": NOW + 11}),
+    ("leased", (2, NOW + 12, 13, NOW + 14, 15000, 16000),
+     "970502cf0000018bcfe5680c0dcf0000018bcfe5680ecd3a98cd3e80", {}),
+]
+# fmt: on
+
+
+@pytest.mark.parametrize(("kind", "values", "golden", "shown"), SAYINGS)
+def test_each_value_of_a_register_keeps_its_bytes_and_how_it_is_shown(kind, values, golden, shown):
+    assert pack(SAYING_KINDS[kind](*values)).hex() == golden
+    says = read_says(hexed(golden))
+    assert (type(says), plain(says), pack(says).hex()) == (SAYING_KINDS[kind], values, golden)
+    row = pack(Row((1, 2, 3), (4, 1, 6), 7, hexed(golden), 99))
+    assert list(describe(1, b"key", row).items()) == list({**SHOWN, "says": kind, **shown}.items())
+
+
+def test_a_register_keeps_its_bytes_and_other_records_how_they_are_shown():
+    assert (pack(Row()).hex(), pack(Row(*ROW)).hex()) == (EMPTY_HEX, ROW_HEX)
+    assert plain(read_row(hexed(ROW_HEX))) == ROW
+    assert (read_says(b""), read_says(hexed("9263c0"))) == (None, None)
+    assert describe(1, b"key", hexed(EMPTY_HEX))["says"] == "free"
+    assert describe(2, b"life", b"abc") == {"kind": "meta", "key": "life", "bytes": 3}
+    assert describe(1, b"k", b"\xc1") == {"kind": "register", "key": "k", "unreadable": 1}
+    assert describe(9, b"k", b"") == {"kind": 9, "key": "k", "bytes": 0}
+
+
+def test_keys_hashes_and_numbers_that_gateways_must_agree_on():
+    assert STORE_KEYS == (b"life", b"lives", b"synced", b"list")
+    assert PREFIXES == ("ban:", "drain:", "list:", "lease:")
+    lives = (2, b"lives", hexed("93cf0000018bcfe568000000"))
+    assert born(NOW) == [(2, b"life", hexed("cf0000018bcfe56800")), lives, (2, b"synced", hexed("90"))]
+    zones = ["a", "a", "b", "", "b"]
+    for key, bucket, total, order, members in [
+        ("w:c:v:k", 182, 549473823715102212, [4, 1, 0, 2, 3], (4, 1, 3)),
+        ("ban:n1", 250, 53304442575095473, [2, 0, 4, 3, 1], (2, 0, 3)),
+        ("lease:v:vol", 9, 14813146762717196219, [0, 1, 2, 4, 3], (0, 2, 3)),
+    ]:
+        assert (bucket_of(key), row_sum(key, Row(*ROW))) == (bucket, total)
+        assert (ranked(key, range(5)), group_members(key, zones, 3)) == (order, members)
+    word = FLEET_KINDS["verdict"]("n1", 5, 2, NOW + 3, STAMP + 1, 60000, 61)
+    assert digest_of(word) == 1461102212653850920
+    assert group_of("campus", ["g0", "g1", "g2"]) == 2948227333
+    assert stamp_of(NOW + 0.9) == STAMP
+    assert write_key("c", "v", "id", "idem") == "w:c:v:idem"
+    assert write_key("c", "v", "id", "") == "w:c:v:id"
+    assert write_key("c", "v", "id", "x" * 400) == "w:7fab808d49435d3bb6f0890a2821805b"
+    assert NUMBERS == [[1, 2, 3, 4, 5, 6], [1, 2, 3], [0, 1, 2], [0, 1, 2, 3]]
+
+
+# ---- 3. the store
+
+# fmt: off
+META_ROWS = [
+    (2, b"life", hexed("cf0000018bcfe56800")), (2, b"lives", hexed("93cf0000018bcfe568000506")),
+    (2, b"synced", hexed("920102")), (2, b"list", b'{"version":1}')]
+# fmt: on
+COMMITS = [[*META_ROWS, (1, b"gone", b"x")], [(1, b"ban:n1", hexed(ROW_HEX)), (1, b"gone", None)]]
+LOG, COMPACTED = {"lock": ""}, {"lock": ""}  # files by name, in hexadecimal
+for _line in (GOLDEN / "stores.txt").read_text().splitlines():
+    _which, _name, _content = _line.split()
+    {"log": LOG, "compacted": COMPACTED}[_which][_name] = _content
+
+
+def folder_of(path):
+    return {each.name: each.read_bytes().hex() for each in sorted(path.iterdir())}
+
+
+def lay(path, names):
+    path.mkdir()
+    for name, content in names.items():
+        (path / name).write_bytes(hexed(content))
+    return path
+
+
+HELD = [(*row, at + 1, False) for at, row in enumerate(META_ROWS)]
+HELD += [(1, b"ban:n1", hexed(ROW_HEX), 6, False)]
+
+
+def test_a_store_writes_the_same_files(tmp_path):
+    write_store(tmp_path / "s", COMMITS, 150)
+    assert folder_of(tmp_path / "s") == LOG
+    write_store(tmp_path / "s", [[(1, b"k", b"")]], 150, compacted=True)
+    assert folder_of(tmp_path / "s") == COMPACTED
+
+
+def test_a_keeper_writes_the_same_files(tmp_path):
+    asyncio.run(keep_in_store(tmp_path / "s", COMMITS, 150))
+    assert folder_of(tmp_path / "s") == LOG
+
+
+@pytest.mark.parametrize(("there", "more"), [(LOG, []), (COMPACTED, [(1, b"k", b"", 8, False)])])
+def test_a_store_written_by_that_commit_opens_and_goes_on(tmp_path, there, more):
+    assert read_store(lay(tmp_path / "s", there)) == (HELD + more, 0)
+    assert folder_of(tmp_path / "s") == there  # opened, and not a byte moved
+    write_store(tmp_path / "s", [[(1, b"next", b"v")]], 1 << 20)
+    assert read_store(tmp_path / "s") == ([*HELD, *more, (1, b"next", b"v", 8 + len(more), False)], 0)
+
+
+def test_a_gateway_finds_its_life_and_registers_in_a_store_of_that_commit(tmp_path):
+    found, _ = read_store(lay(tmp_path / "s", LOG))
+    assert acceptor_of([each[:3] for each in found]) == (NOW, [NOW, 5, 6], {1, 2}, {"ban:n1": ROW})
+
+
+# ---- 4. the settings document
+
+# fmt: off
+SETTINGS = (
+    (("c1", 5.5, 6.5, 7.5, 0.85, "keyed", "zone", 9.5, True, False, False),
+     ("c2", 10.5, 11.5, 1.0, 0.0, "safe", "all", 0.0, False, True, False),
+     ("c3", 12.5, 13.5, 1.0, 0.0, "unsafe", "cell", 0.0, False, False, True)),
+    (("p1", 14.5, 15.5, 16.5, 17.5, 18.5, 19.5, 20.5),),
+    1, 2, "z3", 4.5, 27, 21.5, 22.5, 23.5, 24.5, 25.5, True, True, 42.5, 28, True, False, True, False, True,
+    29.5, True, 32.5, 33.5, 34.5, 35.5, 0.365, 37.5, 26.5, 38.5, 39.5, 40.5, 41.5, 43.5, 44.5, 45.5,
+    ("a", "b"), 30.5, 31.5)
+LEAST = {"classes": [{"name": "read", "target-ms": 1, "hard-limit-ms": 2, "effect": "read_like"}],
+         "contracts": [{"name": "p"}]}
+LEAST_SETTINGS = (
+    (("read", 1.0, 2.0, 1.0, 0.0, "safe", "cell", 0.0, False, False, False),),
+    (("p", 0.0, 0.0, 1.0, 1.0, 0.0, 0.0, 0.0),),
+    0, 1, "", 0.0, 0, 1.0, 1.0, 1.0, 1.0, 0.0, False, False, 0.0, 1, False, False, False, False, False, 0.0,
+    False, 0.0, 0.0, 0.0, 0.0, 1.0, 0.0, 0.0, 0.0, None, 0.0, 0.0, 0.0, 0.0, 0.0, (), 30000.0, 250.0)
+# fmt: on
+
+
+def changed(path, value):
+    """The full document, one of its values another; "classes[0].name" is a path."""
+    info = json.loads(json.dumps(INFO))
+    *way, last = path.replace("[0]", ".0").split(".")
+    at = info
+    for step in way:
+        at = at[int(step)] if step.isdigit() else at[step]
+    at[int(last) if last.isdigit() else last] = value
+    return info
+
+
+def test_every_key_of_the_settings_document_gives_its_value():
+    assert plain(read_settings(INFO)) == SETTINGS
+    assert plain(read_settings(LEAST)) == LEAST_SETTINGS
+
+
+# Which value a switch moves, and no other: many of them are alike in the document.
+SWITCHES = {
+    "domain.counts-others": 12, "limits.second-copies": 16, "limits.cancel": 17, "limits.probes": 18,
+    "limits.peers": 19, "limits.retry-after": 20, "clients.marks-retry": 22,
+}  # fmt: skip
+
+
+@pytest.mark.parametrize(("path", "at"), [*SWITCHES.items(), ("discovery", 13)])
+def test_each_switch_of_the_settings_document_moves_its_own_value(path, at):
+    part, _, key = path.rpartition(".")
+    other = "automatic" if path == "discovery" else not INFO[part][key]
+    moved = plain(read_settings(changed(path, other)))
+    assert moved == (*SETTINGS[:at], not SETTINGS[at], *SETTINGS[at + 1 :])
+
+
+SECTIONS = ("domain", "limits", "clients", "obligations", "deductions", "load-info")
+# fmt: off
+TYPED = [*("position", "balancers", "zone", "tick-ms"),
+         *(f"classes[0].{key}" for key in INFO["classes"][0] if key != "effect"),
+         *(f"contracts[0].{key}" for key in INFO["contracts"][0]),
+         *(f"{part}.{key}" for part in SECTIONS for key in INFO[part] if key != "writes")]
+POSITIVE = ["balancers", "domain.mean-units", "domain.most-units", "limits.max-attempts",
+            "limits.conn-idle-ms", "limits.connect-timeout-ms", "classes[0].target-ms",
+            "classes[0].hard-limit-ms"]
+NOT_NEGATIVE = ["obligations.fall-ms", "obligations.ramp-time-ms", "domain.cold-bears",
+                "obligations.turn-gap-ms", "obligations.budget-share", "obligations.budget-span-ms",
+                "classes[0].importance", "classes[0].key-ttl-ms",
+                *(f"contracts[0].{key}" for key in INFO["contracts"][0] if key != "name")]
+FAULTS = [
+    *((path, {"w": 1}, f"{path}: Expected ") for path in TYPED),
+    *((path, 0, f"{path}: wants a number above 0, got 0") for path in POSITIVE),
+    *((path, -1, f"{path}: wants a number of at least 0, got -1") for path in NOT_NEGATIVE),
+    *((path, 3, f"{path}: wants an object") for path in (*SECTIONS[1:], "classes[0]", "contracts[0]")),
+    ("obligations.start-capacity", 2, "obligations.start-capacity: wants a part above 0, at most 1, got 2.0"),
+    ("classes[0].dedup-scope", "x", "classes[0].dedup-scope: Invalid enum value 'x'"),
+    ("classes[0].effect", "x", "classes[0].effect: unknown value 'x'"),
+    ("classes[0].effect", None, "classes[0].effect: is missing"),
+    ("classes[0].name", "c2", "classes[1].name: 'c2' stands there twice"),
+    ("contracts[0].name", "", "contracts[0].name: '' wants 1 to 64 printable ASCII characters"),
+    ("classes", 3, "classes: wants a list"), ("contracts", 3, "contracts: wants a list"),
+    ("classes", [], "classes: at least one class is needed"),
+    # As that commit says them: without the section, and by the program's own word.
+    ("domain.writes", 3, "writes: wants a list"), ("contracts", [], "plans: at least one plan is needed"),
+]
+# fmt: on
+
+
+@pytest.mark.parametrize(("path", "value", "told"), FAULTS)
+def test_a_faulty_setting_is_named_by_the_sites_own_key(path, value, told):
+    with pytest.raises(ValueError) as error:
+        read_settings(changed(path, value))
+    assert str(error.value).startswith(told)
+
+
+# ---- 5. the configuration, and the operators' file
+
+SERVERS = (8, True, (("n1", "10.0.1.1:7100", "z1", "k1", 9, "leaving", 1.5, 1700000000000.5),))
+# fmt: off
+NVME_VALUES = (
+    ("127.0.0.1:4420", "nqn.x:gw", 33, 34,
+     ((35, 36, "c2", "c1", "p1", "00000000000000a1", 37, 38, 3.5, 39, 8192, 40.5, 41.5),)),
+    (("n9", "nqn.x:box", 42, 43, 16384),))
+PEERS = (("10.0.0.3", 7003), (("10.0.0.4", 7004), ("10.0.0.5", 7005)), ("10.0.0.6", 7006))
+OPERATOR_VALUES = (
+    ("campus", "gb", "datagrams", (("ga", "10.0.0.4:7100", "a"), ("gb", "10.0.0.5:7101", "b")),
+     (("gold", "available"),), 201.0, 82.0, 1503.0, 2004.0, 905.0, 0.06, 107.0, 108.0, 9, 10, 11.0, False),
+    ("/var/lib/x", 12.0, "/etc/x"), (False, (("write", "local"),), 5, 13.0, 14.0, True))
+NO_OPERATOR_VALUES = (
+    ("", "", "tcp", (), (), 200.0, 80.0, 1500.0, None, 1000.0, 0.01, 100.0, 100.0, 3, 2, 0.0, True),
+    ("", 8.0, ""), (False, (), 3, 86400.0, 4000000.0, False))
+# fmt: on
+
+
+def configured(folder, told=CONFIG, nvme=NVME, operator=None, **env):
+    """What is read of these files and variables."""
+    (folder / "c.json").write_text(json.dumps(told))
+    (folder / "nvme.toml").write_text(nvme)
+    env["EDGE_CONFIG"] = str(folder / "c.json")
+    if operator is not None:
+        (folder / "o.kdl").write_text(operator)
+        env["EDGE_OPERATOR"] = str(folder / "o.kdl")
+    return read_config(env, folder / "nvme.toml")
+
+
+# fmt: off
+def test_every_key_of_the_configuration_gives_its_value(tmp_path):
+    assert plain(configured(tmp_path)) == (
+        "g7", ("127.0.0.1", 7001), ("10.0.0.2", 7002), 0x8C1F, (1.25, 200.5, 1025), *PEERS, SERVERS, SETTINGS,
+        NVME_VALUES, ("", 5000.0, 0.05), ("127.0.0.1", 7007), None, "/tmp")
+    least = {"settings": LEAST, "listen": "h:1", "discovery": "h:2"}
+    no_nvme = ("", "nqn.2026-12.example.shaletiller:gateway", 32, 32, ()), ()
+    assert plain(configured(tmp_path, least, "")) == (
+        "", ("h", 1), ("h", 2), 0, (1.0, 192.0, 1024), None, (), None, (0, False, ()), LEAST_SETTINGS,
+        no_nvme, ("", 5000.0, 0.05), None, None, "/tmp")
+
+
+def test_every_variable_and_every_key_of_the_operators_file_gives_its_value(tmp_path):
+    found = configured(
+        tmp_path, operator=OPERATOR, EDGE_NAME="gb", EDGE_LISTEN="127.0.0.1:8001",
+        EDGE_DISCOVERY="10.0.0.2:8002", EDGE_ADMIN="127.0.0.1:8003", TMPDIR="/tmp/t",
+        OTEL_EXPORTER_OTLP_ENDPOINT="http://o", OTEL_METRIC_EXPORT_INTERVAL="17",
+        OTEL_TRACES_SAMPLER_ARG="0.25")
+    assert plain(found) == (
+        "gb", ("127.0.0.1", 8001), ("10.0.0.2", 8002), 0x8C1F, (1.25, 200.5, 1025), *PEERS, SERVERS, SETTINGS,
+        NVME_VALUES, ("http://o", 17.0, 0.25), ("127.0.0.1", 8003), OPERATOR_VALUES, "/tmp/t")
+    (tmp_path / "e.kdl").write_text("")
+    assert plain(read_operator(tmp_path / "e.kdl")) == NO_OPERATOR_VALUES
+# fmt: on
+
+
+# fmt: off
+CONFIG_FAULTS = [
+    *(({key: {}}, f"EDGE_CONFIG: {key}: Expected ")
+      for key in ("name", "listen", "discovery", "seed", "peer_listen", "peers", "peers_all", "admin")),
+    *(({part: {key: {}}}, f"EDGE_CONFIG: {part}.{key}: Expected ")
+      for part in ("limits", "known") for key in CONFIG[part]),
+    *(({"known": {"servers": [{"id": "x", key: {}}]}}, f"EDGE_CONFIG: known.servers[0].{key}: Expected ")
+      for key in CONFIG["known"]["servers"][0]),
+    *(({key: "x"}, f"{shown}: wants host:port, got 'x'") for key, shown in [
+        ("listen", "EDGE_LISTEN"), ("discovery", "EDGE_DISCOVERY"), ("admin", "EDGE_ADMIN"),
+        ("peer_listen", "peer_listen"), ("peers_all", "peers_all")]),
+    ({"peers": ["a:1", "x"]}, "peers[1]: wants host:port, got 'x'"),
+    ({"seed": "zz"}, "seed: wants hex digits, got 'zz'"),
+    ({"name": "a/b"}, "EDGE_NAME: wants 200 printable bytes at most, no '/', got 'a/b'"),
+    ({"settings": {}}, "settings.classes: at least one class is needed"),
+    ({"settings": changed("limits.cancel", 2)}, "settings.limits.cancel: Expected "),
+]
+# fmt: on
+
+
+@pytest.mark.parametrize(("change", "told"), CONFIG_FAULTS)
+def test_a_faulty_key_of_the_configuration_is_named(tmp_path, change, told):
+    with pytest.raises(FaultyConfig) as error:
+        configured(tmp_path, {**CONFIG, **change})
+    assert str(error.value).startswith(told)
+
+
+def test_a_faulty_key_of_nvme_toml_is_named(tmp_path):
+    part = ""
+    for line in NVME.splitlines():
+        if line.startswith("["):
+            part = line.strip("[]") + ("[0]" if line.startswith("[[") else "")
+            continue
+        key = line.split(" = ")[0]
+        unknown = f"{part}: Object contains unknown field `x{key}`"
+        for swap, told in [(f"{key} = []", f"{part}.{key}: Expected "), (f"x{line}", unknown)]:
+            with pytest.raises(FaultyConfig) as error:
+                configured(tmp_path, nvme=NVME.replace(f"{line}\n", f"{swap}\n", 1))
+            assert str(error.value).startswith(f"nvme.toml: {told}")
+
+
+# fmt: off
+FLEET_KEYS = ("ack-ms, carrier, cold-budgets, drift, fanout, gather-ms, gossip-ms, lease-ms, limit, me, "
+              "member, messages-a-second, name, period-ms, quorum, suspect-ms, term-ms")
+OPERATOR_FAULTS = [
+    ("ack-ms 82", "x 1", f"line 10: fleet.x: unknown key; there are {FLEET_KEYS}"),
+    ("segment-mb", "x", "line 24: store.x: unknown key; there are dir, drill, segment-mb"),
+    ("keep-s", "x", "line 31: promises.x: unknown key; there are class, copies, keep-s, lease-tables, on, "
+                    "repair-bytes-a-second"),
+    ("ack-ms 82", "ack-ms 820", "line 10: fleet.ack-ms: wants a time above 0 and under period_ms"),
+    ('zone="a"', "zone=1", "line 6: fleet.member[0].zone: Expected `str`, got `float`"),
+    ('"available"', '"x"', "line 8: fleet.limit[0].policy: Invalid enum value 'x'"),
+    ('"local"', '"x"', "line 29: promises.class[0].level: Invalid enum value 'x'"),
+    ('"datagrams"', '"x"', "line 5: fleet.carrier: Invalid enum value 'x'"),
+    ("on false", "on true", 'line 28: promises.on: wants the members of a fleet and its carrier "tcp"'),
+    ('member "gb"', 'member "ga"', "line 6: fleet.member[0].name: 'ga' stands twice"),
+]
+# fmt: on
+
+
+@pytest.mark.parametrize(("old", "new", "told"), OPERATOR_FAULTS)
+def test_a_faulty_key_of_the_operators_file_is_named(tmp_path, old, new, told):
+    (tmp_path / "o.kdl").write_text(OPERATOR.replace(old, new))
+    with pytest.raises(FaultyFile) as error:
+        read_operator(tmp_path / "o.kdl")
+    assert str(error.value) == f"o.kdl: {told}"
+
+
+def test_the_words_of_discovery_for_a_nodes_state():
+    row = {"id": "n", "addr": "h:1", "zone": "z", "kind": "k", "cell": 3, "weight": 2.5, "started_ms": 4.5}
+    for word, state in [("active", 1), ("leaving", 2), ("left", 0)]:
+        assert list_row({**row, "state": word}) == (("n", "z", 3, state, 2.5, 4.5, "k"), "h:1")
+
+
+# ---- 6. what operators read, and the simulator's wire
+
+# fmt: off
+PLAIN_STATS = words(
+    "done edge.results.read.succeeded=0 edge.results.read.declined=0 edge.results.read.aborted=0 "
+    "edge.forwards=0 edge.outstanding=0 edge.discovered=1 edge.ejected=0 edge.sighup_applied=0 "
+    "edge.sighup_rejected=0 ")
+FLEET_STATS = words(
+    "members=1 configured=3 connected=0 superseded=0 limits=0 leases=0 granting=0 verdicts=0 "
+    "verdicts.ban=0 verdicts.dead=0 verdicts.cold=0 verdicts.turning=0 verdicts.slow=0 "
+    "verdicts.leaving=0 sent=0 sent_bytes=0 received=0 held_back=0 dropped.group=1 link_dropped=0 "
+    "late_ticks=0 ")
+NODES_STATS = words(
+    "version=3 list_age_ms=* discovery=0 given=1 kept=0 by_news=0 held_back=0 ")
+PROMISES_STATS = words(
+    "filled=0 superseded=0 synced=0 records=0 under_way=0 rounds=0 claimed=0 made=0 repeated=0 "
+    "in_progress=0 may_have_run=0 no_majority=0 unmade=0 repair_given=0 repair_taken=0 repair_bytes=0 "
+    "dropped.malformed=1 ")
+STORE_STATS = words(
+    "open=1 damaged=0 sound=1 records=0 log_bytes=32 live_bytes=0 commits=0 rows=0 failed=0 snapshots=0 "
+    "torn_bytes=0 ")
+SMALL = {"name": "g0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "admin": "127.0.0.1:0",
+         "settings": LEAST, "known": {"version": 3, "servers": [{"id": "n1", "addr": "h:1"}]}}
+# fmt: on
+
+
+CALLS = [
+    ("ready", ["done yes"]), ("STATS", [*PLAIN_STATS, "end"]), ("HALT", ["error unknown call HALT"]),
+    ("DISABLE n9", ["error no: no storage node n9 on the list"]), ("DISABLE n1", ["done n1"]),
+    ("STATS", [*(line.replace(".ejected=0", ".ejected=1") for line in PLAIN_STATS), "end"]),
+    ("ENABLE", ["error wants the id of one storage node"]), ("DRAIN", ["done"]), ("UNDRAIN", ["done"]),
+]  # fmt: skip
+
+
+def test_the_lines_of_results():
+    told = [("read", SERVED), ("read", REFUSED), ("read", FAILED), ("read", FAILED), ("old", SERVED)]
+    read = words("read.succeeded=1 read.declined=1 read.aborted=2")
+    rest = words(
+        "write.succeeded=0 write.declined=0 write.aborted=0 old.succeeded=1 old.declined=0 old.aborted=0"
+    )
+    want = [f"edge.results.{each}" for each in read + rest]
+    assert figure_lines(told, ["read", "write"], {"a": 1}) == [*want, "edge.a=1"]
+
+
+def test_the_operators_calls_their_answers_and_the_file_of_bans(tmp_path):
+    file = tmp_path / "shaletiller-g0-bans.json"
+
+    async def talk():
+        _, learn, answer = gateway_of(configured(tmp_path, SMALL, "", TMPDIR=str(tmp_path)))
+        assert await answer("READY") == ["error no: not ready"]
+        learn()
+        for line, want in CALLS:
+            assert await answer(line) == want
+        assert file.read_bytes() == b'["n1"]'
+        assert await answer("ENABLE n1") == ["done n1"]
+        assert file.read_bytes() == b"[]"
+
+    asyncio.run(talk())
+    file.write_bytes(b'["n2","n3"]')
+    assert bans_read(file) == ({"n2", "n3"}, [{"n2", "n3"}])
+
+
+def test_the_figures_of_a_gateway_in_a_fleet_and_what_tells_its_messages_apart(tmp_path):
+    members = "".join(f'member "g{n}" address="127.0.0.1:{7100 + n}"\n' for n in range(3))
+    operator = f'fleet {{\nname "campus"\n{members}}}\nstore {{\ndir "{tmp_path}/store"\n}}\n'
+    operator += "promises {\non true\nlease-tables true\n}\n"
+    to_promises = hexed("50c1")  # "P"
+    to_fleet = hexed("9701cedeadbeef02cf0000018bcfe5680001cf018bcfe56800000790")
+
+    async def talk():
+        gate, learn, answer = gateway_of(configured(tmp_path, SMALL, "", operator, TMPDIR=str(tmp_path)))
+        learn()
+        heard = await fleet_hears(gate, to_promises, to_fleet)
+        assert heard == ((15907461, 2948227333), [to_promises], {"group": 1})  # "campus+tables", "campus"
+        lines = await answer("STATS")
+        await fleet_ends(gate)
+        return lines
+
+    lines = asyncio.run(talk())
+    named = [line if "list_age_ms" not in line else "edge.nodes.list_age_ms=*" for line in lines]
+    more = {"fleet": FLEET_STATS, "nodes": NODES_STATS, "promises": PROMISES_STATS, "store": STORE_STATS}
+    want = [f"edge.{part}.{each}" for part, told in more.items() for each in told]
+    assert named == [*PLAIN_STATS, *want, "end"]
+
+
+# fmt: off
+HAPPENED = [
+    (["PeersKnown", 2, 7, [["n1", "za", "k", 4, 2, 1.5, 9.5], ["n2"]]],
+     (2, (("n1", "za", 4, 2, 1.5, 9.5, "k"), ("n2", "", 0, 1, 1.0, 0.0, "")), 7, 0.0)),
+    (["Submit", "t/1", 4, "obj:a", "p", 2, 1200.5, "vol", 3, "read", 2.5],
+     ("t/1", 4, "obj:a", "p", "read", "vol", 2.5, 1200.5, 3, True, False)),
+    (["Submit", "t/1", 4, "obj:a", "p", 4, 1200.5, "vol", 3, "read", 2.5],
+     ("t/1", 4, "obj:a", "p", "read", "vol", 2.5, 1200.5, 3, False, True)),
+    (["Alarm", "tok"], ("tok",)),
+    (["Done", "t/1", 2, "n1", "completed", 3.5, True, 4.5, 5.5, {"load": 6.5}],
+     ("t/1", 2, "n1", "ok", 3.5, True, 4.5, 5.5, (("load", 6.5),))),
+    (["Headers", "t/1", 2, "n1", 7.5], ("t/1", 2, "n1", 7.5)),
+    (["NeighbourSays", 3, "hi"], (3, "hi")),
+    (["Abandoned", "t/1"], ("t/1",)),
+    *((["ProbeResult", "n1", word, 8.5, [["load", 9]]], ("n1", value, 8.5, (("load", 9.0),)))
+      for word, value in [
+        ("completed", "ok"), ("errored", "error"), ("saturated", "full"), ("overdue", "timeout"),
+        ("refused_conn", "connect_failed"), ("severed", "reset"), ("recalled", "cancelled"),
+        ("superseded", "moot")]),
+]
+# fmt: on
+
+
+def test_the_simulators_events_are_read_by_their_names():
+    told = [["Up", 7, INFO], *(event for event, _ in HAPPENED), ["Down"], ["Novelty", 1]]
+    line = json.dumps({"time-ms": 5.5, "groups": [{"host": "host-0", "happened": told}]})
+    now_ms, [(host, found)] = simulator_reads(line)
+    assert (now_ms, host, [kind for kind, _ in found]) == (5.5, "host-0", [event[0] for event in told])
+    assert (found[0][1][0], plain(found[0][1][1])) == (7, SETTINGS)
+    assert found[-2:] == [("Down", None), ("Novelty", None)]
+    for (kind, event), (_, values) in zip(found[1:-2], HAPPENED, strict=True):
+        assert (type(event), plain(event)) == (EVENT_KINDS[kind], values)
+
+
+def test_the_simulators_actions_are_written_as_this_line():
+    alarm = '{"time-ms":1,"groups":[{"host":"host-0","happened":[["Alarm","x"]]}]}'
+    want = (
+        '[["CallOut","t/1","n1",12.5],["TurnAway","t/2",40.0],["Surrender","t/3"],["Revoke","t/4",2],'
+        '["Defer",3.5,"tok"],["AskLoad","n2"],["BroadcastTo",null,"é"],["BroadcastTo",4,"x"],'
+        '["KeepInformed",true],["QueryAll"],["FreeLinks","n3"],["Emit","line"]]'
+    )
+    assert simulator_writes(ACTIONS, alarm) == f'{{"groups":[{{"host":"host-0","output":{want}}}]}}'
+
+
+# ---- 7. frames round the messages
+
+FRAMES = hexed("00000003616263000000025000")
+
+
+def test_a_link_puts_four_bytes_of_length_before_each_message():
+    async def talk():
+        came, heard = bytearray(), []
+
+        async def collect(reader, writer):
+            came.extend(await reader.readexactly(len(FRAMES)))
+            writer.close()
+
+        there = await asyncio.start_server(collect, "127.0.0.1", 0)
+        running = asyncio.ensure_future(link_sends(there.sockets[0].getsockname()[:2], b"abc", b"P\0"))
+        here = await asyncio.start_server(link_takes(heard.append), "127.0.0.1", 0)
+        _, writer = await asyncio.open_connection(*here.sockets[0].getsockname()[:2])
+        writer.write(FRAMES)
+        async with asyncio.timeout(5):
+            while len(came) < len(FRAMES) or len(heard) < 2:
+                await asyncio.sleep(0.005)
+        running.cancel()
+        writer.close()
+        there.close()
+        here.close()
+        return bytes(came), heard
+
+    assert asyncio.run(talk()) == (FRAMES, [b"abc", b"P\0"])
+
+
+def test_datagrams_have_no_frame_and_their_first_byte_tells_the_fleets_from_texts():
+    text, fleet, sent = [], [], []
+    tell, send, came = datagrams((("a", 1), ("b", 2)), ("all", 3), text, fleet, sent)
+    tell(1, "é")
+    tell(None, "x")
+    send(0, hexed("9701"))
+    send(0, bytes(257))  # longer than the platform's bound: left out
+    assert sent == [(hexed("c3a9"), ("b", 2)), (b"x", ("all", 3)), (hexed("9701"), ("a", 1))]
+    came(hexed("9701"), ("a", 1))
+    for raw in ("c3a9", "50", "ff"):  # the last is no text: left out
+        came(hexed(raw), ("b", 2))
+    came(b"x", ("c", 9))  # none of the peers
+    assert (fleet, text) == ([hexed("9701")], [(1, "é"), (1, "P")])
