--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -54,6 +54,24 @@
 SAYING_KINDS = dict(zip(
     ("intent", "outcome", "word", "listed", "leased"),
     (rows.Intent, rows.Outcome, rows.Word, rows.Listed, rows.Leased), strict=True))
+# The names by which the program reads what stands at each place of the wire: two of them that have changed
+# places would leave all bytes as they are.
+FIELD_NAMES = {
+    codec.Ping: "nonce digest", codec.Ack: "nonce target digest", codec.PingReq: "nonce target",
+    codec.Rumor: "member state life refuted",
+    codec.Want: "limit nonce rate burst of_rate of_burst settle_ms",
+    codec.Call: "limit nonce of_rate of_burst settle_ms was was_life",
+    codec.Pledge: "limit nonce rate burst term_ms", codec.Grant: "limit nonce rate burst term_ms",
+    codec.Verdict: "node kind observer life stamp until value",
+    codec.Envelope: "version group sender life seq stamp parts",
+    messages.Prepare: "nonce key ballot until lives",
+    messages.Accept: "nonce key ballot step value until lives",
+    messages.Reply: "nonce how life row lives", messages.Join: "nonce life after",
+    messages.Page: "nonce life taken table rows after", messages.Compare: "sums",
+    messages.Keys: "bucket rows", messages.Pull: "keys", messages.Rows: "rows",
+    Row: "promised ballot step value until", rows.Intent: "owner life number mark at ends",
+    rows.Outcome: "served body mark at", rows.Word: "out stamp by until", rows.Listed: "at raw",
+    rows.Leased: "by life number at rate burst"}
 EVENT_KINDS = {"PeersKnown": i.NodeList, "Submit": i.Request, "Alarm": i.TimerDue, "Done": i.Attempted,
                "Headers": i.StreamStarted, "NeighbourSays": i.PeerSaid, "Abandoned": i.ClientLeft,
                "ProbeResult": i.Probed}
@@ -285,6 +303,11 @@
     assert pack_part(part).hex() == golden
 
 
+@pytest.mark.parametrize(("kind", "names"), FIELD_NAMES.items())
+def test_what_stands_at_each_place_of_the_wire_is_read_by_its_own_name(kind, names):
+    assert " ".join(kind.__struct_fields__) == names
+
+
 def test_the_envelope_of_the_fleet_keeps_its_bytes_and_counts_on():
     letters = (STAMP + 7, []), (STAMP + 8, [hexed("93010b0c"), hexed("93030f01")])
     overhead, (empty, two) = fleet_writes(GROUP, 2, NOW, *letters)
