--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -24,29 +24,30 @@
 import pytest
 
 # ==== PROGRAM: the only section that names what the program calls its parts ================================
-from shaletiller import adapter, config, gateway, settings
-from shaletiller import interface as i
-from shaletiller.core import bans, figures
-from shaletiller.core.model import Call as ClientCall
-from shaletiller.core.model import Verdict as Final
+from shaletiller import adapter, config, gateway
+from shaletiller.core import manual_ejection, metrics
+from shaletiller.core.model import ClientCall, FinalResult
 from shaletiller.fleet import codec
 from shaletiller.fleet.core import group_of
+from shaletiller.fleet.health_gossip import Departs, HealthGossip, Kind
 from shaletiller.fleet.hlc import stamp_of
 from shaletiller.fleet.rendezvous import ranked
-from shaletiller.fleet.verdicts import Departs, Kind, Verdicts
+from shaletiller.messages import actions, events
+from shaletiller.messages.endpoints import EndpointState, UpdateKind
 from shaletiller.net import discovery, links, peers
-from shaletiller.net import promises as port
-from shaletiller.operator_file import FileError
+from shaletiller.net import replication as port
+from shaletiller.operator_file import OperatorFileError
 from shaletiller.operator_file import read as read_operator
-from shaletiller.promises import acceptor, groups, messages, rows
-from shaletiller.promises.rows import Row, describe, pack, read_row, read_says
-from shaletiller.store import keeper, log
+from shaletiller.replication import acceptor, groups, messages, rows
+from shaletiller.replication.rows import Row, describe, pack, read_row, read_says
+from shaletiller.settings import decoder
+from shaletiller.store import segment_store, writer
 
 # fmt: off
 FLEET_KINDS = dict(zip(
     ("ping", "ack", "ping-req", "rumor", "want", "call", "pledge", "grant", "verdict"),
     (codec.Ping, codec.Ack, codec.PingReq, codec.Rumor, codec.Want, codec.Call, codec.Pledge, codec.Grant,
-     codec.Verdict), strict=True))
+     codec.HealthRecord), strict=True))
 MESSAGE_KINDS = dict(zip(
     ("prepare", "accept", "reply", "join", "page", "compare", "keys", "pull", "rows"),
     (messages.Prepare, messages.Accept, messages.Reply, messages.Join, messages.Page, messages.Compare,
@@ -58,38 +59,38 @@
 # places would leave all bytes as they are.
 FIELD_NAMES = {
     codec.Ping: "nonce digest", codec.Ack: "nonce target digest", codec.PingReq: "nonce target",
-    codec.Rumor: "member state life refuted",
+    codec.Rumor: "member state incarnation refuted",
     codec.Want: "limit nonce rate burst of_rate of_burst settle_ms",
-    codec.Call: "limit nonce of_rate of_burst settle_ms was was_life",
+    codec.Call: "limit nonce of_rate of_burst settle_ms was previous_granter_incarnation",
     codec.Pledge: "limit nonce rate burst term_ms", codec.Grant: "limit nonce rate burst term_ms",
-    codec.Verdict: "node kind observer life stamp until value",
-    codec.Envelope: "version group sender life seq stamp parts",
-    messages.Prepare: "nonce key ballot until lives",
-    messages.Accept: "nonce key ballot step value until lives",
-    messages.Reply: "nonce how life row lives", messages.Join: "nonce life after",
-    messages.Page: "nonce life taken table rows after", messages.Compare: "sums",
+    codec.HealthRecord: "node kind observer incarnation stamp until value",
+    codec.Envelope: "version group sender incarnation seq stamp parts",
+    messages.Prepare: "nonce key ballot until incarnations",
+    messages.Accept: "nonce key ballot step value until incarnations",
+    messages.Reply: "nonce how incarnation row incarnations", messages.Join: "nonce incarnation after",
+    messages.Page: "nonce incarnation taken table rows after", messages.Compare: "sums",
     messages.Keys: "bucket rows", messages.Pull: "keys", messages.Rows: "rows",
-    Row: "promised ballot step value until", rows.Intent: "owner life number mark at ends",
+    Row: "promised ballot step value until", rows.Intent: "owner incarnation number mark at ends",
     rows.Outcome: "served body mark at", rows.Word: "out stamp by until", rows.Listed: "at raw",
-    rows.Leased: "by life number at rate burst"}
-EVENT_KINDS = {"PeersKnown": i.NodeList, "Submit": i.Request, "Alarm": i.TimerDue, "Done": i.Attempted,
-               "Headers": i.StreamStarted, "NeighbourSays": i.PeerSaid, "Abandoned": i.ClientLeft,
-               "ProbeResult": i.Probed}
+    rows.Leased: "by incarnation number at rate burst"}
+EVENT_KINDS = {"PeersKnown": events.EndpointListUpdate, "Submit": events.Request, "Alarm": events.TimerExpired, "Done": events.AttemptEnded,
+               "Headers": events.ResponseStarted, "NeighbourSays": events.PeerMessageReceived, "Abandoned": events.ClientDisconnected,
+               "ProbeResult": events.HealthCheckEnded}
 ACTIONS = (
-    i.Send("t/1", "n1", 12.5), i.Refuse("t/2", 40.0), i.Fail("t/3"), i.Cancel("t/4", 2),
-    i.SetTimer(3.5, "tok"), i.Probe("n2"), i.Tell(None, "é"), i.Tell(4, "x"), i.Subscribe(True),
-    i.FetchList(), i.CloseIdle("n3"), i.Log("line"))
-SERVED, REFUSED, FAILED = Final.SERVED, Final.REFUSED, Final.FAILED
+    actions.SendAttempt("t/1", "n1", 12.5), actions.Reject("t/2", 40.0), actions.Fail("t/3"), actions.CancelAttempt("t/4", 2),
+    actions.StartTimer(3.5, "tok"), actions.SendHealthCheck("n2"), actions.SendPeerMessage(None, "é"), actions.SendPeerMessage(4, "x"), actions.WatchEndpoints(True),
+    actions.FetchEndpointList(), actions.CloseIdleConnections("n3"), actions.WriteLog("line"))
+SERVED, REFUSED, FAILED = FinalResult.SERVED, FinalResult.REJECTED, FinalResult.FAILED
 NUMBERS = [[each.value for each in group] for group in (
     (Kind.BAN, Kind.DEAD, Kind.COLD, Kind.TURNING, Kind.SLOW, Kind.LEAVING),
     (Departs.DRAINING, Departs.LEFT, Departs.ACTIVE),
-    (i.NodeState.GONE, i.NodeState.READY, i.NodeState.DRAINING),
-    (i.ListKind.CHANGES, i.ListKind.FULL, i.ListKind.REMEMBERED, i.ListKind.FAILED))]
+    (EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING),
+    (UpdateKind.CHANGES, UpdateKind.FULL, UpdateKind.CACHED, UpdateKind.FAILED))]
 STORE_KEYS = (acceptor.LIFE, acceptor.LIVES, acceptor.SYNCED, port.LIST_KEY)
 PREFIXES = (port.BAN, port.DRAIN, port.LIST, port.LEASE)
-FaultyConfig, FaultyFile = config.ConfigError, FileError
+FaultyConfig, FaultyFile = config.ConfigError, OperatorFileError
 pack_part, bucket_of, row_sum = codec.pack, acceptor.bucket_of, acceptor._sum
-read_settings, read_config, simulator_reads = settings.read_settings, config.read_config, adapter.read_batch
+read_settings, read_config, simulator_reads = decoder.read_settings, config.read_config, adapter.read_batch
 # fmt: on
 
 
@@ -125,7 +126,12 @@
     """What a gateway knows after it has opened a store: life, lives, synced, rows."""
     found = acceptor.Acceptor(0, groups.Groups(["", "", ""]))
     found.load(kept)
-    return found.life, found.lives, found.synced, {key: plain(row) for key, row in found.rows.items()}
+    return (
+        found.incarnation,
+        found.incarnations,
+        found.synced,
+        {key: plain(row) for key, row in found.rows.items()},
+    )
 
 
 def born(life):
@@ -133,7 +139,7 @@
 
 
 def digest_of(word):
-    held = Verdicts(lambda said: None)
+    held = HealthGossip(lambda said: None)
     held.take(word, 0.0)
     return held.digest
 
@@ -148,7 +154,7 @@
 
 
 def write_store(folder, commits, segment_bytes, compacted=False):
-    store = log.Store(folder, None, segment_bytes)
+    store = segment_store.Store(folder, None, segment_bytes)
     if compacted:
         store.compact()
     for commit in commits:
@@ -157,7 +163,7 @@
 
 
 async def keep_in_store(folder, commits, segment_bytes):
-    kept = keeper.Keeper(log.Store(folder, None, segment_bytes))
+    kept = writer.StoreWriter(segment_store.Store(folder, None, segment_bytes))
     kept.start()
     for commit in commits:
         done = asyncio.get_running_loop().create_future()
@@ -168,24 +174,24 @@
 
 def read_store(folder):
     """Kind, key, value, sequence number and whether it is gone, of each record; bytes of a torn tail."""
-    store = log.Store(folder)
+    store = segment_store.Store(folder)
     found = [(each.kind, each.key, each.value, each.sequence, each.gone) for each in store]
     store.close()
     return found, store.torn
 
 
 def figure_lines(results, classes, gauges):
-    counts = {}
+    counters = metrics.Counters()
     for service, final in results:
-        figures.tally(counts, service, final)
-    return figures.lines(counts, classes, gauges)
+        counters.count_result(service, final)
+    return metrics.stats_lines(counters, classes, gauges)
 
 
 def bans_read(path):
     moved = []
-    found = bans.Bans(path, moved.append)
-    found.look()
-    return found.held, moved
+    found = manual_ejection.ManualEjections(path, moved.append)
+    found.reload()
+    return found.nodes, moved
 
 
 def simulator_writes(actions, line):
