--- a/shaletiller/net/nvme/server.py
+++ b/shaletiller/net/nvme/server.py
@@ -462,7 +462,7 @@
         if queue is None or pending is None or queue_id == 0:
             return False
         # What went out may have run: its host must not take the abort for a promise that it did not.
-        sent = pending.command.opcode == Io.WRITE and not all(each.harmless for each in pending.exchanges)
+        sent = pending.command.opcode == Io.WRITE and not all(each.never_ran for each in pending.exchanges)
         exchanges = list(pending.exchanges)
         queue._finish(pending, Status.ABORTED, final=sent)
         for exchange in exchanges:
--- a/shaletiller/net/replication.py
+++ b/shaletiller/net/replication.py
@@ -309,7 +309,7 @@
         self._engine.respond(
             exchange,
             FinalResponse(final, decision.body, min(decision.retry_after_ms, NO_MAJORITY_MS)),
-            settled=True,
+            replicated=True,
         )
 
     # ---- operators' words
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -11,12 +11,13 @@
 
 
 @pytest.fixture
-def _configured() -> Iterator[None]:
-    """Logging configured as in a gateway, and put back afterwards."""
-    handlers, level = logging.root.handlers[:], logging.root.level
+def _configured(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+    """Logging configured as in a gateway, on the captured standard error, and put back afterwards."""
+    monkeypatch.setattr(logging.root, "handlers", [])  # the test runner's own are not to be closed
+    level = logging.root.level
     log.configure_logging()
     yield
-    logging.root.handlers[:], logging.root.level = handlers, level
+    logging.root.setLevel(level)
     logging.getLogger(log.PROGRAM).setLevel(logging.NOTSET)
 
 
