--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import logging
 from collections.abc import Iterator
 
@@ -10,18 +11,20 @@
 from shaletiller import log
 
 
-@pytest.fixture
-def _configured(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Logging configured as in a gateway, on the captured standard error, and put back afterwards."""
-    monkeypatch.setattr(logging.root, "handlers", [])  # the test runner's own are not to be closed
-    level = logging.root.level
+@contextlib.contextmanager
+def configured() -> Iterator[None]:
+    """Logging as a gateway configures it; the test runner's handlers are hidden and put back."""
+    handlers, level = logging.root.handlers, logging.root.level
+    logging.root.handlers = []
     log.configure_logging()
-    yield
-    logging.root.setLevel(level)
-    logging.getLogger(log.PROGRAM).setLevel(logging.NOTSET)
+    try:
+        yield
+    finally:
+        logging.root.handlers = handlers
+        logging.root.setLevel(level)
+        logging.getLogger(log.PROGRAM).setLevel(logging.NOTSET)
 
 
-@pytest.mark.usefixtures("_configured")
 def test_a_flood_is_cut_and_counted(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
@@ -30,28 +33,29 @@
     now = [1000.0]
     monkeypatch.setattr("shaletiller.log.time.monotonic", lambda: now[0])
     logger = logging.getLogger("shaletiller.core.engine")
-    for number in range(log.MAX_LINES_PER_SECOND + 5):
-        logger.info("line %d", number)
-    now[0] += 1.0
-    logger.info("later")
+    with configured():
+        for number in range(log.MAX_LINES_PER_SECOND + 5):
+            logger.info("line %d", number)
+        now[0] += 1.0
+        logger.info("later")
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == log.MAX_LINES_PER_SECOND + 2
     assert lines[0] == "shaletiller: line 0"
     assert lines[-2:] == ["shaletiller: 5 log lines dropped", "shaletiller: later"]
 
 
-@pytest.mark.usefixtures("_configured")
 def test_what_libraries_log_is_one_line_and_keeps_to_the_rate(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A library logs an exception with its traceback more often than may be written."""
     monkeypatch.setattr("shaletiller.log.time.monotonic", lambda: 1000.0)
-    for _ in range(log.MAX_LINES_PER_SECOND + 9):
-        try:
-            raise ValueError("odd")
-        except ValueError:
-            logging.getLogger("aiohttp.server").exception("Error handling request")
+    with configured():
+        for _ in range(log.MAX_LINES_PER_SECOND + 9):
+            try:
+                raise ValueError("odd")
+            except ValueError:
+                logging.getLogger("aiohttp.server").exception("Error handling request")
     lines = capsys.readouterr().err.splitlines()
     line = "shaletiller: aiohttp.server: Error handling request (ValueError('odd'))"
     assert lines == [line] * log.MAX_LINES_PER_SECOND
