--- a/shaletiller/fleet/__init__.py
+++ b/shaletiller/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""What the gateways of a fleet hold together: who is there, shares of limits, verdicts on storage nodes.
+"""Coordination of the gateways of a fleet: membership, leases on shared limits, gossip about storage nodes.
 
-No module here reads a socket, a file or a clock: each is driven by the time it is given and by messages.
-What is guaranteed, and what that rests on: docs/fleet.md."""
+No module here reads a socket, a file or a clock: each is driven by the time and the messages passed to it, so
+that the same code runs in a gateway and in the simulator.  Guarantees and their assumptions: docs/fleet.md.
+"""
--- a/shaletiller/fleet/broadcast_queue.py
+++ b/shaletiller/fleet/broadcast_queue.py
@@ -1,65 +1,102 @@
-"""What is to be told to all: each piece goes out a few times, the least told first.
+"""Queue of updates for epidemic broadcast: each update is piggybacked on a bounded number of messages.
 
-The count that makes it likely that all have heard grows with the logarithm of the fleet (Demers et al.,
-"Epidemic Algorithms for Replicated Database Maintenance", PODC 1987); the queue is that of memberlist's
-TransmitLimitedQueue in behaviour: a newer piece of the same name replaces an older one.
+The number of transmissions after which all members have very likely received an update grows with the
+logarithm of the fleet (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987).
+Behaves as memberlist's TransmitLimitedQueue: the least transmitted update goes first, and a newer update
+under the same key replaces the older one.
 """
 
 from __future__ import annotations
 
 import math
+from collections.abc import Iterator
+from typing import NamedTuple
 
-MULTIPLE = 3  # transmissions of a piece for each doubling of the fleet
-LOOK = 16  # so many pieces at least are tried for the room that is left in a message
+# Empirical: transmissions of an update for each doubling of the fleet.  More cost messages; with fewer an
+# update misses members on lossy links and waits for the anti-entropy exchange.
+TRANSMISSIONS_PER_DOUBLING = 3
+# Empirical: updates examined at least for the space left in a message.  More fill messages better; fewer keep
+# the cost of a message small while many updates are queued.
+MIN_CANDIDATES = 16
+
+
+class _Candidate(NamedTuple):
+    key: object
+    payload: bytes
+    transmissions: int
 
 
 class BroadcastQueue:
-    """Pieces that are still to be told.  Names are any hashable; `members` is the size of the fleet.
+    """Encoded updates that still have to be transmitted.
 
-    They stand in levels by how often they were told, so that a message costs as much as it takes along: after
-    a start of a thousand members at once each has a thousand pieces to tell, and to look through all of them
-    for each message was most of what such a fleet did."""
+    Updates stand in levels by their number of transmissions, so that the cost of a message is proportional to
+    what it carries.  When a thousand members start at once each of them queues a thousand updates; scanning
+    them all for each message took most of the CPU of such a fleet.
+    """
 
     def __init__(self, members: int) -> None:
-        self._times = MULTIPLE * max(1, math.ceil(math.log2(members + 1)))
-        self._levels: list[dict[object, bytes]] = [{} for _ in range(self._times)]
+        """Initialize the instance.
+
+        :param members: size of the fleet.
+        """
+        self._limit = TRANSMISSIONS_PER_DOUBLING * max(1, math.ceil(math.log2(members + 1)))
+        self._levels: list[dict[object, bytes]] = [{} for _ in range(self._limit)]
         self._level_of: dict[object, int] = {}
 
     def __len__(self) -> int:
+        """Return the number of queued updates."""
         return len(self._level_of)
 
     @property
-    def times(self) -> int:
-        """How often each piece goes out."""
-        return self._times
-
-    def add(self, name: object, raw: bytes) -> None:
-        """A piece to tell, instead of any older one of its name."""
-        before = self._level_of.get(name)
-        if before is not None:
-            del self._levels[before][name]
-        self._levels[0][name] = raw
-        self._level_of[name] = 0
-
-    def take(self, room: int, most: int) -> list[bytes]:
-        """At most so many pieces, and bytes, for one message; they count as told once more."""
-        found: list[tuple[object, bytes, int]] = []
-        looked = 0
-        if not self._level_of or most <= 0:
+    def transmit_limit(self) -> int:
+        """How often each update is transmitted."""
+        return self._limit
+
+    def add(self, key: object, payload: bytes) -> None:
+        """Queue an update in place of any older one under the same key.
+
+        :param key: any hashable.
+        """
+        level = self._level_of.get(key)
+        if level is not None:
+            del self._levels[level][key]
+        self._levels[0][key] = payload
+        self._level_of[key] = 0
+
+    def take(self, max_bytes: int, max_updates: int) -> list[bytes]:
+        """Select updates for one message and count them as transmitted once more.
+
+        :param max_bytes: space left in the message.
+        :param max_updates: how many updates the message may still carry.
+        """
+        if not self._level_of or max_updates <= 0:
             return []
-        for at, level in enumerate(self._levels):
-            for name in reversed(level):  # of those told as often, the newest first
-                if len(found) >= most or looked >= max(most, LOOK):
-                    break
-                looked += 1
-                if len(level[name]) <= room:
-                    room -= len(level[name])
-                    found.append((name, level[name], at))
-        for name, raw, at in found:
-            del self._levels[at][name]
-            if at + 1 < self._times:
-                self._levels[at + 1][name] = raw
-                self._level_of[name] = at + 1
-            else:
-                del self._level_of[name]
-        return [raw for _, raw, _ in found]
+        selected = self._select(max_bytes, max_updates)
+        for candidate in selected:
+            self._count_transmission(candidate)
+        return [candidate.payload for candidate in selected]
+
+    def _select(self, max_bytes: int, max_updates: int) -> list[_Candidate]:
+        selected: list[_Candidate] = []
+        for examined, candidate in enumerate(self._candidates()):
+            if len(selected) >= max_updates or examined >= max(max_updates, MIN_CANDIDATES):
+                break
+            if len(candidate.payload) <= max_bytes:
+                max_bytes -= len(candidate.payload)
+                selected.append(candidate)
+        return selected
+
+    def _candidates(self) -> Iterator[_Candidate]:
+        """Yield the least transmitted updates first, of those with equal counts the newest first."""
+        for transmissions, level in enumerate(self._levels):
+            for key in reversed(level):
+                yield _Candidate(key, level[key], transmissions)
+
+    def _count_transmission(self, sent: _Candidate) -> None:
+        del self._levels[sent.transmissions][sent.key]
+        transmissions = sent.transmissions + 1
+        if transmissions < self._limit:
+            self._levels[transmissions][sent.key] = sent.payload
+            self._level_of[sent.key] = transmissions
+        else:
+            del self._level_of[sent.key]
--- a/shaletiller/fleet/codec.py
+++ b/shaletiller/fleet/codec.py
@@ -1,16 +1,16 @@
-"""Messages between gateways: MessagePack by msgspec, in one envelope, at most one datagram long.
+"""Wire format between gateways: MessagePack by msgspec, one envelope in at most one datagram.
 
-    envelope = [version, group, sender, life, seq, stamp, [part, ...]]
+    envelope = [version, group, sender, incarnation, seq, timestamp, [message, ...]]
 
-- version: of this format.  An envelope of another version is dropped, whole.
-- group: a hash of the fleet's name and members; who was configured otherwise is another fleet.
-- sender, life: the member's number, and the Unix time in milliseconds at which its process began.  A restart
-  is a new life; what comes late of an older one is dropped.
-- seq: counts the sender's envelopes; one that came before is dropped, however late it comes again.
-- stamp: the sender's hybrid logical clock.
-- part: [tag, field, ...], see the structures below.  Parts of tags that are not known are skipped.
+- version: of this format.  Envelopes of another version are dropped.
+- group: hash of the fleet's name and members; gateways configured differently form another fleet.
+- sender, incarnation: the member's number, and the Unix time in milliseconds at which its process started.  A
+  restart is a new incarnation; late envelopes of an older one are dropped.
+- seq: number of the envelope at its sender; a duplicate is dropped, however late it arrives.
+- timestamp: the sender's hybrid logical clock.
+- message: [tag, field, ...], see the structures below.  Messages with unknown tags are skipped.
 
-Whatever comes, `Reader.read` returns an envelope or None, and counts why not.  It raises nothing.
+Whatever arrives, `EnvelopeReader.read` returns an envelope or `None` and counts the reason; it never raises.
 """
 
 from __future__ import annotations
@@ -18,241 +18,299 @@
 import math
 from collections import Counter
 from collections.abc import Sequence
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 
-VERSION = 1
-MOST_BYTES = 256  # the platform's bound on a datagram between gateways
-MOST_PARTS = 64
-MOST_AHEAD_MS = 60_000.0
-WINDOW = 512  # how far behind a sender's newest envelope another may come
+from shaletiller.fleet.errors import EnvelopeError
 
-Whole = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
+VERSION = 1
+MAX_DATAGRAM_BYTES = 256  # the platform's limit on a datagram between gateways
+MAX_MESSAGES = 64  # in an envelope: more than fit into a datagram
+# Clocks of gateways differ by seconds at most; an incarnation further ahead comes from a broken clock.
+MAX_INCARNATION_AHEAD_MS = 60_000.0
+# Empirical: how far an envelope may be reordered behind its sender's newest.  A larger window costs memory
+# for each member, a smaller one drops envelopes that are merely late.
+REPLAY_WINDOW = 512
+
+UInt63 = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
+Whole = UInt63  # the name under which the replication messages import it
 Member = Annotated[int, msgspec.Meta(ge=0, lt=1 << 16)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=96)]
-Amount = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]  # thousandths of a unit
-Span = Annotated[int, msgspec.Meta(ge=0, lt=1 << 31)]  # whole milliseconds
+MilliUnits = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]  # thousandths of a unit
+DurationMs = Annotated[int, msgspec.Meta(ge=0, lt=1 << 31)]
 
+_DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
-class Part(msgspec.Struct, array_like=True, frozen=True, gc=False, tag_field="k"):
-    """One thing that a message says."""
 
+class Message(msgspec.Struct, array_like=True, frozen=True, gc=False, tag_field="k"):
+    """Base class of the messages in an envelope; fields are positional, so their order is the wire format."""
 
-class Ping(Part, tag=1, frozen=True):
-    """Are you there?  `digest` sums up the verdicts that the sender holds."""
 
-    nonce: Whole
+class Ping(Message, tag=1, frozen=True):
+    """SWIM probe of a member; `digest` summarizes the sender's health records."""
+
+    nonce: UInt63
     digest: int
 
 
-class Ack(Part, tag=2, frozen=True):
-    """I am, or `target` was just now, asked on your behalf."""
+class Ack(Message, tag=2, frozen=True):
+    """Answer to a probe: by the probed member itself, or by the member that probed `target` on request."""
 
-    nonce: Whole
+    nonce: UInt63
     target: Member
     digest: int
 
 
-class PingReq(Part, tag=3, frozen=True):
-    """Ask `target` on my behalf: I cannot reach it."""
+class PingReq(Message, tag=3, frozen=True):
+    """SWIM indirect probe: requests that the receiver probes `target`, which the sender cannot reach."""
 
-    nonce: Whole
+    nonce: UInt63
     target: Member
 
 
-class Rumor(Part, tag=4, frozen=True):
-    """What is said of a member: its state (membership.State), its life, and how often it has refuted."""
+class Rumor(Message, tag=4, frozen=True):
+    """A member's state (`membership.MemberState`), its incarnation and its number of refutations."""
 
     member: Member
     state: Annotated[int, msgspec.Meta(ge=0, le=3)]
-    incarnation: Whole
-    refuted: Whole
+    incarnation: UInt63
+    refutations: UInt63
+
 
+class LeaseRequest(Message, tag=5, frozen=True):
+    """A holder requests a lease on part of a limit from the granter.
 
-class Want(Part, tag=5, frozen=True):
-    """A holder asks the granter for a share of a limit of `rate` and `burst`."""
+    `rate` (a second) and `burst` are wanted beyond the holder's own part.  `limit_rate` and `limit_burst` are
+    the entire limit, so that a granter and owners that have not met the limit yet know it.
+    """
 
     limit: Name
-    nonce: Whole
-    rate: Amount  # a second: what it would like to have beyond its own part
-    burst: Amount
-    of_rate: Amount  # the whole limit, so that a granter and owners who have not met it know it
-    of_burst: Amount
-    settle_ms: Span = 0
+    nonce: UInt63
+    rate: MilliUnits
+    burst: MilliUnits
+    limit_rate: MilliUnits
+    limit_burst: MilliUnits
+    settle_ms: DurationMs = 0
 
 
-class Call(Part, tag=6, frozen=True):
-    """The granter asks an owner to pledge what it does not need of its own part."""
+class PledgeRequest(Message, tag=6, frozen=True):
+    """The granter requests that an owner pledges the idle portion of its own part.
+
+    `previous_granter` with its incarnation names the granter before this one, if that can issue no further
+    lease and the sender has taken over its leases; incarnation 0 means none.
+    """
 
     limit: Name
-    nonce: Whole
-    of_rate: Amount
-    of_burst: Amount
-    settle_ms: Span = 0
-    # The granter before this one, and its life, where it can lease nothing more and this one answers for what
-    # it has leased; a life of 0: none such.
-    was: Member = 0
-    previous_granter_incarnation: Whole = 0
+    nonce: UInt63
+    limit_rate: MilliUnits
+    limit_burst: MilliUnits
+    settle_ms: DurationMs = 0
+    previous_granter: Member = 0
+    previous_granter_incarnation: UInt63 = 0
 
 
-class Pledge(Part, tag=7, frozen=True):
-    """The owner will not spend so much of its own part for `term_ms`, counted from the call that `nonce`
-    names."""
+class Pledge(Message, tag=7, frozen=True):
+    """The owner will not spend this portion of its own part for `duration_ms` after the request `nonce`."""
 
     limit: Name
-    nonce: Whole
-    rate: Amount
-    burst: Amount
-    term_ms: Span
+    nonce: UInt63
+    rate: MilliUnits
+    burst: MilliUnits
+    duration_ms: DurationMs
 
 
-class Grant(Part, tag=8, frozen=True):
-    """The holder may spend so much for `term_ms`, counted from the want that `nonce` names."""
+class LeaseGrant(Message, tag=8, frozen=True):
+    """The holder may spend this much for `duration_ms` after the request `nonce`."""
 
     limit: Name
-    nonce: Whole
-    rate: Amount
-    burst: Amount
-    term_ms: Span
+    nonce: UInt63
+    rate: MilliUnits
+    burst: MilliUnits
+    duration_ms: DurationMs
+
 
+class HealthRecord(Message, tag=9, frozen=True):
+    """One observer's statement about one storage node, see health_gossip.py.
 
-class HealthRecord(Part, tag=9, frozen=True):
-    """What one observer says of one storage node, see verdicts.py."""
+    `incarnation` is the node's `started_ms` as the observer knows it, `timestamp` the observer's hybrid
+    logical clock, `expires_ms` in milliseconds of the Unix epoch.  A `value` of 0 withdraws the statement.
+    """
 
     node: Name
     kind: Annotated[int, msgspec.Meta(ge=1, le=15)]
     observer: Member
-    incarnation: Whole  # the node's `started_ms`, as the observer has it
-    stamp: Whole
-    until: Whole  # milliseconds of the Unix epoch
-    value: Whole
+    incarnation: UInt63
+    timestamp: UInt63
+    expires_ms: UInt63
+    value: UInt63
 
 
-Known = Ping | Ack | PingReq | Rumor | Want | Call | Pledge | Grant | HealthRecord
+LeaseMessage = LeaseRequest | PledgeRequest | Pledge | LeaseGrant
+MembershipMessage = Ping | Ack | PingReq | Rumor
+AnyMessage = MembershipMessage | LeaseMessage | HealthRecord
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """What one datagram contains, its messages still encoded."""
+
     version: int
     group: Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
     sender: Member
-    incarnation: Whole
-    seq: Whole
-    stamp: Whole
-    parts: Annotated[list[msgspec.Raw], msgspec.Meta(max_length=MOST_PARTS)]
+    incarnation: UInt63
+    seq: UInt63
+    timestamp: UInt63
+    messages: Annotated[list[msgspec.Raw], msgspec.Meta(max_length=MAX_MESSAGES)]
+
+
+class ReceivedEnvelope(NamedTuple):
+    """An accepted envelope and those of its messages that this version knows."""
+
+    envelope: Envelope
+    messages: list[AnyMessage]
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_ENVELOPE = msgspec.msgpack.Decoder(Envelope)
-_PART = msgspec.msgpack.Decoder(Known)
-_TAG = msgspec.msgpack.Decoder(list[msgspec.Raw])
-_TAGS = frozenset(range(1, 10))
+_ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
+_MESSAGE_DECODER = msgspec.msgpack.Decoder(AnyMessage)
+_ARRAY_DECODER = msgspec.msgpack.Decoder(list[msgspec.Raw])
+_KNOWN_TAGS = frozenset(range(1, 10))
 
 
-def pack(part: Known) -> bytes:
-    """A part as bytes, to be counted and put into an envelope."""
-    return _ENCODER.encode(part)
+def encode(message: AnyMessage) -> bytes:
+    """Encode one message, to be placed in an envelope."""
+    return _ENCODER.encode(message)
 
 
-class Writer:
-    """Numbers and writes one member's envelopes."""
+class EnvelopeWriter:
+    """Numbers and encodes the envelopes of one member."""
 
     def __init__(self, group: int, sender: int, incarnation: int) -> None:
+        """Initialize the instance.
+
+        :param group: hash of the fleet, see `core.group_hash`.
+        :param sender: number of the member.
+        """
         self._head = (group, sender, incarnation)
         self._seq = 0
-        # The head's bytes at their longest: what is left of a datagram is the parts'.
-        self.overhead = len(self._bytes(1 << 40, 1 << 62, [])) + 2
+        # Size of the longest head, with two bytes for the length of the list: messages get the rest.
+        self.overhead = len(self._encode(1 << 40, 1 << 62, [])) + 2
 
-    def _bytes(self, seq: int, stamp: int, parts: Sequence[bytes]) -> bytes:
-        raw = [msgspec.Raw(part) for part in parts]
-        return _ENCODER.encode(Envelope(VERSION, *self._head, seq, stamp, raw))
+    def _encode(self, seq: int, timestamp: int, messages: Sequence[bytes]) -> bytes:
+        raw = [msgspec.Raw(message) for message in messages]
+        return _ENCODER.encode(Envelope(VERSION, *self._head, seq, timestamp, raw))
 
-    def write(self, stamp: int, parts: Sequence[bytes]) -> bytes:
-        """The next envelope."""
+    def write(self, timestamp: int, messages: Sequence[bytes]) -> bytes:
+        """Encode the next envelope."""
         self._seq += 1
-        return self._bytes(self._seq, stamp, parts)
+        return self._encode(self._seq, timestamp, messages)
 
 
-class _Seen:
-    """Which of one sender's envelopes have come: the newest, and a window of those behind it."""
+class _ReplayWindow:
+    """Anti-replay window (RFC 4303, appendix A2) of one sender's incarnation: newest number, bit mask."""
 
     __slots__ = ("_mask", "_newest", "incarnation")
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation, self._newest, self._mask = incarnation, 0, 0
 
-    def fresh(self, seq: int) -> bool:
-        """Whether this one had not come before; from now on it has."""
+    def accept(self, seq: int) -> bool:
+        """Record an envelope's number; `False` for a duplicate and for one older than the window."""
         if seq > self._newest:
-            self._mask = (self._mask << min(seq - self._newest, WINDOW) | 1) & ((1 << WINDOW) - 1)
+            self._mask = (self._mask << min(seq - self._newest, REPLAY_WINDOW) | 1) & (
+                (1 << REPLAY_WINDOW) - 1
+            )
             self._newest = seq
             return True
         behind = self._newest - seq
-        if behind >= WINDOW or self._mask >> behind & 1:
+        if behind >= REPLAY_WINDOW or self._mask >> behind & 1:
             return False
         self._mask |= 1 << behind
         return True
 
 
-class Reader:
-    """Reads what others sent; what it drops is counted by reason."""
+class EnvelopeReader:
+    """Decodes and checks envelopes of other members; `dropped` counts what was dropped by reason."""
 
     def __init__(self, group: int, me: int, members: int) -> None:
+        """Initialize the instance.
+
+        :param group: hash of the fleet, see `core.group_hash`.
+        :param me: number of this member.
+        :param members: size of the fleet.
+        """
         self._group, self._me, self._members = group, me, members
-        self._seen: dict[int, _Seen] = {}
+        self._windows: dict[int, _ReplayWindow] = {}
         self.dropped: Counter[str] = Counter()
 
-    def read(self, data: bytes, wall_ms: float = math.inf) -> tuple[Envelope, list[Known]] | None:
-        """The envelope and its known parts; None where it is not to be believed.
+    def read(self, data: bytes, wall_ms: float = math.inf) -> ReceivedEnvelope | None:
+        """Decode an envelope and its known messages.
 
-        A life that begins more than `MOST_AHEAD_MS` after `wall_ms` would shut out the member's own for as
-        long."""
+        :param wall_ms: current time.  An incarnation more than `MAX_INCARNATION_AHEAD_MS` later is dropped:
+            it would lock out the member's real incarnation for as long.
+        :returns: `None` where the envelope is not acceptable.
+        """
+        try:
+            envelope = self._decode(data)
+            self._check_head(envelope, wall_ms)
+            messages = self._decode_messages(envelope)
+            self._check_replay(envelope)
+        except EnvelopeError as error:
+            self.dropped[error.reason] += 1
+            return None
+        return ReceivedEnvelope(envelope, messages)
+
+    def _decode(self, data: bytes) -> Envelope:
         try:
-            found = _ENVELOPE.decode(data)
-        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-            return self._drop(self._why(data))
-        if found.version != VERSION:
-            return self._drop("version")
-        if found.group != self._group:
-            return self._drop("group")
-        if found.sender >= self._members or found.sender == self._me:
-            return self._drop("sender")
-        if found.incarnation > wall_ms + MOST_AHEAD_MS:
-            return self._drop("ahead")
-        parts: list[Known] = []
-        for raw in found.parts:
+            return _ENVELOPE_DECODER.decode(data)
+        except _DECODE_ERRORS as error:
+            raise EnvelopeError(self._decode_failure(data)) from error
+
+    def _check_head(self, envelope: Envelope, wall_ms: float) -> None:
+        if envelope.version != VERSION:
+            raise EnvelopeError("version")
+        if envelope.group != self._group:
+            raise EnvelopeError("group")
+        if envelope.sender >= self._members or envelope.sender == self._me:
+            raise EnvelopeError("sender")
+        if envelope.incarnation > wall_ms + MAX_INCARNATION_AHEAD_MS:
+            raise EnvelopeError("ahead")
+
+    def _decode_messages(self, envelope: Envelope) -> list[AnyMessage]:
+        """Decode the messages whose tags are known, and count the others."""
+        messages: list[AnyMessage] = []
+        for raw in envelope.messages:
             try:
-                parts.append(_PART.decode(raw))
-            except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-                if self._known(raw):
-                    return self._drop("malformed")
+                messages.append(_MESSAGE_DECODER.decode(raw))
+            except _DECODE_ERRORS as error:
+                if self._has_known_tag(raw):
+                    raise EnvelopeError("malformed") from error
                 self.dropped["tag"] += 1
-        seen = self._seen.get(found.sender)
-        if seen is None or found.incarnation > seen.incarnation:
-            seen = self._seen[found.sender] = _Seen(found.incarnation)
-        if found.incarnation < seen.incarnation:
-            return self._drop("life")
-        if not seen.fresh(found.seq):
-            return self._drop("replayed")
-        return found, parts
-
-    def _drop(self, why: str) -> tuple[Envelope, list[Known]] | None:
-        self.dropped[why] += 1
-        return None
+        return messages
+
+    def _check_replay(self, envelope: Envelope) -> None:
+        window = self._windows.get(envelope.sender)
+        if window is None or envelope.incarnation > window.incarnation:
+            window = self._windows[envelope.sender] = _ReplayWindow(envelope.incarnation)
+        if envelope.incarnation < window.incarnation:
+            raise EnvelopeError("life")
+        if not window.accept(envelope.seq):
+            raise EnvelopeError("replayed")
 
     @staticmethod
-    def _why(data: bytes) -> str:
-        """An envelope of another version may have other fields: that is no fault of its sender."""
+    def _decode_failure(data: bytes) -> str:
+        """Distinguish an envelope of another version, whose fields may differ, from a malformed one."""
         try:
-            head = _TAG.decode(data)
-            return "version" if head and msgspec.msgpack.decode(head[0], type=int) != VERSION else "malformed"
-        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
+            head = _ARRAY_DECODER.decode(data)
+            same_version = not head or msgspec.msgpack.decode(head[0], type=int) == VERSION
+        except _DECODE_ERRORS:
             return "malformed"
+        return "malformed" if same_version else "version"
 
     @staticmethod
-    def _known(raw: msgspec.Raw) -> bool:
-        """Whether a part that cannot be read bears a tag that this version knows."""
+    def _has_known_tag(raw: msgspec.Raw) -> bool:
+        """Whether a message that cannot be decoded has a known tag, or none that can be read."""
         try:
-            return msgspec.msgpack.decode(_TAG.decode(raw)[0], type=int) in _TAGS
-        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, IndexError):
+            return msgspec.msgpack.decode(_ARRAY_DECODER.decode(raw)[0], type=int) in _KNOWN_TAGS
+        except (*_DECODE_ERRORS, IndexError):
             return True
--- /dev/null
+++ b/shaletiller/fleet/leases/election.py
@@ -0,0 +1,37 @@
+"""Selection of the granter of each limit, by rendezvous hashing over the members alive."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from shaletiller.fleet.rendezvous import highest_ranked
+
+
+class GranterElection:
+    """The granter of each limit according to this member's view of the membership."""
+
+    def __init__(self, me: int, alive: Callable[[], tuple[int, ...]]) -> None:
+        """Initialize the instance.
+
+        :param me: number of this member.
+        :param alive: returns the members alive; the same object until the membership changes.
+        """
+        self.me = me
+        self._alive = alive
+        self._cached_for: tuple[int, ...] = ()
+        self._granters: dict[str, int] = {}
+
+    def alive(self) -> tuple[int, ...]:
+        """Return the members alive."""
+        return self._alive()
+
+    def granter_of(self, limit: str) -> int:
+        """Return the granter of a limit; this member itself where no member is known to be alive."""
+        alive = self._alive()
+        if alive is not self._cached_for:
+            self._cached_for, self._granters = alive, {}
+        granter = self._granters.get(limit)
+        if granter is None:
+            found = highest_ranked(limit, alive)
+            granter = self._granters[limit] = self.me if found is None else found
+        return granter
--- /dev/null
+++ b/shaletiller/fleet/leases/fair_share.py
@@ -0,0 +1,22 @@
+"""Max-min fair allocation of a pool.
+
+Bertsekas and Gallager, "Data Networks", section 6.5.2.
+"""
+
+from __future__ import annotations
+
+
+def max_min_share(pool: float, demands: dict[int, float], holder: int) -> float:
+    """Return a holder's max-min fair share of a pool: small demands in full, even parts to the others.
+
+    :param demands: by holder.
+    :returns: 0 where the holder has no demand.
+    """
+    remaining, holders = pool, len(demands)
+    for number, demand in sorted(demands.items(), key=lambda item: (item[1], item[0])):
+        share = min(demand, remaining / holders)
+        if number == holder:
+            return share
+        remaining -= share
+        holders -= 1
+    return 0.0
--- /dev/null
+++ b/shaletiller/fleet/leases/requests.py
@@ -0,0 +1,30 @@
+"""Requests in flight: answers count from the time at which the request they name was sent."""
+
+from __future__ import annotations
+
+
+class RequestLog:
+    """Numbers a member's requests and remembers when each was sent, by the member's own clock."""
+
+    def __init__(self) -> None:
+        """Initialize the instance."""
+        self._last_nonce = 0
+        self._sent_ms: dict[int, float] = {}
+
+    def issue(self, now_ms: float) -> int:
+        """Return the nonce of a request sent now."""
+        self._last_nonce += 1
+        self._sent_ms[self._last_nonce] = now_ms
+        return self._last_nonce
+
+    def sent_ms(self, nonce: int) -> float | None:
+        """Return when a request was sent, `None` where it is unknown or too old."""
+        return self._sent_ms.get(nonce)
+
+    def prune(self, before_ms: float) -> None:
+        """Drop requests sent before a time."""
+        while self._sent_ms:
+            oldest = next(iter(self._sent_ms))
+            if self._sent_ms[oldest] >= before_ms:
+                return
+            del self._sent_ms[oldest]
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -21,7 +21,7 @@
 from shaletiller.net.discovery import Discovery
 from shaletiller.net.http_server import HttpServer
 from shaletiller.net.http_upstream import HttpUpstreamClient
-from shaletiller.net.peers import Peers
+from shaletiller.net.peers import PeerEndpoint
 
 if TYPE_CHECKING:
     from shaletiller.net.fleet import FleetAgent
@@ -70,13 +70,13 @@
         self.discovery.retune(config.settings)
         self.front = HttpServer(self.engine, config.front_sockets, lambda: self.discovery.held, self._clock)
         self.fleet = self._fleet_port()
-        self.peers = Peers(
+        self.peers = PeerEndpoint(
             config.peers,
             config.peers_all,
             self._heard,
             self.fleet.receive if self.fleet is not None else None,
         )
-        self.engine.tell = self.peers.tell
+        self.engine.tell = self.peers.send_text
         self.engine.fetch_list = lambda: self.engine.spawn(self.discovery.fetch())
         self.nvme = self._nvme_front()
         self._watch: asyncio.Task[None] | None = None
@@ -118,9 +118,8 @@
             return None
         from shaletiller.net.fleet import FleetAgent
 
-        port = FleetAgent(self.config, operator.fleet, self.engine, self._clock)
-        self.discovery.book.departed = port.listed
-        port.hear_lists(self.discovery.others_say)
+        port = FleetAgent(self.config, operator.fleet, self.engine, self._clock, self.discovery.others_say)
+        self.discovery.book.departed = port.publish_departure
         return port
 
     def _promise_port(self) -> ReplicationAgent | None:
@@ -163,7 +162,7 @@
             "ejected": len(engine.banned & engine.listed.keys()),
             "sighup_applied": self.sighup["applied"],
             "sighup_rejected": self.sighup["rejected"],
-            **(self.fleet.figures() if self.fleet is not None else {}),
+            **(self.fleet.stats() if self.fleet is not None else {}),
             **(self.discovery.book.figures(self._clock.now_ms()) if self.fleet is not None else {}),
             **(self.promises.figures() if self.promises is not None else {}),
         }
@@ -192,7 +191,7 @@
             raise Refused(f"no: no storage node {node[:64]} on the list")
         self.bans.add(node)
         if self.fleet is not None:
-            self.fleet.ban(node, True)
+            self.fleet.publish_ejection(node, True)
         return [node] if self.promises is None else self._kept(self.promises.ban(node), node)
 
     def _enable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
@@ -201,7 +200,7 @@
             raise Refused(f"no: no storage node {node[:64]} on the list")
         self.bans.remove(node)
         if self.fleet is not None:
-            self.fleet.ban(node, False)
+            self.fleet.publish_ejection(node, False)
         return [node] if self.promises is None else self._kept(self.promises.ban(node), node)
 
     def _drain(self, drained: bool) -> list[str] | Awaitable[list[str]]:
@@ -247,7 +246,7 @@
         if self.config.settings.peer_messages_allowed and self.config.peer_listen is not None:
             await self.peers.start(self.config.peer_listen)
         if self.fleet is not None:
-            await self.fleet.start(self.peers, self.bans, tell=self.promises is None)
+            await self.fleet.start(self.peers, self.bans, announce_ejections=self.promises is None)
         if self.promises is not None:
             await self.promises.start()
         self.front.start(*self.config.listen)
--- a/shaletiller/lab/fault_schedules.py
+++ b/shaletiller/lab/fault_schedules.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 
 from shaletiller.fleet.codec import HealthRecord
-from shaletiller.fleet.core import Options
-from shaletiller.fleet.health_gossip import Key, Kind, key_of
-from shaletiller.fleet.leases import Terms
-from shaletiller.fleet.membership import Timing
-from shaletiller.fleet.quotas import Amount
+from shaletiller.fleet.core import FleetOptions
+from shaletiller.fleet.health_gossip import HealthKind, RecordKey, key_of
+from shaletiller.fleet.leases import LeaseTiming
+from shaletiller.fleet.membership import MembershipTiming
+from shaletiller.fleet.quotas import Allowance
 from shaletiller.lab.virtual_network import Limit, World, overshoot, use
 
 TROUBLE_MS, HEAL_MS, END_MS = 5_000.0, 15_000.0, 22_000.0
@@ -65,7 +65,7 @@
 
             def who(one: int = one, kind: str = kind) -> int:
                 known = world.gateways[one].fleet
-                return known.leases.granter(limit.name) if kind == "granter" and known is not None else one
+                return known.leases.granter_of(limit.name) if kind == "granter" and known is not None else one
 
             struck: list[int] = []
 
@@ -92,11 +92,15 @@
     return told
 
 
-def drawn_options(draw: random.Random) -> Options:
+def drawn_options(draw: random.Random) -> FleetOptions:
     """Timings as an operator might set them: the guarantees must not rest on one choice."""
     period_ms = draw.choice([100.0, 200.0, 400.0])
-    timing = Timing(period_ms, period_ms * 0.4, max(period_ms, draw.choice([200.0, 600.0, 1_500.0])))
-    return Options(timing, Terms(draw.choice([1_000.0, 2_000.0, 3_000.0]), draw.choice([300.0, 500.0])))
+    timing = MembershipTiming(
+        period_ms, period_ms * 0.4, max(period_ms, draw.choice([200.0, 600.0, 1_500.0]))
+    )
+    return FleetOptions(
+        timing, LeaseTiming(draw.choice([1_000.0, 2_000.0, 3_000.0]), draw.choice([300.0, 500.0]))
+    )
 
 
 def _loads(world: World, draw: random.Random, limit: Limit, cold: Limit) -> int:
@@ -119,16 +123,24 @@
 def _words(world: World, draw: random.Random, said: list[HealthRecord]) -> None:
     """Operators take nodes out and let them in, and gateways say what they see of nodes that start anew."""
 
-    def say(by: int, node: str, kind: Kind, incarnation: int, value: int) -> None:
+    def say(by: int, node: str, kind: HealthKind, incarnation: int, value: int) -> None:
         gateway = world.gateways[by]
         if gateway.fleet is None or gateway.stopped:
             return
-        before = set(gateway.fleet.verdicts)
-        gateway.fleet.observe(node, kind, incarnation, value, 600_000.0, gateway.clock())
-        said.extend(set(gateway.fleet.verdicts) - before)
+        before = set(gateway.fleet.health)
+        gateway.fleet.publish_health(node, kind, incarnation, value, 600_000.0, gateway.clock())
+        said.extend(set(gateway.fleet.health) - before)
 
     for _ in range(draw.randint(4, 16)):
-        kind = draw.choice([Kind.BAN, Kind.BAN, Kind.DEAD, Kind.SLOW, Kind.COLD])
+        kind = draw.choice(
+            [
+                HealthKind.EJECTED,
+                HealthKind.EJECTED,
+                HealthKind.UNREACHABLE,
+                HealthKind.SLOW,
+                HealthKind.WARMING_UP,
+            ]
+        )
         node = f"s-{draw.randint(1, 3)}"
         args = draw.randrange(world.members), node, kind, draw.randint(1, 3), draw.randint(0, 1)
         world.time.at(draw.uniform(700.0, HEAL_MS), lambda args=args: say(*args))  # type: ignore[misc]
@@ -137,15 +149,17 @@
 def _standing(said: list[HealthRecord]) -> set[HealthRecord]:
     """What must stand of all that was said: for each register the newest word, of the node's newest life."""
     incarnations = {
-        word.node: max((w.incarnation for w in said if w.node == word.node and w.kind != Kind.BAN), default=0)
+        word.node: max(
+            (w.incarnation for w in said if w.node == word.node and w.kind != HealthKind.EJECTED), default=0
+        )
         for word in said
     }
-    newest: dict[Key, HealthRecord] = {}
+    newest: dict[RecordKey, HealthRecord] = {}
     for word in said:
-        if word.kind != Kind.BAN and word.incarnation < incarnations[word.node]:
+        if word.kind != HealthKind.EJECTED and word.incarnation < incarnations[word.node]:
             continue
         before = newest.get(key_of(word))
-        if before is None or (word.stamp, word.observer) > (before.stamp, before.observer):
+        if before is None or (word.timestamp, word.observer) > (before.timestamp, before.observer):
             newest[key_of(word)] = word
     return set(newest.values())
 
@@ -157,8 +171,8 @@
     options = drawn_options(draw)
     world = world or World(members, seed)
     world.options = options
-    limit = Limit("v:strict", Amount(100.0, 60.0))
-    cold = Limit("c:node:1", Amount(0.0, 40.0), settle_ms=1_500.0)
+    limit = Limit("v:strict", Allowance(100.0, 60.0))
+    cold = Limit("c:node:1", Allowance(0.0, 40.0), settle_ms=1_500.0)
     for gateway in world.gateways:
         world.time.at(draw.uniform(0, 500.0), gateway.start)
     lead = _loads(world, draw, limit, cold)
@@ -173,8 +187,8 @@
     if world.excess.get(limit.name):
         over = world.excess[limit.name]
         seen.broken.append(f"shares of {limit.name} add up to {over:.3f} more than the limit")
-    assert options.terms is not None
-    term_ms = options.terms.term_ms
+    assert options.lease_timing is not None
+    term_ms = options.lease_timing.term_ms
     seen.use_before = use(world.spends, limit, 1_000.0 + term_ms, TROUBLE_MS)
     seen.use_cut = use(world.spends, limit, TROUBLE_MS, HEAL_MS)
     seen.use_healed = use(world.spends, limit, HEAL_MS + 2 * term_ms, END_MS)
@@ -186,12 +200,12 @@
         there = len(gateway.fleet.membership.alive())
         if there < members:
             seen.broken.append(f"gateway {gateway.number} sees {there} of {members} after healing")
-        words = set(gateway.fleet.verdicts)
+        words = set(gateway.fleet.health)
         # A word that its own gateway alone had heard when it was killed is lost with it.
         if not words <= set(said) or _standing(list(words)) != words:
             seen.broken.append(f"gateway {gateway.number} holds words that nobody said, or older ones")
         seen.lost_words = len(must - words)
-    if len({frozenset(gateway.fleet.verdicts) for gateway in world.gateways if gateway.fleet}) > 1:
+    if len({frozenset(gateway.fleet.health) for gateway in world.gateways if gateway.fleet}) > 1:
         seen.broken.append("verdicts differ after healing")
     seen.messages_a_second = world.sent / members / (END_MS / 1000)
     return seen
--- a/shaletiller/lab/faulty_links.py
+++ b/shaletiller/lab/faulty_links.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from shaletiller.net.links import LENGTH
+from shaletiller.net.links import FRAME_HEADER
 
 
 @dataclass(slots=True)
@@ -109,8 +109,8 @@
 
         try:
             while True:
-                head = await reader.readexactly(LENGTH.size)
-                frame = head + await reader.readexactly(LENGTH.unpack(head)[0])
+                head = await reader.readexactly(FRAME_HEADER.size)
+                frame = head + await reader.readexactly(FRAME_HEADER.unpack(head)[0])
                 if out.transport.is_closing():
                     break
                 self._pass((a, b), lambda frame=frame: deliver(frame), holds=True)  # type: ignore[misc]
--- a/shaletiller/lab/fleet_scenarios.py
+++ b/shaletiller/lab/fleet_scenarios.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-from shaletiller.fleet.leases import Terms
-from shaletiller.fleet.quotas import Amount
-from shaletiller.fleet.rendezvous import chosen
+from shaletiller.fleet.leases import LeaseTiming
+from shaletiller.fleet.quotas import Allowance
+from shaletiller.fleet.rendezvous import highest_ranked
 from shaletiller.lab.faulty_links import Wires
 from shaletiller.lab.gateway_processes import LabError, Process, free_port
 from shaletiller.lab.guarantees import Guarantee, Outcome
@@ -27,7 +27,7 @@
 
 LEAD = "g1"
 LIMITED = 1  # the volume with the limit
-LIMIT = Amount(200.0, 80.0)  # units a second, units
+LIMIT = Allowance(200.0, 80.0)  # units a second, units
 TERM_MS, LEASE_MS = 1_500.0, 500.0
 SPREAD_MS = 500.0  # a verdict reaches all connected gateways within that
 LOSSY_SPREAD_MS = 2_000.0  # and within that where three messages in ten are lost
@@ -157,7 +157,7 @@
     def granter(self) -> str:
         """Who grants the limit, as those see it that are there."""
         there = [at for at, name in enumerate(self.names) if self.processes[name].alive]
-        found = chosen(f"v:{LIMITED:016x}", there)
+        found = highest_ranked(f"v:{LIMITED:016x}", there)
         return self.names[found if found is not None else 0]
 
     def who(self, name: str) -> str:
@@ -344,7 +344,7 @@
     )
     end_ms = rig.seconds * 1000
     first, last = (part * end_ms for part in scenario.span())
-    ready_ms = Terms(TERM_MS, LEASE_MS, DRIFT).give_ms + 1_000.0
+    ready_ms = LeaseTiming(TERM_MS, LEASE_MS, DRIFT).pledge_wait_ms + 1_000.0
     lossy = any(fault.verb == "worsen" for fault in scenario.faults)
     _uses(out, limited, lossy, ready_ms, min(first, end_ms), last, end_ms)
     _apart(out, rig, limited)
@@ -424,7 +424,7 @@
 def _apart(out: Outcome, rig: Rig, limited: list[Spend]) -> None:
     """What the gateway with most of the traffic uses while it is cut off: its own part at least, from when
     what it had pledged of that is over."""
-    cut_ms, settle_ms = None, Terms(TERM_MS, LEASE_MS, DRIFT).give_ms + 200.0
+    cut_ms, settle_ms = None, LeaseTiming(TERM_MS, LEASE_MS, DRIFT).pledge_wait_ms + 200.0
     for at, what in rig.course:
         verb, *rest = what.split()
         if verb == "cut" and LEAD in [rig.who(name) for name in rest if "=" not in name] and cut_ms is None:
--- a/shaletiller/lab/fleet_simulation.py
+++ b/shaletiller/lab/fleet_simulation.py
@@ -10,10 +10,10 @@
 from functools import partial
 from typing import Any
 
-from shaletiller.fleet.core import Options
-from shaletiller.fleet.health_gossip import Kind
-from shaletiller.fleet.leases import Terms
-from shaletiller.fleet.quotas import Amount
+from shaletiller.fleet.core import FleetOptions
+from shaletiller.fleet.health_gossip import HealthKind
+from shaletiller.fleet.leases import LeaseTiming
+from shaletiller.fleet.quotas import Allowance
 from shaletiller.lab.fault_schedules import Seen, play
 from shaletiller.lab.virtual_network import Limit, World, overshoot, use
 
@@ -37,16 +37,16 @@
 
 def at_size(gateways: int, seed: int, loss: float = 0.0, news: int = 8) -> Size:
     """Bans at random gateways, one after the other, and a limit that one gateway asks for whole."""
-    world = World(gateways, seed, Options())
+    world = World(gateways, seed, FleetOptions())
     for link in world.each_link():
         link.loss = loss
     draw = random.Random(f"size {gateways} {seed}")
     for gateway in world.gateways:
         world.time.at(draw.uniform(0, 1_000.0), gateway.start)
-    limit = Limit("v:strict", Amount(400.0, 400.0))
+    limit = Limit("v:strict", Allowance(400.0, 400.0))
     # A member's own part rests for a term after its start; with many members that is long.
     limited = gateways <= MOST_LIMITED
-    settle_ms = MEET_MS + (Terms.for_members(gateways).give_ms if limited else 0.0)
+    settle_ms = MEET_MS + (LeaseTiming.for_members(gateways).pledge_wait_ms if limited else 0.0)
     end_ms = settle_ms + news * 1_500.0
     if limited:
         world.load(0, limit, 600.0, settle_ms - MEET_MS / 2, end_ms, gateways)
@@ -58,7 +58,7 @@
         world.time.run(at_ms)
         teller = world.gateways[draw.randrange(gateways)]
         assert teller.fleet is not None
-        teller.fleet.observe(node, Kind.BAN, 0, 1, 3_600_000.0, teller.clock())
+        teller.fleet.publish_health(node, HealthKind.EJECTED, 0, 1, 3_600_000.0, teller.clock())
         world.time.run(at_ms + 1_500.0)
         heard = [when for when, _, which, _, held in world.heard if which == node and held]
         missing = gateways - len(heard)
--- a/shaletiller/lab/virtual_network.py
+++ b/shaletiller/lab/virtual_network.py
@@ -19,10 +19,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from shaletiller.fleet.core import Fleet, Options
-from shaletiller.fleet.health_gossip import Kind
-from shaletiller.fleet.membership import State
-from shaletiller.fleet.quotas import NOTHING, Amount, Quota, QuotaBucket
+from shaletiller.fleet.core import Fleet, FleetOptions
+from shaletiller.fleet.health_gossip import HealthKind
+from shaletiller.fleet.leases import GranterId
+from shaletiller.fleet.membership import MemberState
+from shaletiller.fleet.quotas import NO_ALLOWANCE, Allowance, Quota, QuotaBucket
 
 EPOCH_MS = 1_764_000_000_000.0
 TICK_MS = 25.0
@@ -45,7 +46,7 @@
     """A limit under test: `settle_ms` above 0 makes it one that counts what is spent in such a span."""
 
     name: str
-    of: Amount
+    of: Allowance
     policy: str = "strict"
     settle_ms: float = 0.0
     most: float = 8.0
@@ -109,7 +110,7 @@
         self.fleet = self.world.make(self.number, now_ms, self, seed)
         self.world.incarnations[self.number, self.incarnations] = self.fleet.incarnation
         if self.world.tables:
-            self.fleet.leases.table = self
+            self.fleet.leases.use_table(self)
         incarnation = self.incarnations
         # Members' ticks are out of step with each other.
         first_ms = self.world.time.now_ms + self.world.random.uniform(0, TICK_MS)
@@ -149,33 +150,39 @@
     def send(self, member: int, data: bytes) -> None:
         self.world.carry(self.number, member, data)
 
-    def share(self, limit: str, share: Quota) -> None:
-        self.shares[limit] = share
+    def quota_changed(self, limit: str, quota: Quota) -> None:
+        self.shares[limit] = quota
         self.world.add_up(limit)
 
-    def verdict(self, node: str, kind: Kind) -> None:
+    def health_changed(self, node: str, kind: HealthKind) -> None:
         assert self.fleet is not None
-        held = self.fleet.agreed(node, kind, self.clock()) is not None
+        held = self.fleet.agreed_health(node, kind, self.clock()) is not None
         self.world.heard.append((self.world.time.now_ms, self.number, node, kind, held))
 
-    def member(self, member: int, before: State, after: State) -> None:
+    def member_changed(self, member: int, before: MemberState, after: MemberState) -> None:
         self.world.moves.append((self.world.time.now_ms, self.number, member, after))
 
-    # ---- its granters' tables (fleet.leases.Table)
+    # ---- its granters' tables (fleet.leases.LeaseTable)
 
     def take_over(self, limit: str) -> None:
         me, incarnation = self.number, self.incarnations
 
         def done() -> None:
             before = self.world.table_of.get(limit)
-            held = before[2:] if before is not None else (NOTHING, 0.0)
+            held = before[2:] if before is not None else (NO_ALLOWANCE, 0.0)
             self.world.table_of[limit] = me, incarnation, *held
-            was = (before[0], self.world.fleet_life(before[0], before[1])) if before is not None else None
-            self._after_table(incarnation, lambda fleet: fleet.leases.stands(limit, was, *held, self.clock()))
+            was = (
+                GranterId(before[0], self.world.fleet_life(before[0], before[1]))
+                if before is not None
+                else None
+            )
+            self._after_table(
+                incarnation, lambda fleet: fleet.leases.on_table_acquired(limit, was, *held, self.clock())
+            )
 
         self._register(limit, incarnation, done)
 
-    def write(self, limit: str, leased: Amount) -> None:
+    def write(self, limit: str, leased: Allowance) -> None:
         incarnation, asked_ms = self.incarnations, self.clock()
 
         def done() -> None:
@@ -183,7 +190,9 @@
             made = before is not None and before[:2] == (self.number, incarnation)
             if made:
                 self.world.table_of[limit] = self.number, incarnation, leased, asked_ms
-            self._after_table(incarnation, lambda fleet: fleet.leases.kept(limit, made, self.clock()))
+            self._after_table(
+                incarnation, lambda fleet: fleet.leases.on_table_written(limit, made, self.clock())
+            )
 
         self._register(limit, incarnation, done)
 
@@ -195,7 +204,7 @@
             self.world.time.at(
                 at_ms,
                 lambda: self._after_table(
-                    incarnation, lambda fleet: fleet.leases.kept(limit, False, self.clock())
+                    incarnation, lambda fleet: fleet.leases.on_table_written(limit, False, self.clock())
                 ),
             )
         else:
@@ -226,8 +235,8 @@
     def _spend(self, limit: Limit, units: float, hosts: int) -> None:
         assert self.fleet is not None
         now_ms = self.clock()
-        even = limit.of.times(1 / hosts) if limit.policy == "available" else NOTHING
-        self.fleet.asked(limit.name, limit.of, units, limit.most, now_ms, limit.settle_ms, even)
+        even = limit.of.scaled(1 / hosts) if limit.policy == "available" else NO_ALLOWANCE
+        self.fleet.record_demand(limit.name, limit.of, units, limit.most, now_ms, limit.settle_ms, even)
         share = self.shares.get(limit.name)
         if share is None:
             self.refused += 1
@@ -255,13 +264,13 @@
 
     members: int
     seed: int
-    options: Options = field(default_factory=Options)
+    options: FleetOptions = field(default_factory=FleetOptions)
     drift: float = 0.01
     skew_ms: float = 5.0
     time: Clocked = field(default_factory=Clocked)
     spends: list[Spend] = field(default_factory=list)
-    heard: list[tuple[float, int, str, Kind, bool]] = field(default_factory=list)
-    moves: list[tuple[float, int, int, State]] = field(default_factory=list)
+    heard: list[tuple[float, int, str, HealthKind, bool]] = field(default_factory=list)
+    moves: list[tuple[float, int, int, MemberState]] = field(default_factory=list)
     excess: dict[str, float] = field(default_factory=dict)
     limits: dict[str, Limit] = field(default_factory=dict)
     sent: int = 0
@@ -270,7 +279,7 @@
     # written by the one alone that wrote it last, or took it over, and is out of reach for who is cut off.
     tables: bool = False
     incarnations: dict[tuple[int, int], int] = field(default_factory=dict)
-    table_of: dict[str, tuple[int, int, Amount, float]] = field(default_factory=dict)
+    table_of: dict[str, tuple[int, int, Allowance, float]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
@@ -295,7 +304,7 @@
         stopped holds what it may spend when it goes on, by its clock then; one that was killed holds
         nothing."""
         of = self.limits[limit].of
-        held = NOTHING
+        held = NO_ALLOWANCE
         for gateway in self.gateways:
             if gateway.fleet is not None and limit in gateway.shares:
                 held = held.plus(gateway.shares[limit].at(gateway.clock()))
--- a/shaletiller/net/links.py
+++ b/shaletiller/net/links.py
@@ -1,8 +1,7 @@
-"""TCP links between gateways: each direction its own connection, messages in frames of a length and the
-bytes.
+"""TCP links between gateways: one connection in each direction, with length-prefixed frames.
 
-A link may lose what it carries, as datagrams may: while it is down, or cannot take more, the newest messages
-wait and the oldest are dropped, for newer ones say more.  What a connection still held when it broke is lost.
+A link may lose messages, as datagrams may.  While it is down or congested it queues the newest messages and
+drops the oldest, since newer ones supersede them.  What a connection had buffered when it broke is lost.
 """
 
 from __future__ import annotations
@@ -18,134 +17,179 @@
 
 logger = logging.getLogger(__name__)
 
-
-LENGTH = struct.Struct(">I")
-MOST_FRAME = 160 * 1024  # an answer of 64 KiB that is copied, and what goes along
-MOST_WAITING = 1024  # messages of one link
-MOST_BUFFERED = 64 * 1024  # bytes given to the kernel and not yet taken by it
-AGAIN_S, MOST_AGAIN_S = 0.05, 2.0  # between two tries to connect: full jitter under a bound that doubles
-CONNECT_S = 1.0
-# A peer that takes nothing for so long is given up, and what waits in the kernel with it: a link that was cut
-# for a while would else first deliver what is long out of date.
-USER_TIMEOUT_MS = 1_500
+FRAME_HEADER = struct.Struct(">I")  # length of the frame that follows, in bytes
+MAX_FRAME_BYTES = 160 * 1024  # a replicated response body of 64 KiB, its key and its envelope, with headroom
+# Empirical: messages queued for one link.  A longer queue delivers outdated messages after an outage, a
+# shorter one drops messages in a burst.
+MAX_QUEUED_MESSAGES = 1024
+# Empirical: bytes passed to the kernel and not yet taken by it, above which messages stay in the queue, where
+# the oldest can still be dropped.
+MAX_BUFFERED_BYTES = 64 * 1024
+# Backoff between attempts to connect: full jitter below a bound that doubles with each failure.  Empirical: a
+# shorter one loads a gateway that restarts, a longer one delays its return to the fleet.
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 2.0
+MAX_BACKOFF_DOUBLINGS = 16  # keeps the power of two small; the bound is reached long before
+CONNECT_TIMEOUT_S = (
+    1.0  # gateways of a fleet are on one network: a slower answer means that it is partitioned
+)
+# A connection whose peer acknowledges nothing for so long is closed, and what the kernel buffered is
+# discarded.  After a partition heals, the connection would otherwise first deliver messages that are long out
+# of date.
+TCP_USER_TIMEOUT_MS = 1_500
 
 
 class Link:
-    """The way to one other gateway."""
+    """Outgoing link to one other gateway."""
+
+    def __init__(self, address: tuple[str, int], jitter: random.Random) -> None:
+        """Initialize the instance.
 
-    def __init__(self, address: tuple[str, int], draw: random.Random) -> None:
+        :param address: of that gateway.
+        :param jitter: source of the backoff's jitter.
+        """
         self._address = address
-        self._random = draw
-        self._waiting: deque[bytes] = deque(maxlen=MOST_WAITING)
-        self._some = asyncio.Event()
+        self._random = jitter
+        self._queue: deque[bytes] = deque(maxlen=MAX_QUEUED_MESSAGES)
+        self._is_queued = asyncio.Event()
         self.dropped = 0
         self.connects = 0
 
     def send(self, data: bytes) -> None:
-        if len(self._waiting) == MOST_WAITING:
-            self.dropped += 1  # the oldest goes
-        self._waiting.append(data)
-        self._some.set()
+        """Queue a message; a full queue drops its oldest."""
+        if len(self._queue) == MAX_QUEUED_MESSAGES:
+            self.dropped += 1
+        self._queue.append(data)
+        self._is_queued.set()
 
     async def run(self) -> None:
-        """Keep connected for ever."""
-        failed = 0
+        """Keep the link connected until cancelled."""
+        failures = 0
         while True:
             try:
-                async with asyncio.timeout(CONNECT_S):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     reader, writer = await asyncio.open_connection(*self._address)
-            except OSError:  # a TimeoutError is one
-                bound_s = min(MOST_AGAIN_S, AGAIN_S * 2 ** min(failed, 16))
-                failed += 1
+            except OSError:  # includes TimeoutError
+                bound_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2 ** min(failures, MAX_BACKOFF_DOUBLINGS))
+                failures += 1
                 await asyncio.sleep(self._random.uniform(0, bound_s))
                 continue
-            failed = 0
+            failures = 0
             self.connects += 1
             try:
                 await self._serve(reader, writer)
-            except Exception as error:
-                # Not OSError alone: uvloop answers a call on a connection that has just been reset with a
-                # RuntimeError, and a link that ended with it stayed down for good.
-                logger.warning(f"fleet link to {self._address[0]}:{self._address[1]}: {error!r}")
+            except Exception:
+                # Not OSError alone: uvloop answers a call on a connection that was just reset with a
+                # RuntimeError.  It ended this task, and the link stayed down until the process restarted.
+                host, port = self._address
+                logger.warning("fleet link to %s:%d lost, reconnecting", host, port, exc_info=True)
             finally:
                 writer.transport.abort()
-            await asyncio.sleep(self._random.uniform(0, AGAIN_S))
+            await asyncio.sleep(self._random.uniform(0, MIN_BACKOFF_S))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Write queued messages until the peer closes the connection."""
         sock = writer.get_extra_info("socket")
         if sock is not None:
             with contextlib.suppress(OSError, AttributeError):
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-        ended = asyncio.ensure_future(reader.read(1))  # nothing comes this way but the end
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+        closed = asyncio.ensure_future(reader.read(1))  # the peer sends nothing here: a result is the end
         try:
-            while not ended.done():
-                some = asyncio.ensure_future(self._some.wait())
-                try:
-                    await asyncio.wait((some, ended), return_when=asyncio.FIRST_COMPLETED)
-                finally:
-                    some.cancel()
-                while self._waiting and writer.transport.get_write_buffer_size() < MOST_BUFFERED:
-                    data = self._waiting.popleft()
-                    writer.write(LENGTH.pack(len(data)) + data)
-                if not self._waiting:
-                    self._some.clear()
+            while not closed.done():
+                await self._wait_for_message(closed)
+                self._write_queued(writer)
                 await writer.drain()
         finally:
-            ended.cancel()
+            closed.cancel()
             with contextlib.suppress(asyncio.CancelledError, OSError):
-                await ended
+                await closed
+
+    async def _wait_for_message(self, closed: asyncio.Future[bytes]) -> None:
+        """Return when a message is queued or the connection is closed."""
+        queued = asyncio.ensure_future(self._is_queued.wait())
+        try:
+            await asyncio.wait((queued, closed), return_when=asyncio.FIRST_COMPLETED)
+        finally:
+            queued.cancel()
+
+    def _write_queued(self, writer: asyncio.StreamWriter) -> None:
+        while self._queue and writer.transport.get_write_buffer_size() < MAX_BUFFERED_BYTES:
+            data = self._queue.popleft()
+            writer.write(FRAME_HEADER.pack(len(data)) + data)
+        if not self._queue:
+            self._is_queued.clear()
 
 
 class Links:
-    """All of a gateway's links, and the listener for those of the others."""
+    """All links of a gateway: outgoing to each other gateway, and the listener for theirs."""
 
     def __init__(
         self,
         me: int,
         addresses: Sequence[tuple[str, int]],
-        heard: Callable[[bytes], None],
+        on_message: Callable[[bytes], None],
         seed: int,
     ) -> None:
-        draw = random.Random(seed)
-        self._own = addresses[me]
+        """Initialize the instance.
+
+        :param me: number of this gateway.
+        :param addresses: of all gateways, by number.
+        :param on_message: receives each message of another gateway.
+        :param seed: of the backoff's jitter.
+        """
+        jitter = random.Random(seed)
+        self._listen_address = addresses[me]
         others = [number for number in range(len(addresses)) if number != me]
-        self._links = {number: Link(addresses[number], draw) for number in others}
-        self._heard = heard
+        self._links = {number: Link(addresses[number], jitter) for number in others}
+        self._on_message = on_message
         self._server: asyncio.Server | None = None
         self._tasks: list[asyncio.Task[None]] = []
-        self._open: set[asyncio.StreamWriter] = set()
+        self._accepted: set[asyncio.StreamWriter] = set()
 
     @property
     def dropped(self) -> int:
+        """Messages dropped from full queues."""
         return sum(link.dropped for link in self._links.values())
 
     async def start(self) -> None:
-        # The process that replaces this one listens on the same address while this one still runs.
-        self._server = await asyncio.start_server(self._take, *self._own, reuse_port=True)
+        """Listen, and connect to the other gateways.
+
+        During a rolling restart the old process still listens on the address: without SO_REUSEPORT the new
+        process would fail to start.
+        """
+        self._server = await asyncio.start_server(self._receive, *self._listen_address, reuse_port=True)
         self._tasks = [asyncio.ensure_future(link.run()) for link in self._links.values()]
 
     def send(self, member: int, data: bytes) -> None:
+        """Queue a message to a gateway; it may be lost."""
         self._links[member].send(data)
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._open.add(writer)
+    async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Read frames of one connection until it ends."""
+        self._accepted.add(writer)
         try:
             while True:
-                (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
-                if not 0 < length <= MOST_FRAME:
-                    logger.warning(f"fleet link: a frame of {length} bytes, at most {MOST_FRAME}")
+                (length,) = FRAME_HEADER.unpack(await reader.readexactly(FRAME_HEADER.size))
+                if not 0 < length <= MAX_FRAME_BYTES:
+                    logger.warning(
+                        "fleet link from %s closed: frame of %d bytes, the limit is %d",
+                        writer.get_extra_info("peername"),
+                        length,
+                        MAX_FRAME_BYTES,
+                    )
                     return
-                self._heard(await reader.readexactly(length))
+                self._on_message(await reader.readexactly(length))
         except (asyncio.IncompleteReadError, OSError):
-            pass
+            pass  # the other gateway reconnects
         finally:
-            self._open.discard(writer)
+            self._accepted.discard(writer)
             writer.transport.abort()
 
     def close(self) -> None:
+        """Close the listener, and abort all connections."""
         for task in self._tasks:
             task.cancel()
         if self._server is not None:
             self._server.close()
-        for writer in list(self._open):
+        for writer in list(self._accepted):
             writer.transport.abort()
--- a/shaletiller/net/peers.py
+++ b/shaletiller/net/peers.py
@@ -1,4 +1,4 @@
-"""Short messages between gateways, over UDP; they come late or not at all."""
+"""UDP endpoint for short messages between gateways; a datagram may be lost, delayed or reordered."""
 
 from __future__ import annotations
 
@@ -8,61 +8,87 @@
 
 logger = logging.getLogger(__name__)
 
+MAX_DATAGRAM_BYTES = 256  # the platform's limit on a datagram between gateways
+# First byte of an envelope of the fleet, a MessagePack array of seven.  No UTF-8 text begins with it.
+FLEET_ENVELOPE_MARK = b"\x97"
 
-MOST_BYTES = 256  # a longer datagram breaks the platform's rules
-FLEET = b"\x97"  # begins an envelope of the fleet (an array of seven), and never a text
 
+class PeerEndpoint(asyncio.DatagramProtocol):
+    """Sends datagrams to the other gateways, and dispatches those that arrive from them."""
 
-class Peers(asyncio.DatagramProtocol):
     def __init__(
         self,
         peers: tuple[tuple[str, int], ...],
-        everyone: tuple[str, int] | None,
-        heard: Callable[[int, str], None],
-        heard_fleet: Callable[[bytes], None] | None = None,
+        broadcast_address: tuple[str, int] | None,
+        on_text: Callable[[int, str], None],
+        on_fleet_envelope: Callable[[bytes], None] | None = None,
     ) -> None:
+        """Initialize the instance.
+
+        :param peers: addresses of all gateways; their order numbers them.
+        :param broadcast_address: reaches all gateways; `None` where the platform has none.
+        :param on_text: receives a text message and the number of its sender.
+        :param on_fleet_envelope: receives an envelope of the fleet; without it envelopes count as text.
+        """
         self._peers = peers
-        self._everyone = everyone
+        self._broadcast_address = broadcast_address
         self._numbers = {address: number for number, address in enumerate(peers)}
-        self._heard = heard
-        self._heard_fleet = heard_fleet
+        self._on_text = on_text
+        self._on_fleet_envelope = on_fleet_envelope
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, address: tuple[str, int]) -> None:
+        """Bind the address.
+
+        During a rolling restart the old process is still bound to it: without SO_REUSEPORT the new process
+        would fail to start.
+        """
         loop = asyncio.get_running_loop()
-        # The process that replaces this one binds the same address while this one still runs.
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=address, reuse_port=True
         )
 
-    def tell(self, peer: int | None, data: str) -> None:
-        self.send(peer, data.encode())
+    def send_text(self, peer: int | None, text: str) -> None:
+        """Send a text message, see `send`."""
+        self.send(peer, text.encode())
 
-    def send(self, peer: int | None, raw: bytes) -> None:
-        """A datagram to one gateway, or to all of them (None)."""
-        if len(raw) > MOST_BYTES:
-            logger.warning(f"message of {len(raw)} bytes left out: at most {MOST_BYTES}")
+    def send(self, peer: int | None, data: bytes) -> None:
+        """Send a datagram.
+
+        :param peer: number of a gateway; `None` sends to all.  Unknown numbers are ignored.
+        """
+        if len(data) > MAX_DATAGRAM_BYTES:
+            logger.warning(
+                "message to peer %s dropped: %d bytes, the limit is %d", peer, len(data), MAX_DATAGRAM_BYTES
+            )
             return
-        known = peer is None or 0 <= peer < len(self._peers)
-        address = self._everyone if peer is None else self._peers[peer] if known else None
+        address = self._address_of(peer)
         if self._transport is not None and address is not None:
-            self._transport.sendto(raw, address)
+            self._transport.sendto(data, address)
+
+    def _address_of(self, peer: int | None) -> tuple[str, int] | None:
+        if peer is None:
+            return self._broadcast_address
+        return self._peers[peer] if 0 <= peer < len(self._peers) else None
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        number = self._numbers.get(addr[:2])
-        if number is None or len(data) > MOST_BYTES:
+        """Dispatch a datagram; one from an unknown address or above the limit is ignored."""
+        peer = self._numbers.get(addr[:2])
+        if peer is None or len(data) > MAX_DATAGRAM_BYTES:
             return
-        if self._heard_fleet is not None and data[:1] == FLEET:
-            self._heard_fleet(data)
+        if self._on_fleet_envelope is not None and data[:1] == FLEET_ENVELOPE_MARK:
+            self._on_fleet_envelope(data)
             return
         try:
-            self._heard(number, data.decode())
+            self._on_text(peer, data.decode())
         except UnicodeDecodeError:
-            logger.warning(f"message of peer {number} is not text")
+            logger.warning("message from peer %d dropped: not valid UTF-8", peer)
 
     def error_received(self, exc: Exception) -> None:
-        logger.warning(f"peers: {exc}")
+        """Log an error that the kernel reports for an earlier datagram; that datagram is lost."""
+        logger.warning("datagram to a peer lost: %s", exc)
 
     def close(self) -> None:
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
--- a/shaletiller/net/replication.py
+++ b/shaletiller/net/replication.py
@@ -19,10 +19,11 @@
 from shaletiller.core.model import ClientCall, Exchange, FinalResponse
 from shaletiller.core.model import FinalResult as Final
 from shaletiller.fleet.codec import HealthRecord
-from shaletiller.fleet.core import group_of
-from shaletiller.fleet.health_gossip import LONGEST_MS, Kind
-from shaletiller.fleet.membership import State
-from shaletiller.fleet.quotas import NOTHING, Amount, from_wire, to_wire
+from shaletiller.fleet.core import group_hash
+from shaletiller.fleet.health_gossip import MAX_LIFETIME_MS, HealthKind
+from shaletiller.fleet.leases import GranterId
+from shaletiller.fleet.membership import MemberState
+from shaletiller.fleet.quotas import NO_ALLOWANCE, Allowance, from_wire, to_wire
 from shaletiller.net.fleet import FleetAgent
 from shaletiller.operator_file import OperatorFile
 from shaletiller.replication.core import Keep, ReplicationNode, Send
@@ -69,10 +70,10 @@
         part = operator.promises
         self._clock, self._engine, self._fleet, self._name = clock, engine, fleet, name
         self._operator, self._bans = operator, bans
-        members = fleet.liaison.fleet
+        members = fleet.coordinator.fleet
         groups = Groups([row.zone for row in operator.fleet.member], part.copies)
         self._me, self._members = members.me, members
-        self._codec = Codec(group_of(operator.fleet.name, members.names), self._me, len(members.names))
+        self._codec = Codec(group_hash(operator.fleet.name, members.names), self._me, len(members.names))
         now_ms = clock.now_ms()
         self.promises = ReplicationNode(self._me, groups, None, now_ms, part.repair_bytes_a_second)
         self.writes = Writes(self.promises, int(now_ms), part.keep_s * 1000)
@@ -94,9 +95,9 @@
         self.drained: Callable[[bool], None] = lambda drained: None
         self._tables: dict[str, tuple[bytes, Held | None]] = {}  # of the limits granted here: the last kept
         if part.lease_tables:
-            members.leases.table = self
+            members.leases.use_table(self)
         engine.vow = self._vow
-        fleet.heard_promises = self._heard
+        fleet.set_replication_handler(self._heard)
 
     # ---- the store
 
@@ -164,7 +165,7 @@
         self._tell_words()
         for node in sorted(self._bans.held - self.banned().keys()):
             # Taken out by the process before this one, and kept here only.
-            self._fleet.liaison.ban(node, True, self._clock.now_ms())
+            self._fleet.coordinator.set_ejected(node, True, self._clock.now_ms())
         done = await self._ask(f"{DRAIN}{self._name}", Expect.NEVER, b"", 30_000.0)
         says = read_says(done.value)
         if isinstance(says, Word):
@@ -181,9 +182,9 @@
         for node, word in self.banned().items():
             if not word.out and node in self._bans.held:
                 self._bans.remove(node)
-            until = int(min(word.until, now_ms + LONGEST_MS / 2))
-            self._fleet.liaison.restore(
-                HealthRecord(node, int(Kind.BAN), word.by, 0, word.stamp, until, int(word.out))
+            until = int(min(word.until, now_ms + MAX_LIFETIME_MS / 2))
+            self._fleet.coordinator.restore(
+                HealthRecord(node, int(HealthKind.EJECTED), word.by, 0, word.stamp, until, int(word.out))
             )
 
     # ---- time and messages
@@ -193,7 +194,7 @@
         self._quick = self.promises.busy
         self._timer = self._clock.call_later(TICK_MS if self._quick else IDLE_TICK_MS, self._tick)
         peers = self._members.membership.peers
-        self.promises.absent = frozenset(n for n, peer in peers.items() if peer.state is State.DEAD)
+        self.promises.absent = frozenset(n for n, peer in peers.items() if peer.state is MemberState.DEAD)
         self._guarded(lambda: self.promises.tick(now_ms, self._members.membership.alive()))
         if self._list is not None and now_ms - self._list_ms >= LIST_MS:
             self._keep_list(now_ms)
@@ -267,7 +268,7 @@
         key = key_of(call)
         groups, peers = self.promises.groups, self._members.membership.peers
         # One that has not been heard yet may be there: just after a start nobody has.
-        gone = sum(n != self._me and peers[n].state is State.DEAD for n in groups.of(key))
+        gone = sum(n != self._me and peers[n].state is MemberState.DEAD for n in groups.of(key))
         if groups.copies - gone < groups.majority:
             self.writes.counts["no_majority"] += 1
             self._engine.relay(exchange, FinalResponse(Final.REFUSED, retry_after_ms=NO_MAJORITY_MS))
@@ -318,9 +319,9 @@
     async def ban(self, node: str) -> None:
         """A DISABLE or ENABLE that holds here already: KeptHere where no majority of its copies has it in
         time."""
-        found = self._members.verdicts.ban_of(node)
+        found = self._members.health.ejection_record(node)
         if found is not None:
-            await self._word(f"{BAN}{node}", found.value > 0, found.stamp)
+            await self._word(f"{BAN}{node}", found.value > 0, found.timestamp)
 
     async def drain(self, drained: bool) -> None:
         await self._word(f"{DRAIN}{self._name}", drained, self._members.clock.now(self._clock.now_ms()))
@@ -331,7 +332,7 @@
         if not done.kept and done.unknown:
             raise NotReplicatedError
 
-    # ---- granters' tables (fleet.leases.Table)
+    # ---- granters' tables (fleet.leases.LeaseTable)
 
     def take_over(self, limit: str) -> None:
         self._engine.spawn(self._take_over(limit))
@@ -348,18 +349,18 @@
             done = await self._ask(key, expect, mine, TABLE_MS, before.value, keep_ms=TABLE_KEPT_MS)
             if done.kept:
                 self._tables[limit] = mine, done.held
-                leased = from_wire(was.rate, was.burst) if was else NOTHING
-                self._members.leases.stands(
+                leased = from_wire(was.rate, was.burst) if was else NO_ALLOWANCE
+                self._members.leases.on_table_acquired(
                     limit,
-                    (was.by, was.incarnation) if was else None,
+                    GranterId(was.by, was.incarnation) if was else None,
                     leased,
                     was.at if was else 0.0,
                     now_ms(),
                 )
         if not done.kept:
-            self._members.leases.kept(limit, False, now_ms())
+            self._members.leases.on_table_written(limit, False, now_ms())
 
-    def write(self, limit: str, leased: Amount) -> None:
+    def write(self, limit: str, leased: Allowance) -> None:
         self._engine.spawn(self._write(limit, *to_wire(leased)))
 
     async def _write(self, limit: str, rate: int, burst: int) -> None:
@@ -370,7 +371,7 @@
         )
         if done.kept:
             self._tables[limit] = mine, done.held
-        self._members.leases.kept(limit, done.kept, self._clock.now_ms())
+        self._members.leases.on_table_written(limit, done.kept, self._clock.now_ms())
 
     def _table(self, rate: int, burst: int, at_ms: int) -> bytes:
         self._table_number += 1
--- a/shaletiller/operator_file.py
+++ b/shaletiller/operator_file.py
@@ -23,9 +23,9 @@
 
 import msgspec
 
-from shaletiller.fleet.core import Options
-from shaletiller.fleet.leases import Terms
-from shaletiller.fleet.membership import Timing
+from shaletiller.fleet.core import FleetOptions
+from shaletiller.fleet.leases import LeaseTiming
+from shaletiller.fleet.membership import MembershipTiming
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 
@@ -76,12 +76,14 @@
     def on(self) -> bool:
         return bool(self.member) or self.carrier == "datagrams"
 
-    def options(self, members: int) -> Options:
+    def options(self, members: int) -> FleetOptions:
         """For a fleet of so many; ValueError names a value that does not go with the others."""
-        terms = Terms.for_members(members)
-        return Options(
-            timing=Timing(self.period_ms, self.ack_ms, self.suspect_ms),
-            terms=Terms(self.term_ms or max(terms.term_ms, 2 * self.lease_ms), self.lease_ms, self.drift),
+        terms = LeaseTiming.for_members(members)
+        return FleetOptions(
+            timing=MembershipTiming(self.period_ms, self.ack_ms, self.suspect_ms),
+            lease_timing=LeaseTiming(
+                self.term_ms or max(terms.term_ms, 2 * self.lease_ms), self.lease_ms, self.drift
+            ),
             messages_a_second=self.messages_a_second,
             gossip_ms=self.gossip_ms,
             fanout=self.fanout,
--- a/shaletiller/policy/admission_limits.py
+++ b/shaletiller/policy/admission_limits.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from shaletiller.fleet.quotas import Amount, Quota
+from shaletiller.fleet.quotas import Allowance, Quota
 from shaletiller.policy.fair_share import Guarantee
 from shaletiller.rate_counters import DecayingRate, TokenBucket
 from shaletiller.state.records import BANDS, BEYOND, RESERVE, SHARE, Pending, Upstream, Volume
@@ -50,8 +50,8 @@
     def _level(self, pending: Pending, now_ms: float) -> float:
         """Where the fleet deals out the limit, by the share in hand at this moment: a lease may be over."""
         plan, part = pending.volume.plan, 1 / pending.volume.hosts
-        even = Quota(Amount(plan.limit_rate * part, plan.limit_burst * part))
-        return pending.volume.limit.by_share(now_ms, self._volumes.share(pending.ask.volume) or even)
+        even = Quota(Allowance(plan.limit_rate * part, plan.limit_burst * part))
+        return pending.volume.limit.fill_by_quota(now_ms, self._volumes.share(pending.ask.volume) or even)
 
     def band(self, pending: Pending, upstream: Upstream, now_ms: float) -> int:
         """Whether the volume is inside its reserve, its weighted share of the node, or beyond."""
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's cores, each alone: no sockets, no clocks but the test's."""
+"""The fleet's modules one by one, without sockets and with no clock but the test's."""
 
 from __future__ import annotations
 
@@ -12,19 +12,43 @@
 
 from shaletiller.fleet import codec
 from shaletiller.fleet.broadcast_queue import BroadcastQueue
-from shaletiller.fleet.codec import Call, Grant, HealthRecord, Ping, Pledge, Reader, Want, Writer, pack
-from shaletiller.fleet.core import Fleet, Options, group_of
-from shaletiller.fleet.health_gossip import HealthGossip, Kind, key_of
-from shaletiller.fleet.hlc import HybridClock, stamp_of, wall_ms_of
-from shaletiller.fleet.leases import Leases, Terms, fair
-from shaletiller.fleet.membership import Membership, State, Timing
-from shaletiller.fleet.quotas import NOTHING, Amount, Quota, QuotaBucket, Steps
-from shaletiller.fleet.rendezvous import chosen, ranked
+from shaletiller.fleet.codec import (
+    EnvelopeReader,
+    EnvelopeWriter,
+    HealthRecord,
+    LeaseGrant,
+    LeaseRequest,
+    Ping,
+    Pledge,
+    PledgeRequest,
+    encode,
+)
+from shaletiller.fleet.core import Fleet, FleetOptions, group_hash
+from shaletiller.fleet.health_gossip import HealthGossip, HealthKind, key_of
+from shaletiller.fleet.hlc import HybridClock, timestamp_of, wall_ms_of
+from shaletiller.fleet.leases import GranterId, LeaseManager, LeaseTiming
+from shaletiller.fleet.leases.fair_share import max_min_share
+from shaletiller.fleet.membership import Membership, MembershipTiming, MemberState
+from shaletiller.fleet.quotas import (
+    NO_ALLOWANCE,
+    Allowance,
+    ExpiringAllowance,
+    ExpiringAllowances,
+    Quota,
+    QuotaBucket,
+)
+from shaletiller.fleet.rendezvous import highest_ranked, ranked
 from shaletiller.lab.fault_schedules import play
 from shaletiller.lab.virtual_network import World
 
-GROUP, LIFE = 77, 1_700_000_000_000
-WORD = HealthRecord("s-1", Kind.DEAD, 2, 5, stamp_of(LIFE), LIFE + 60_000, 1)
+GROUP, INCARNATION = 77, 1_700_000_000_000
+RECORD = HealthRecord("s-1", HealthKind.UNREACHABLE, 2, 5, timestamp_of(INCARNATION), INCARNATION + 60_000, 1)
+FAR_FUTURE_MS = 1e12  # after all leases have expired
+
+
+def envelope(*messages: bytes, sender: int = 3, incarnation: int = INCARNATION, group: int = GROUP) -> bytes:
+    """The first envelope of a sender."""
+    return EnvelopeWriter(group, sender, incarnation).write(1, messages)
 
 
 # ---- codec
@@ -32,112 +56,159 @@
 
 @settings(max_examples=400, deadline=None)
 @given(st.binary(max_size=300))
-def test_whatever_comes_is_dropped_and_counted_and_never_an_exception(data: bytes) -> None:
-    reader = Reader(GROUP, 0, 5)
+def test_arbitrary_bytes_are_dropped_and_counted_without_an_exception(data: bytes) -> None:
+    """A port scanner sends arbitrary bytes to the fleet's port.
+
+    Each datagram is dropped and counted once; nothing is raised into the event loop.
+    """
+    reader = EnvelopeReader(GROUP, 0, 5)
     assert reader.read(data) is None
     assert sum(reader.dropped.values()) == 1
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.data())
-def test_an_envelope_cut_or_changed_anywhere_holds_only_known_parts(data: st.DataObject) -> None:
-    whole = Writer(GROUP, 3, LIFE).write(stamp_of(LIFE), [pack(WORD), pack(Ping(7, 1 << 62))])
-    at = data.draw(st.integers(0, len(whole) - 1))
-    assert Reader(GROUP, 0, 5).read(whole[:at]) is None
-    changed = bytearray(whole)
+def test_a_truncated_or_corrupted_envelope_yields_only_known_messages(data: st.DataObject) -> None:
+    """The network truncates an envelope or changes one of its bytes.
+
+    A truncated one is dropped; a changed one is dropped or contains only well-formed messages.
+    """
+    complete = EnvelopeWriter(GROUP, 3, INCARNATION).write(
+        timestamp_of(INCARNATION), [encode(RECORD), encode(Ping(7, 1 << 62))]
+    )
+    at = data.draw(st.integers(0, len(complete) - 1))
+    assert EnvelopeReader(GROUP, 0, 5).read(complete[:at]) is None
+    changed = bytearray(complete)
     changed[at] = data.draw(st.integers(0, 255))
-    found = Reader(GROUP, 0, 5).read(bytes(changed))
-    assert found is None or all(isinstance(part, codec.Part) for part in found[1])
+    received = EnvelopeReader(GROUP, 0, 5).read(bytes(changed))
+    assert received is None or all(isinstance(message, codec.Message) for message in received.messages)
+
 
+def test_replayed_foreign_and_outdated_envelopes_are_dropped_by_reason() -> None:
+    """The network duplicates and reorders envelopes, and gateways of other fleets send theirs.
 
-def test_replayed_foreign_and_older_envelopes_are_told_apart() -> None:
-    reader = Reader(GROUP, 0, 5)
-    writer = Writer(GROUP, 3, LIFE)
-    first, second = (writer.write(1, [pack(Ping(n, 0))]) for n in range(2))
-    assert reader.read(second) and reader.read(first)  # out of order is no fault
-    for raw, why in (
+    Reordered ones are accepted, all others are dropped, each under its own reason.  A restarted sender is
+    accepted again.
+    """
+    reader = EnvelopeReader(GROUP, 0, 5)
+    writer = EnvelopeWriter(GROUP, 3, INCARNATION)
+    first, second = (writer.write(1, [encode(Ping(n, 0))]) for n in range(2))
+    assert reader.read(second) and reader.read(first)  # reordering is no fault
+    for raw, reason in (
         (first, "replayed"),
         (second, "replayed"),
-        (Writer(GROUP, 3, LIFE - 1).write(1, []), "life"),
-        (Writer(GROUP + 1, 3, LIFE).write(1, []), "group"),
-        (Writer(GROUP, 5, LIFE).write(1, []), "sender"),
-        (Writer(GROUP, 0, LIFE).write(1, []), "sender"),
+        (envelope(incarnation=INCARNATION - 1), "life"),
+        (envelope(group=GROUP + 1), "group"),
+        (envelope(sender=5), "sender"),
+        (envelope(sender=0), "sender"),
         (b"\x92\x02\x01", "version"),
         (b"\x97\x01", "malformed"),
     ):
         assert reader.read(raw) is None
-        assert reader.dropped[why], why
-    assert reader.read(Writer(GROUP, 3, LIFE + 1).write(1, [])) is not None  # it has started anew
+        assert reader.dropped[reason], reason
+    assert reader.read(envelope(incarnation=INCARNATION + 1)) is not None
+
 
+def test_an_incarnation_of_the_far_future_locks_out_nobody() -> None:
+    """A member starts with a broken clock, and starts again with the right one.
 
-def test_a_life_of_the_far_future_shuts_nobody_out() -> None:
-    reader = Reader(GROUP, 0, 5)
-    assert reader.read(Writer(GROUP, 3, LIFE + 10**9).write(1, []), LIFE) is None
-    assert reader.read(Writer(GROUP, 3, LIFE).write(1, []), LIFE) is not None
+    Its first incarnation is dropped; otherwise the right one would be dropped as outdated.
+    """
+    reader = EnvelopeReader(GROUP, 0, 5)
+    assert reader.read(envelope(incarnation=INCARNATION + 10**9), INCARNATION) is None
+    assert reader.read(envelope(), INCARNATION) is not None
 
 
-def test_a_part_of_a_later_version_is_skipped_and_the_rest_is_read() -> None:
-    raw = Writer(GROUP, 3, LIFE).write(1, [b"\x92\x63\x01", pack(Ping(1, 2))])  # tag 99
-    found = Reader(GROUP, 0, 5).read(raw)
-    assert found is not None and found[1] == [Ping(1, 2)]
+def test_a_message_of_a_later_version_is_skipped_and_the_rest_is_read() -> None:
+    """During a rolling upgrade a newer gateway sends a message type that this one does not know.
 
+    The unknown message is skipped, the others of its envelope are read.
+    """
+    raw = envelope(b"\x92\x63\x01", encode(Ping(1, 2)))  # tag 99
+    received = EnvelopeReader(GROUP, 0, 5).read(raw)
+    assert received is not None and received.messages == [Ping(1, 2)]
 
-def test_envelopes_keep_within_the_datagram_whatever_is_said_at_once() -> None:
-    sent: list[bytes] = []
 
-    class Out:
-        def send(self, member: int, data: bytes) -> None:
-            sent.append(data)
+class SendRecorder:
+    """A listener that records the datagrams sent and ignores everything else."""
+
+    def __init__(self) -> None:
+        self.sent: list[bytes] = []
+
+    def send(self, member: int, data: bytes) -> None:
+        self.sent.append(data)
+
+    def quota_changed(self, limit: str, quota: Quota) -> None: ...
+    def health_changed(self, node: str, kind: HealthKind) -> None: ...
+    def member_changed(self, member: int, before: MemberState, after: MemberState) -> None: ...
 
-        def share(self, limit: str, share: Quota) -> None: ...
-        def verdict(self, node: str, kind: Kind) -> None: ...
-        def member(self, member: int, before: State, after: State) -> None: ...
 
-    fleet = Fleet(0, ["a", "b", "c"], LIFE, Options(messages_a_second=1000.0), Out())
+def test_envelopes_never_exceed_the_datagram_limit() -> None:
+    """A gateway publishes many records with names of different lengths at once.
+
+    No envelope exceeds the platform's limit on a datagram.
+    """
+    recorder = SendRecorder()
+    fleet = Fleet(0, ["a", "b", "c"], INCARNATION, FleetOptions(messages_a_second=1000.0), recorder)
     for number in range(60):
-        fleet.membership.heard(1 + number % 2, LIFE, LIFE + number)
-        fleet.observe(f"s-{'x' * (number % 40)}{number}", Kind.SLOW, 1, number + 1, 5_000, LIFE + number)
-        fleet.tick(LIFE + number * 30)
-    assert len(sent) > 50
-    assert max(map(len, sent)) <= codec.MOST_BYTES
+        now_ms = INCARNATION + number
+        fleet.membership.record_contact(1 + number % 2, INCARNATION, now_ms)
+        node = f"s-{'x' * (number % 40)}{number}"
+        fleet.publish_health(node, HealthKind.SLOW, 1, number + 1, 5_000, now_ms)
+        fleet.tick(INCARNATION + number * 30)
+    assert len(recorder.sent) > 50
+    assert max(map(len, recorder.sent)) <= codec.MAX_DATAGRAM_BYTES
+
 
+# ---- clock, hashing, broadcast
 
-# ---- clock, hashing, gossip
 
+def test_timestamps_respect_causality_and_do_not_follow_a_clock_far_ahead() -> None:
+    """One member's clock is slightly ahead of another's, a third one's is broken and far ahead.
 
-def test_stamps_follow_causes_and_a_clock_far_ahead_is_not_followed() -> None:
+    An effect has a greater timestamp than its cause although its clock is behind; the broken clock is not
+    followed.
+    """
     one, other = HybridClock(), HybridClock()
-    said = one.now(1_000.0)
-    assert other.heard(said, 900.0)
-    assert other.now(900.0) > said  # an effect is after its cause, though its clock is behind
-    assert not other.heard(stamp_of(900.0 + 5_000.0), 900.0)
+    cause = one.now(1_000.0)
+    assert other.receive(cause, 900.0)
+    assert other.now(900.0) > cause
+    assert not other.receive(timestamp_of(900.0 + 5_000.0), 900.0)
     assert wall_ms_of(other.now(900.0)) < 1_100.0
 
 
-def test_a_member_that_goes_moves_only_what_it_looked_after() -> None:
+def test_the_departure_of_a_member_reassigns_only_its_keys() -> None:
+    """Member 2 of five leaves.
+
+    Only keys that were assigned to it are reassigned, and the assignment was balanced before.
+    """
     keys = [f"v:{n}" for n in range(400)]
-    before = {key: chosen(key, range(5)) for key in keys}
-    after = {key: chosen(key, [0, 1, 3, 4]) for key in keys}
+    before = {key: highest_ranked(key, range(5)) for key in keys}
+    after = {key: highest_ranked(key, [0, 1, 3, 4]) for key in keys}
     assert {before[key] for key in keys if before[key] != after[key]} == {2}
     assert all(ranked(key, range(5))[0] == before[key] for key in keys)
     assert min(list(before.values()).count(n) for n in range(5)) > 40
 
 
-def test_each_piece_is_told_its_times_the_least_told_first() -> None:
+def test_each_update_is_transmitted_equally_often_and_replaced_by_a_newer_one() -> None:
+    """Two updates are queued, later two under the same key.
+
+    Each is transmitted up to the limit; of the two under one key only the newer one is.
+    """
     queue = BroadcastQueue(5)
     queue.add("a", b"a")
     queue.add("b", b"b")
-    told = [raw for _ in range(100) for raw in queue.take(1, 1)]
-    assert told.count(b"a") == told.count(b"b") == queue.times
+    transmitted = [payload for _ in range(100) for payload in queue.take(1, 1)]
+    assert transmitted.count(b"a") == transmitted.count(b"b") == queue.transmit_limit
     queue.add("c", b"old")
     queue.add("c", b"new")
     assert queue.take(100, 9) == [b"new"]
 
 
-# ---- verdicts
+# ---- health gossip
 
 
-def words() -> st.SearchStrategy[HealthRecord]:
+def health_records() -> st.SearchStrategy[HealthRecord]:
     return st.builds(
         HealthRecord,
         st.sampled_from(["s-1", "s-2"]),
@@ -145,438 +216,597 @@
         st.integers(0, 3),
         st.integers(0, 3),
         st.integers(1, 6),
-        st.just(LIFE + 60_000),
+        st.just(INCARNATION + 60_000),
         st.integers(0, 2),
     )
 
 
+def unreachable(observer: int, timestamp: int, lifetime_ms: int, value: int = 1) -> HealthRecord:
+    """A record about incarnation 5 of node s-1; the timestamp is relative to the start."""
+    return HealthRecord(
+        "s-1",
+        HealthKind.UNREACHABLE,
+        observer,
+        5,
+        timestamp_of(INCARNATION) + timestamp,
+        INCARNATION + lifetime_ms,
+        value,
+    )
+
+
+def ejection(observer: int, timestamp: int, lifetime_ms: int, value: int) -> HealthRecord:
+    """An operator's DISABLE (1) or ENABLE (0) of node s-1."""
+    return HealthRecord("s-1", HealthKind.EJECTED, observer, 0, timestamp, INCARNATION + lifetime_ms, value)
+
+
+@pytest.fixture
+def gossip() -> HealthGossip:
+    return HealthGossip(lambda record: None)
+
+
 @settings(max_examples=200, deadline=None)
-@given(st.lists(words(), max_size=14), st.randoms(use_true_random=False))
-def test_maps_that_heard_the_same_are_the_same_in_any_order(said: list[HealthRecord], draw: object) -> None:
+@given(st.lists(health_records(), max_size=14), st.randoms(use_true_random=False))
+def test_maps_that_merged_the_same_records_are_equal_in_any_order(
+    records: list[HealthRecord], draw: object
+) -> None:
+    """The network reorders and duplicates records on their way to three gateways.
+
+    All three maps are equal in the end, and so are their digests.
+    """
     assert isinstance(draw, random.Random)
     maps = []
     for _ in range(3):
-        order = said + draw.sample(said, len(said) // 2)  # and some of it twice
+        order = records + draw.sample(records, len(records) // 2)  # and some of them twice
         draw.shuffle(order)
-        held = HealthGossip(lambda word: None)
-        for word in order:
-            held.take(word, LIFE)
-        maps.append(held)
-    assert len({frozenset(held) for held in maps}) == 1
-    assert len({held.digest for held in maps}) == 1
-
-
-def test_a_verdict_ends_by_itself_and_by_a_newer_life_of_the_node() -> None:
-    moved: list[tuple[str, Kind]] = []
-    held = HealthGossip(lambda word: None, lambda node, kind: moved.append((node, kind)))
-    held.take(WORD, LIFE)
-    assert held.agreed("s-1", Kind.DEAD, 1, LIFE) is not None
-    assert held.agreed("s-1", Kind.DEAD, 1, WORD.until) is None  # to the millisecond, without a message
-    newer = HealthRecord("s-1", Kind.COLD, 1, 6, stamp_of(LIFE), LIFE + 60_000, 1)
-    held.take(newer, LIFE)
-    assert set(held) == {newer} and ("s-1", Kind.DEAD) in moved
-    assert not held.take(WORD, LIFE)  # what is said of the older life comes too late
-
-
-def test_work_is_taken_from_a_node_by_distinct_observers_alone() -> None:
-    held = HealthGossip(lambda word: None)
-    for stamp in range(3):  # one gateway, however often it says so
-        held.take(HealthRecord("s-1", Kind.DEAD, 2, 5, stamp_of(LIFE) + stamp, LIFE + 9_000, 1), LIFE)
-    assert held.agreed("s-1", Kind.DEAD, 2, LIFE) is None
-    held.take(HealthRecord("s-1", Kind.DEAD, 3, 5, stamp_of(LIFE), LIFE + 4_000, 1), LIFE)
-    agreed = held.agreed("s-1", Kind.DEAD, 2, LIFE)
-    assert agreed is not None and agreed.until_ms == LIFE + 4_000  # as long as there are two
-    held.take(HealthRecord("s-1", Kind.DEAD, 3, 5, stamp_of(LIFE) + 1, LIFE + 9_000, 0), LIFE)
-    assert held.agreed("s-1", Kind.DEAD, 2, LIFE) is None  # taken back
-
-
-def test_any_operators_enable_lifts_any_operators_disable() -> None:
-    held = HealthGossip(lambda word: None)
-    held.take(HealthRecord("s-1", Kind.BAN, 0, 0, 10, LIFE + 9_000, 1), LIFE)
-    held.take(HealthRecord("s-1", Kind.BAN, 1, 0, 11, LIFE + 9_000, 1), LIFE)
-    assert held.banned(LIFE) == {"s-1"}
-    held.take(HealthRecord("s-1", Kind.BAN, 2, 0, 12, LIFE + 9_000, 0), LIFE)
-    assert held.banned(LIFE) == frozenset()
-    assert not held.take(HealthRecord("s-1", Kind.BAN, 0, 0, 11, LIFE + 9_000, 1), LIFE)
-
-
-def test_a_withdrawal_outlives_what_it_withdraws() -> None:
-    held = HealthGossip(lambda word: None)
-    held.say(WORD, LIFE)
-    held.say(HealthRecord("s-1", Kind.DEAD, 2, 5, WORD.stamp + 1, LIFE + 10, 0), LIFE)
-    held.tick(LIFE + 1_000)
-    assert not held.take(WORD, LIFE + 1_000)  # which still goes round
-
-
-def test_a_ban_is_renewed_as_the_same_word() -> None:
-    held = HealthGossip(lambda word: None)
-    ban = HealthRecord("s-1", Kind.BAN, 0, 0, 10, LIFE + 1_000, 1)
-    held.take(ban, LIFE)
-    held.renew(Kind.BAN, LIFE + 5_000, LIFE + 9_000, LIFE)
-    assert held.banned(LIFE + 8_000) == {"s-1"}
-    held.take(HealthRecord("s-1", Kind.BAN, 1, 0, 11, LIFE + 2_000, 0), LIFE)
-    assert held.banned(LIFE) == frozenset()  # what was said later still stands
+        merged = HealthGossip(lambda record: None)
+        for record in order:
+            merged.merge(record, INCARNATION)
+        maps.append(merged)
+    assert len({frozenset(merged) for merged in maps}) == 1
+    assert len({merged.digest for merged in maps}) == 1
+
+
+def test_a_record_ends_by_expiry_and_by_a_newer_incarnation_of_the_node() -> None:
+    """A node is recorded as unreachable, then restarts.
+
+    The record ends at its expiry without a message.  The restart discards it at once, and a late copy of it
+    is not merged again.
+    """
+    changed: list[tuple[str, HealthKind]] = []
+    gossip = HealthGossip(lambda record: None, lambda node, kind: changed.append((node, kind)))
+    gossip.merge(RECORD, INCARNATION)
+    assert gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 1, INCARNATION) is not None
+    assert gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 1, RECORD.expires_ms) is None
+    newer = HealthRecord(
+        "s-1", HealthKind.WARMING_UP, 1, 6, timestamp_of(INCARNATION), INCARNATION + 60_000, 1
+    )
+    gossip.merge(newer, INCARNATION)
+    assert set(gossip) == {newer} and ("s-1", HealthKind.UNREACHABLE) in changed
+    assert not gossip.merge(RECORD, INCARNATION)
+
+
+def test_load_is_taken_off_a_node_only_by_a_quorum_of_distinct_observers(gossip: HealthGossip) -> None:
+    """One gateway repeats that a node is unreachable, a second one states it too and later withdraws it.
+
+    The statement counts only while both make it, however often one repeats it.
+    """
+    for timestamp in range(3):
+        gossip.merge(unreachable(2, timestamp, 9_000), INCARNATION)
+    assert gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 2, INCARNATION) is None
+    gossip.merge(unreachable(3, 0, 4_000), INCARNATION)
+    agreed = gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 2, INCARNATION)
+    assert agreed is not None and agreed.expires_ms == INCARNATION + 4_000  # as long as there are two
+    gossip.merge(unreachable(3, 1, 9_000, value=0), INCARNATION)
+    assert gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 2, INCARNATION) is None
+
+
+def test_any_operators_enable_lifts_any_operators_disable(gossip: HealthGossip) -> None:
+    """Operators at two gateways DISABLE a node, one at a third ENABLEs it.
+
+    The latest command wins, and a late copy of an earlier one changes nothing.
+    """
+    gossip.merge(ejection(0, 10, 9_000, 1), INCARNATION)
+    gossip.merge(ejection(1, 11, 9_000, 1), INCARNATION)
+    assert gossip.ejected_nodes(INCARNATION) == {"s-1"}
+    gossip.merge(ejection(2, 12, 9_000, 0), INCARNATION)
+    assert gossip.ejected_nodes(INCARNATION) == frozenset()
+    assert not gossip.merge(ejection(0, 11, 9_000, 1), INCARNATION)
+
+
+def test_a_withdrawal_outlives_what_it_withdraws(gossip: HealthGossip) -> None:
+    """A gateway withdraws a record shortly after it published it, with a shorter lifetime.
+
+    Copies of the record are still under way when that lifetime is over; they are not merged.
+    """
+    gossip.publish(RECORD, INCARNATION)
+    withdrawal = HealthRecord("s-1", HealthKind.UNREACHABLE, 2, 5, RECORD.timestamp + 1, INCARNATION + 10, 0)
+    gossip.publish(withdrawal, INCARNATION)
+    gossip.tick(INCARNATION + 1_000)
+    assert not gossip.merge(RECORD, INCARNATION + 1_000)
+
+
+def test_an_ejection_is_extended_without_a_new_timestamp(gossip: HealthGossip) -> None:
+    """A gateway extends an ejection before it expires; an operator ENABLEs the node later.
+
+    The extended ejection holds, and the later ENABLE still wins although it expires earlier.
+    """
+    gossip.merge(ejection(0, 10, 1_000, 1), INCARNATION)
+    gossip.extend(HealthKind.EJECTED, INCARNATION + 5_000, INCARNATION + 9_000, INCARNATION)
+    assert gossip.ejected_nodes(INCARNATION + 8_000) == {"s-1"}
+    gossip.merge(ejection(1, 11, 2_000, 0), INCARNATION)
+    assert gossip.ejected_nodes(INCARNATION) == frozenset()
 
 
 # ---- membership
 
 
-class Talk:
-    """Members that speak to each other at once; links can be cut one way."""
+class MemberNetwork:
+    """Members whose messages arrive at once; links can be cut in one direction."""
 
     def __init__(self, count: int) -> None:
-        self.now = float(LIFE)
-        self.mail: deque[Callable[[], None]] = deque()
+        self.now_ms = float(INCARNATION)
+        self.in_flight: deque[Callable[[], None]] = deque()
         self.cut: set[tuple[int, int]] = set()
         self.members = [self.make(number, count) for number in range(count)]
 
     def make(self, number: int, count: int) -> Membership:
-        def say(to: int, part: codec.Known) -> None:
+        def send(receiver: int, message: codec.AnyMessage) -> None:
             def arrive() -> None:
-                there = self.members[to]
-                there.heard(number, self.members[number].incarnation, self.now)
-                there.take(number, part, self.now)  # type: ignore[arg-type]
+                member = self.members[receiver]
+                member.record_contact(number, self.members[number].incarnation, self.now_ms)
+                member.receive(number, message, self.now_ms)  # type: ignore[arg-type]
 
-            if (number, to) not in self.cut:
-                self.mail.append(arrive)
+            if (number, receiver) not in self.cut:
+                self.in_flight.append(arrive)
 
-        def spread(part: codec.Rumor) -> None:
-            for to in range(count):
-                if to != number:
-                    say(to, part)
+        def broadcast(rumor: codec.Rumor) -> None:
+            for receiver in range(count):
+                if receiver != number:
+                    send(receiver, rumor)
 
-        return Membership(number, count, int(self.now), Timing(), number, say, spread)
+        return Membership(number, count, int(self.now_ms), MembershipTiming(), number, send, broadcast)
 
-    def run(self, ms: float) -> None:
-        for _ in range(int(ms / 25)):
-            self.now += 25
+    def run(self, duration_ms: float) -> None:
+        for _ in range(int(duration_ms / 25)):
+            self.now_ms += 25
             for member in list(self.members):
-                member.tick(self.now)
-            while self.mail:
-                self.mail.popleft()()
+                member.tick(self.now_ms)
+            while self.in_flight:
+                self.in_flight.popleft()()
 
     def views(self) -> list[tuple[int, ...]]:
         return [member.alive() for member in self.members]
 
 
-def test_one_that_cannot_be_heard_is_removed_and_comes_back_when_the_link_heals() -> None:
-    talk = Talk(4)
-    talk.run(5_000)
-    assert talk.views() == [(0, 1, 2, 3)] * 4
-    talk.cut = {(1, other) for other in (0, 2, 3)}
-    talk.run(6_000)
-    assert all(1 not in view for number, view in enumerate(talk.views()) if number != 1)
-    talk.cut = set()
-    talk.run(8_000)
-    assert talk.views() == [(0, 1, 2, 3)] * 4
-
-
-def test_a_link_that_is_cut_between_two_alone_removes_nobody() -> None:
-    talk = Talk(4)
-    talk.run(5_000)
-    talk.cut = {(0, 1), (1, 0)}
-    talk.run(8_000)
-    assert talk.views() == [(0, 1, 2, 3)] * 4  # others ask on their behalf
-
-
-def test_a_paused_member_removes_nobody_when_it_wakes() -> None:
-    talk = Talk(3)
-    talk.run(5_000)
-    paused = talk.members[0]
-    ticks, paused.tick = paused.tick, lambda now_ms: None  # type: ignore[method-assign]
-    talk.run(1_000)
-    paused.tick = ticks  # type: ignore[method-assign]
-    paused.tick(talk.now)
+def test_a_member_that_cannot_send_is_removed_and_rejoins_when_the_link_heals() -> None:
+    """All links from member 1 are cut, and heal later.
+
+    The others declare it dead, and all four see each other again after healing.
+    """
+    network = MemberNetwork(4)
+    network.run(5_000)
+    assert network.views() == [(0, 1, 2, 3)] * 4
+    network.cut = {(1, other) for other in (0, 2, 3)}
+    network.run(6_000)
+    assert all(1 not in view for number, view in enumerate(network.views()) if number != 1)
+    network.cut = set()
+    network.run(8_000)
+    assert network.views() == [(0, 1, 2, 3)] * 4
+
+
+def test_a_cut_between_two_members_only_removes_nobody() -> None:
+    """The link between members 0 and 1 is cut in both directions; both still reach the others.
+
+    Nobody is declared dead, since the others probe on their behalf.
+    """
+    network = MemberNetwork(4)
+    network.run(5_000)
+    network.cut = {(0, 1), (1, 0)}
+    network.run(8_000)
+    assert network.views() == [(0, 1, 2, 3)] * 4
+
+
+def test_a_paused_member_removes_nobody_when_it_resumes() -> None:
+    """A member's process is paused for a second, with acks unread, and resumes.
+
+    It declares nobody dead for acks that it could not read in time.
+    """
+    network = MemberNetwork(3)
+    network.run(5_000)
+    paused = network.members[0]
+    tick, paused.tick = paused.tick, lambda now_ms: None  # type: ignore[method-assign]
+    network.run(1_000)
+    paused.tick = tick  # type: ignore[method-assign]
+    paused.tick(network.now_ms)
     assert paused.alive() == (0, 1, 2)
 
 
-def test_a_restart_is_a_new_life_and_the_older_process_learns_of_it() -> None:
-    talk = Talk(3)
-    talk.run(5_000)
-    old = talk.members[1]
-    talk.members[1] = talk.make(1, 3)
-    talk.run(3_000)
-    assert talk.members[0].incarnation_of(1) == talk.members[1].incarnation > old.incarnation
-    old.take(0, codec.Rumor(1, State.ALIVE, talk.members[1].incarnation, 0), talk.now)
+def test_a_restart_is_a_new_incarnation_and_the_older_process_learns_of_it() -> None:
+    """A member restarts while its old process is still running.
+
+    The others know the new incarnation, and the old process learns that it is superseded.
+    """
+    network = MemberNetwork(3)
+    network.run(5_000)
+    old = network.members[1]
+    network.members[1] = network.make(1, 3)
+    network.run(3_000)
+    assert network.members[0].incarnation_of(1) == network.members[1].incarnation > old.incarnation
+    old.receive(0, codec.Rumor(1, MemberState.ALIVE, network.members[1].incarnation, 0), network.now_ms)
     assert old.superseded
 
 
-# ---- shares and leases
+# ---- quotas
+
 
+def test_a_quota_step_ends_at_its_expiry_even_after_a_pause() -> None:
+    """A process is paused beyond the expiry of its leases.
+
+    The quota in force afterwards is the base, and the bucket holds no more than the base's burst.
+    """
+    quota = Quota(
+        Allowance(1.0, 2.0),
+        (
+            ExpiringAllowance(100.0, Allowance(50.0, 20.0)),
+            ExpiringAllowance(200.0, Allowance(9.0, 5.0)),
+        ),
+    )
+    assert [quota.at(t).rate for t in (99.9, 100.0, 200.0)] == [50.0, 9.0, 1.0]
+    bucket = QuotaBucket(0.0, 0.0)
+    assert bucket.fill_by_quota(100_000.0, quota) <= 2.0
 
-def test_a_share_is_over_at_its_end_whoever_asks_late() -> None:
-    share = Quota(Amount(1.0, 2.0), ((100.0, Amount(50.0, 20.0)), (200.0, Amount(9.0, 5.0))))
-    assert [share.at(t).rate for t in (99.9, 100.0, 200.0)] == [50.0, 9.0, 1.0]
-    store = QuotaBucket(0.0, 0.0)
-    assert store.by_share(100_000.0, share) <= 2.0  # after a long pause no more than the rest's burst
 
+def test_a_bucket_under_changing_quotas_spends_no_more_than_they_filled() -> None:
+    """Short leases come and go while a gateway spends all that it may.
 
-def test_a_store_under_shares_that_come_and_go_spends_no_more_than_they_filled() -> None:
-    store, now = QuotaBucket(0.0, 0.0), 0.0
+    It spends no more than the greatest rate and burst allow over the time.
+    """
+    bucket, now = QuotaBucket(0.0, 0.0), 0.0
     spent = 0.0
     for turn in range(50):
         now += 100.0
-        share = Quota(Amount(5.0, 4.0), ((now + 50.0, Amount(40.0, 10.0)),) if turn % 2 else ())
-        while store.spend(now, share, 1.0):
+        lease = ExpiringAllowance(now + 50.0, Allowance(40.0, 10.0))
+        quota = Quota(Allowance(5.0, 4.0), (lease,) if turn % 2 else ())
+        while bucket.spend(now, quota, 1.0):
             spent += 1.0
     assert spent <= 40.0 * now / 1000 + 10.0
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.integers(1, 50), st.integers(0, 9), st.integers(0, 9)), max_size=8))
-def test_steps_forget_nothing_that_still_holds(rows: list[tuple[int, int, int]]) -> None:
-    steps = Steps()
-    for until, rate, burst in rows:
-        steps.add(float(until), Amount(float(rate), float(burst)))
+def test_pruning_drops_nothing_that_is_still_in_force(rows: list[tuple[int, int, int]]) -> None:
+    allowances = ExpiringAllowances()
+    for expires, rate, burst in rows:
+        allowances.add(float(expires), Allowance(float(rate), float(burst)))
     for now in range(0, 51):
-        want = steps.at(float(now))
-        steps.forget(float(now))
-        assert steps.at(float(now)) == want
+        before = allowances.at(float(now))
+        allowances.prune(float(now))
+        assert allowances.at(float(now)) == before
+
+
+# ---- leases
 
 
 def test_max_min_fairness() -> None:
-    wants = {1: 10.0, 2: 50.0, 3: 90.0}
-    assert [fair(100.0, wants, n) for n in (1, 2, 3)] == [10.0, 45.0, 45.0]
-    assert fair(500.0, wants, 3) == 90.0
-    assert fair(100.0, wants, 9) == 0.0
+    demands = {1: 10.0, 2: 50.0, 3: 90.0}
+    assert [max_min_share(100.0, demands, n) for n in (1, 2, 3)] == [10.0, 45.0, 45.0]
+    assert max_min_share(500.0, demands, 3) == 90.0
+    assert max_min_share(100.0, demands, 9) == 0.0
+
 
+LIMIT = Allowance(100.0, 40.0)
 
-class Desk:
-    """Leases of one member whose messages the test takes and gives."""
+
+class LeaseMember:
+    """The lease manager of one member, whose messages the test receives and sends."""
 
     def __init__(
         self,
         me: int = 0,
         members: int = 2,
         alive: tuple[int, ...] = (0, 1),
-        settle: float = 0.0,
+        settle_ms: float = 0.0,
     ) -> None:
-        self.said: list[tuple[int, codec.Known]] = []
-        self.shares: list[Quota] = []
-        self.there = alive
-        self.terms = Terms(2_000.0, 1_000.0, 0.01)
-        self.leases = Leases(
+        self.sent: list[tuple[int, codec.AnyMessage]] = []
+        self.quotas: list[Quota] = []
+        self.alive = alive
+        self.settle_ms = settle_ms
+        self.leases = LeaseManager(
             me,
-            LIFE,
             members,
-            self.terms,
+            LeaseTiming(2_000.0, 1_000.0, 0.01),
             0.0,
-            lambda to, part: self.said.append((to, part)),
-            lambda: self.there,
-            lambda limit, share: self.shares.append(share),
+            send=lambda receiver, message: self.sent.append((receiver, message)),
+            alive=lambda: self.alive,
+            on_quota_change=lambda limit, quota: self.quotas.append(quota),
         )
-        self.settle = settle
 
-    def ask(self, now: float, units: float = 1.0) -> None:
-        self.leases.asked("v:1", Amount(100.0, 40.0), units, 8.0, now, self.settle)
+    def request_units(self, now_ms: float, units: float = 1.0) -> None:
+        """A client's request is about to spend."""
+        self.leases.record_demand("v:1", LIMIT, units, 8.0, now_ms, self.settle_ms)
+
+    def request_pledge(self, granter: int, incarnation: int, now_ms: float) -> list[Pledge]:
+        """A granter requests a pledge; returns what the member pledges."""
+        before = len(self.sent)
+        request = PledgeRequest("v:1", 5, 100_000, 40_000, int(self.settle_ms))
+        self.leases.receive(granter, incarnation, request, now_ms)
+        return [message for _, message in self.sent[before:] if isinstance(message, Pledge)]
+
+    def request_lease(self, holder: int, nonce: int, now_ms: float) -> None:
+        """A holder requests most of the limit."""
+        request = LeaseRequest("v:1", nonce, 90_000, 36_000, 100_000, 40_000)
+        self.leases.receive(holder, 9, request, now_ms)
+
+    def pledge(self, owner: int, now_ms: float) -> None:
+        """An owner pledges 30 units a second and a burst of 12, as it was requested."""
+        nonce = self.pledge_request_to(owner).nonce
+        self.leases.receive(owner, 9, Pledge("v:1", nonce, 30_000, 12_000, 2_000), now_ms)
+
+    def pledge_request_to(self, owner: int) -> PledgeRequest:
+        """The first pledge request to an owner."""
+        return next(
+            message
+            for receiver, message in self.sent
+            if isinstance(message, PledgeRequest) and receiver == owner
+        )
 
-    def call(self, granter: int, incarnation: int, now: float) -> list[Pledge]:
-        before = len(self.said)
-        self.leases.take(granter, incarnation, Call("v:1", 5, 100_000, 40_000, int(self.settle)), now)
-        return [part for _, part in self.said[before:] if isinstance(part, Pledge)]
+    @property
+    def grants(self) -> list[LeaseGrant]:
+        """All leases granted so far."""
+        return [message for _, message in self.sent if isinstance(message, LeaseGrant)]
 
     @property
-    def rate(self) -> float:
-        return self.shares[-1].at(1e12).rate
+    def base(self) -> Allowance:
+        """The quota published last, without leases."""
+        return self.quotas[-1].at(FAR_FUTURE_MS)
 
 
 def granter_of(members: tuple[int, ...]) -> int:
-    found = chosen("v:1", members)
-    assert found is not None
-    return found
+    granter = highest_ranked("v:1", members)
+    assert granter is not None
+    return granter
 
 
-def test_a_restarted_member_rests_for_a_term_before_it_spends_its_own_part() -> None:
-    desk = Desk()
-    desk.ask(100.0)
-    assert desk.rate == 0.0  # what it had pledged in the life before may still be lent out
-    desk.leases.tick(2_019.0)
-    assert desk.rate == 0.0
-    desk.leases.tick(2_021.0)
-    assert desk.rate == 50.0
+def test_a_restarted_member_waits_for_a_term_before_it_spends_its_own_part() -> None:
+    """A member restarts and does not know what it had pledged before, which may still be lent out.
 
+    Its own part is unavailable until a pledge of its previous incarnation has certainly expired.
+    """
+    member = LeaseMember()
+    member.request_units(100.0)
+    assert member.base.rate == 0.0
+    member.leases.tick(2_019.0)
+    assert member.base.rate == 0.0
+    member.leases.tick(2_021.0)
+    assert member.base.rate == 50.0
 
-def test_what_is_pledged_is_not_spent_until_the_pledge_is_over_with_the_drift() -> None:
-    granter = granter_of((0, 1))
-    desk = Desk(me=1 - granter)
-    (pledge,) = desk.call(granter, 9, 10_000.0)
-    assert desk.rate == pytest.approx(50.0 - pledge.rate / 1000)
-    assert desk.shares and pledge.rate > 0  # and it was obeyed before it was said
-    desk.leases.tick(12_019.0)
-    assert desk.rate < 2.0
-    desk.leases.tick(12_021.0)
-    assert desk.rate == 50.0
 
+def test_what_is_pledged_is_not_spent_until_the_pledge_has_expired_with_drift() -> None:
+    """An idle owner pledges to the granter, whose clock may run slower by the drift.
 
-def test_a_successor_is_pledged_nothing_until_the_pledge_before_is_over() -> None:
+    The pledge is deducted before it is sent, and returns when it has expired by any clock.
+    """
+    granter = granter_of((0, 1))
+    member = LeaseMember(me=1 - granter)
+    (pledge,) = member.request_pledge(granter, 9, 10_000.0)
+    assert member.base.rate == pytest.approx(50.0 - pledge.rate / 1000)
+    assert member.quotas and pledge.rate > 0
+    member.leases.tick(12_019.0)
+    assert member.base.rate < 2.0
+    member.leases.tick(12_021.0)
+    assert member.base.rate == 50.0
+
+
+def test_a_successor_receives_no_pledge_until_the_previous_one_has_expired() -> None:
+    """The granter fails after an owner has pledged to it, and a successor requests a pledge.
+
+    The failed granter may have leased the pledge out, so the owner pledges to the successor only after it
+    has expired.
+    """
     granter = granter_of((0, 1, 2))
     others = tuple(n for n in (0, 1, 2) if n != granter)
     successor = granter_of(others)
     me = next(n for n in others if n != successor)
-    desk = Desk(me=me, members=3, alive=(0, 1, 2))
-    assert desk.call(granter, 9, 10_000.0)
-    desk.there = tuple(sorted(others))
-    assert not desk.call(successor, 9, 10_500.0)
-    assert not desk.call(successor, 9, 12_019.0)
-    assert desk.call(successor, 9, 12_021.0)
+    member = LeaseMember(me=me, members=3, alive=(0, 1, 2))
+    assert member.request_pledge(granter, 9, 10_000.0)
+    member.alive = tuple(sorted(others))
+    assert not member.request_pledge(successor, 9, 10_500.0)
+    assert not member.request_pledge(successor, 9, 12_019.0)
+    assert member.request_pledge(successor, 9, 12_021.0)
+
 
+def test_a_restarted_granter_waits_as_a_successor_does() -> None:
+    """The granter restarts and has lost the record of its leases.
 
-def test_another_life_of_the_granter_waits_as_a_successor_does() -> None:
+    An owner pledges to its new incarnation only after the pledge to the old one has expired.
+    """
     granter = granter_of((0, 1))
-    desk = Desk(me=1 - granter)
-    assert desk.call(granter, 9, 10_000.0)
-    assert not desk.call(granter, 10, 10_100.0)
-    assert desk.call(granter, 10, 12_021.0)
+    member = LeaseMember(me=1 - granter)
+    assert member.request_pledge(granter, 9, 10_000.0)
+    assert not member.request_pledge(granter, 10, 10_100.0)
+    assert member.request_pledge(granter, 10, 12_021.0)
+
 
+def test_a_windowed_budget_stays_idle_for_its_window_after_a_pledge() -> None:
+    """An owner pledges part of a budget that counts what is spent in a window of three seconds.
 
-def test_a_budget_that_counts_a_span_rests_for_it_after_a_pledge() -> None:
+    It keeps what it spent in the window, and the pledge returns only a window after its expiry, since the
+    holder may have spent it at the last moment.
+    """
     granter = granter_of((0, 1))
-    desk = Desk(me=1 - granter, settle=3_000.0)
-    desk.ask(10_000.0, 2.0)
-    (pledge,) = desk.call(granter, 9, 10_100.0)
-    assert 0 < pledge.burst <= 9_500  # of 20 it has spent 2 in this span, and may want more
-    desk.leases.tick(10_100.0 + 2_021.0 + 2_990.0)
-    assert desk.shares[-1].at(1e12).burst < 20.0
-    desk.leases.tick(10_100.0 + 2_021.0 + 3_010.0)
-    assert desk.shares[-1].at(1e12).burst == 20.0
+    member = LeaseMember(me=1 - granter, settle_ms=3_000.0)
+    member.request_units(10_000.0, 2.0)
+    (pledge,) = member.request_pledge(granter, 9, 10_100.0)
+    assert 0 < pledge.burst <= 9_500  # of 20 it has spent 2 in this window, and may need more
+    member.leases.tick(10_100.0 + 2_021.0 + 2_990.0)
+    assert member.base.burst < 20.0
+    member.leases.tick(10_100.0 + 2_021.0 + 3_010.0)
+    assert member.base.burst == 20.0
 
 
-def test_a_lease_runs_from_the_asking_and_one_that_comes_too_late_is_nothing() -> None:
+def test_a_lease_counts_from_its_request_and_a_late_or_unrequested_one_is_ignored() -> None:
+    """The network delays a grant, delivers a duplicate after its expiry, and a third was never requested.
+
+    The lease ends one lease duration after its request; the other two change nothing.
+    """
     granter = granter_of((0, 1))
-    desk = Desk(me=1 - granter)
+    member = LeaseMember(me=1 - granter)
     for n in range(40):
-        desk.ask(10_000.0 + n, 8.0)
-    want = next(part for _, part in desk.said if isinstance(part, Want))
-    grant = Grant("v:1", want.nonce, 50_000, 20_000, 1_000)
-    desk.leases.take(granter, 9, grant, 10_900.0)
-    until_ms, amount = desk.shares[-1].steps[0]
-    assert amount.rate == 100.0 and until_ms <= 10_000.0 + 40.0 + 990.0
-    before = len(desk.shares)
-    desk.leases.take(granter, 9, grant, 11_100.0)  # doubled, and long out of date
-    assert len(desk.shares) == before
-    desk.leases.take(granter, 9, Grant("v:1", 999, 50_000, 20_000, 1_000), 10_950.0)  # nobody asked
-    assert len(desk.shares) == before
+        member.request_units(10_000.0 + n, 8.0)
+    request = next(message for _, message in member.sent if isinstance(message, LeaseRequest))
+    grant = LeaseGrant("v:1", request.nonce, 50_000, 20_000, 1_000)
+    member.leases.receive(granter, 9, grant, 10_900.0)
+    expires_ms, allowance = member.quotas[-1].steps[0]
+    assert allowance.rate == 100.0 and expires_ms <= 10_000.0 + 40.0 + 990.0
+    before = len(member.quotas)
+    member.leases.receive(granter, 9, grant, 11_100.0)
+    assert len(member.quotas) == before
+    member.leases.receive(granter, 9, LeaseGrant("v:1", 999, 50_000, 20_000, 1_000), 10_950.0)
+    assert len(member.quotas) == before
 
 
 def test_a_granter_leases_no_more_than_is_pledged_to_the_end_of_the_lease() -> None:
+    """A holder requests most of a limit: before anything is pledged, after a pledge, and near its expiry.
+
+    It gets nothing, then what was pledged, then nothing, since the lease would outlast the pledge.
+    """
     me = granter_of((0, 1, 2))
     owner, holder = (n for n in (0, 1, 2) if n != me)
-    desk = Desk(me=me, members=3, alive=(0, 1, 2))
-    desk.leases.take(holder, 9, Want("v:1", 1, 90_000, 36_000, 100_000, 40_000), 10_000.0)
-    assert not [part for _, part in desk.said if isinstance(part, Grant)]  # nothing is pledged yet
-    call = next(part for to, part in desk.said if isinstance(part, Call) and to == owner)
-    desk.leases.take(owner, 9, Pledge("v:1", call.nonce, 30_000, 12_000, 2_000), 10_050.0)
-    desk.leases.take(holder, 9, Want("v:1", 2, 90_000, 36_000, 100_000, 40_000), 10_100.0)
-    (grant,) = (part for _, part in desk.said if isinstance(part, Grant))
+    member = LeaseMember(me=me, members=3, alive=(0, 1, 2))
+    member.request_lease(holder, 1, 10_000.0)
+    assert not member.grants
+    member.pledge(owner, 10_050.0)
+    member.request_lease(holder, 2, 10_100.0)
+    (grant,) = member.grants
     assert (grant.rate, grant.burst) == (30_000, 12_000)
-    # The pledge ends 1.98 s after its call: a lease that would last longer is not given on it.
-    desk.leases.take(holder, 9, Want("v:1", 3, 90_000, 36_000, 100_000, 40_000), 11_100.0)
-    assert len([part for _, part in desk.said if isinstance(part, Grant)]) == 1
-
-
-def test_cut_off_an_available_limit_leaves_the_even_part_and_a_strict_one_does_not() -> None:
-    for even, want in ((NOTHING, 50.0), (Amount(80.0, 30.0), 80.0)):
-        shares: list[Quota] = []
-        connected = [True]
-        leases = Leases(
-            0,
-            LIFE,
-            2,
-            Terms(),
-            0.0,
-            lambda to, part: None,
-            lambda: (0,),
-            lambda limit, share, shares=shares: shares.append(share),  # type: ignore[misc]
-            lambda connected=connected: connected[0],
-        )  # type: ignore[misc]
-        leases.asked("v:1", Amount(100.0, 40.0), 1.0, 8.0, 5_000.0, even=even)
-        assert shares[-1].at(1e12).rate == 50.0
-        connected[0] = False
-        leases.tick(5_100.0)
-        assert shares[-1].at(1e12).rate == want
+    member.request_lease(holder, 3, 11_100.0)  # the pledge expires 1.98 s after its request
+    assert len(member.grants) == 1
+
+
+@pytest.mark.parametrize(
+    ("partitioned_allowance", "expected_rate"), [(NO_ALLOWANCE, 50.0), (Allowance(80.0, 30.0), 80.0)]
+)
+def test_a_partitioned_member_gets_the_even_part_of_available_limits_only(
+    partitioned_allowance: Allowance, expected_rate: float
+) -> None:
+    """A member is partitioned from most of the fleet.
+
+    Of a strict limit it keeps its own part, of an available one it gets the even part.
+    """
+    quotas: list[Quota] = []
+    connected = [True]
+    leases = LeaseManager(
+        0,
+        2,
+        LeaseTiming(),
+        0.0,
+        send=lambda receiver, message: None,
+        alive=lambda: (0,),
+        on_quota_change=lambda limit, quota: quotas.append(quota),
+        is_connected=lambda: connected[0],
+    )
+    leases.record_demand("v:1", LIMIT, 1.0, 8.0, 5_000.0, partitioned_allowance=partitioned_allowance)
+    assert quotas[-1].at(FAR_FUTURE_MS).rate == 50.0
+    connected[0] = False
+    leases.tick(5_100.0)
+    assert quotas[-1].at(FAR_FUTURE_MS).rate == expected_rate
 
 
 def test_a_stopped_member_spends_nothing() -> None:
-    desk = Desk()
-    desk.ask(5_000.0)
-    assert desk.rate == 50.0
-    desk.leases.stop(5_010.0)
-    assert desk.rate == 0.0
+    """A gateway shuts down: its quota is zero at once."""
+    member = LeaseMember()
+    member.request_units(5_000.0)
+    assert member.base.rate == 50.0
+    member.leases.stop(5_010.0)
+    assert member.base.rate == 0.0
 
 
-def test_options_name_what_is_wrong() -> None:
+def test_errors_name_the_option_that_is_wrong() -> None:
+    """An operator configures options that are out of range or contradict each other.
+
+    Each error names the option.
+    """
     for make, name in (
-        (lambda: Terms(term_ms=1_000.0, lease_ms=900.0), "term_ms"),
-        (lambda: Terms(drift=0.5), "drift"),
-        (lambda: Timing(ack_ms=300.0), "ack_ms"),
-        (lambda: Timing(suspect_ms=10.0), "suspect_ms"),
-        (lambda: Options(messages_a_second=0), "messages_a_second"),
-        (lambda: Options(most_bytes=5), "most_bytes"),
+        (lambda: LeaseTiming(term_ms=1_000.0, lease_ms=900.0), "term_ms"),
+        (lambda: LeaseTiming(drift=0.5), "drift"),
+        (lambda: MembershipTiming(ack_ms=300.0), "ack_ms"),
+        (lambda: MembershipTiming(suspect_ms=10.0), "suspect_ms"),
+        (lambda: FleetOptions(messages_a_second=0), "messages_a_second"),
+        (lambda: FleetOptions(max_datagram_bytes=5), "max_datagram_bytes"),
     ):
         with pytest.raises(ValueError, match=name):
             make()
     with pytest.raises(ValueError, match="me"):
-        Fleet(3, ["a", "b"], LIFE, Options(), None)  # type: ignore[arg-type]
-    assert group_of("x", ["a", "b"]) != group_of("x", ["a", "c"])
-    assert key_of(WORD) == ("s-1", 2, 2)
+        Fleet(3, ["a", "b"], INCARNATION, FleetOptions(), None)  # type: ignore[arg-type]
+    assert group_hash("x", ["a", "b"]) != group_hash("x", ["a", "c"])
+    assert key_of(RECORD) == ("s-1", 2, 2)
 
 
-# ---- granters' tables that are copied
+# ---- replicated lease tables
 
 
-class Register:
-    """A table at further gateways, written when the test says so."""
+class TableRecorder:
+    """A lease table whose writes complete when the test says so."""
 
     def __init__(self) -> None:
-        self.asked: list[tuple[str, Amount | None]] = []
+        self.calls: list[tuple[str, Allowance | None]] = []
 
     def take_over(self, limit: str) -> None:
-        self.asked.append((limit, None))
+        self.calls.append((limit, None))
+
+    def write(self, limit: str, leased: Allowance) -> None:
+        self.calls.append((limit, leased))
 
-    def write(self, limit: str, leased: Amount) -> None:
-        self.asked.append((limit, leased))
 
+def test_a_grant_is_sent_only_after_the_table_that_contains_it_is_written() -> None:
+    """A granter takes over from a predecessor that had leased part of the limit, and grants a lease.
 
-def test_a_grant_is_said_only_when_the_table_that_holds_it_is_kept() -> None:
+    It requests no pledge before it has acquired the table, deducts its predecessor's leases, and sends the
+    grant only after the table with both is written.  When another granter takes over meanwhile, the next
+    grant is never sent.
+    """
     me = granter_of((0, 1, 2))
     owner, holder = (n for n in (0, 1, 2) if n != me)
-    desk, register = Desk(me=me, members=3, alive=(0, 1, 2)), Register()
-    desk.leases.table = register
-    want = Want("v:1", 1, 90_000, 36_000, 100_000, 40_000)
-    desk.leases.take(holder, 9, want, 10_000.0)
-    assert register.asked == [("v:1", None)] and not desk.said  # nobody is called before the table stands
-    desk.leases.stands("v:1", (owner, 7), Amount(10.0, 4.0), 10_000.0, 10_020.0)
-    call = next(part for to, part in desk.said if isinstance(part, Call) and to == owner)
-    assert (call.was, call.previous_granter_incarnation) == (owner, 7)
-    desk.leases.take(owner, 9, Pledge("v:1", call.nonce, 30_000, 12_000, 2_000), 10_050.0)
-    desk.leases.take(holder, 9, want, 10_100.0)
-    assert not [part for _, part in desk.said if isinstance(part, Grant)]
-    # What the one before had leased is taken off, and stands in the table beside what is leased now.
-    assert register.asked[-1] == ("v:1", Amount(30.0, 12.0))
-    desk.leases.kept("v:1", True, 10_120.0)
-    (grant,) = (part for _, part in desk.said if isinstance(part, Grant))
+    member, table = LeaseMember(me=me, members=3, alive=(0, 1, 2)), TableRecorder()
+    member.leases.use_table(table)
+    member.request_lease(holder, 1, 10_000.0)
+    assert table.calls == [("v:1", None)] and not member.sent
+    member.leases.on_table_acquired("v:1", GranterId(owner, 7), Allowance(10.0, 4.0), 10_000.0, 10_020.0)
+    request = member.pledge_request_to(owner)
+    assert (request.previous_granter, request.previous_granter_incarnation) == (owner, 7)
+    member.pledge(owner, 10_050.0)
+    member.request_lease(holder, 1, 10_100.0)
+    assert not member.grants
+    assert table.calls[-1] == ("v:1", Allowance(30.0, 12.0))
+    member.leases.on_table_written("v:1", True, 10_120.0)
+    (grant,) = member.grants
     assert (grant.rate, grant.burst) == (20_000, 8_000)
-    desk.leases.take(holder, 9, want, 10_150.0)
-    desk.leases.kept("v:1", False, 10_170.0)  # another has taken over: this grant is never said
-    assert len([part for _, part in desk.said if isinstance(part, Grant)]) == 1
+    member.request_lease(holder, 1, 10_150.0)
+    member.leases.on_table_written("v:1", False, 10_170.0)
+    assert len(member.grants) == 1
+
 
+def test_an_owner_pledges_at_once_to_a_successor_that_has_fenced_the_previous_granter() -> None:
+    """An owner has pledged to a granter, and a successor requests a pledge without waiting for the expiry.
 
-def test_an_owner_pledges_at_once_to_a_successor_that_has_fenced_the_granter_before() -> None:
+    The owner pledges only where the successor has fenced exactly that granter in that incarnation.
+    """
     granter = granter_of((0, 1, 2))
     others = tuple(n for n in (0, 1, 2) if n != granter)
     successor = granter_of(others)
     me = next(n for n in others if n != successor)
-    desk = Desk(me=me, members=3, alive=(0, 1, 2))
-    assert desk.call(granter, 9, 10_000.0)
-    desk.there = tuple(sorted(others))
-    for was, previous_granter_incarnation, pledges in ((granter, 8, 0), (successor, 9, 0), (granter, 9, 1)):
-        before = len(desk.said)
-        call = Call("v:1", 5, 100_000, 40_000, 0, was, previous_granter_incarnation)
-        desk.leases.take(successor, 4, call, 10_500.0)
-        assert len(desk.said) - before == pledges
+    member = LeaseMember(me=me, members=3, alive=(0, 1, 2))
+    assert member.request_pledge(granter, 9, 10_000.0)
+    member.alive = tuple(sorted(others))
+    for previous, incarnation, pledges in ((granter, 8, 0), (successor, 9, 0), (granter, 9, 1)):
+        before = len(member.sent)
+        request = PledgeRequest("v:1", 5, 100_000, 40_000, 0, previous, incarnation)
+        member.leases.receive(successor, 4, request, 10_500.0)
+        assert len(member.sent) - before == pledges
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_schedules_with_copied_tables_pass_no_strict_limit(seed: int) -> None:
+def test_schedules_with_replicated_tables_exceed_no_strict_limit(seed: int) -> None:
+    """Fleets with replicated lease tables go through random faults: no limit is exceeded."""
     seen = play(seed, world=World(5, seed, tables=True))
     assert not [each for each in seen.broken if "limit" in each and "use" not in each], seen.broken
--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import random
 import unittest
 from collections.abc import Callable
 from pathlib import Path
@@ -15,10 +16,11 @@
 from shaletiller.core.engine import Engine
 from shaletiller.core.route import Endpoint
 from shaletiller.fleet.coordinator import FleetCoordinator
-from shaletiller.fleet.core import Options
-from shaletiller.fleet.quotas import Amount, Quota
+from shaletiller.fleet.core import FleetOptions
+from shaletiller.fleet.health_gossip import Departure
+from shaletiller.fleet.quotas import Allowance, ExpiringAllowance, Quota
 from shaletiller.messages.actions import Action
-from shaletiller.messages.endpoints import UpdateKind
+from shaletiller.messages.endpoints import EndpointEntry, UpdateKind
 from shaletiller.messages.events import (
     AttemptEnded,
     EndpointListUpdate,
@@ -28,228 +30,294 @@
     Request,
 )
 from shaletiller.messages.outcomes import Outcome
-from shaletiller.net.links import LENGTH, MOST_WAITING, Link, Links
+from shaletiller.net.links import FRAME_HEADER, MAX_QUEUED_MESSAGES, Link, Links
 from shaletiller.operator_file import OperatorFileError, read
-from shaletiller.settings.model import PlanSpec, Settings
+from shaletiller.settings.model import PlanSpec
 from tests.core.test_engine import CALL, ScriptedUpstream
 from tests.support.scheduler_host import Host, entry, settings
 
 CAPPED = PlanSpec("basic", base_rate=4, reserve=2, limit_rate=10, limit_burst=16)
 
 
-# ---- the module
+# ---- the scheduler
 
 
-def test_a_limit_is_spent_by_the_share_in_hand_and_not_by_the_even_part() -> None:
+def test_a_limit_is_spent_by_the_quota_and_not_by_the_even_part() -> None:
+    """The fleet grants a gateway nothing of a limit, of which it would have all without a fleet.
+
+    A request is rejected; with a lease the next one is sent.
+    """
     host = Host(plans=(CAPPED,))
-    host.give(QuotaUpdated("v1", Quota(Amount(0.0, 0.0))))
+    host.give(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0))))
     host.run_to(10_000)
     host.ask("none", units=2, volume_gateways=1)
-    assert host.finals("none") and not host.sent()  # its even part would have been all of it
-    host.give(QuotaUpdated("v1", Quota(Amount(0.0, 0.0), ((20_000.0, Amount(10.0, 16.0)),))))
+    assert host.finals("none") and not host.sent()
+    lease = ExpiringAllowance(20_000.0, Allowance(10.0, 16.0))
+    host.give(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0), (lease,))))
     host.run_to(11_000)
     host.ask("some", units=8, volume_gateways=1)
     assert host.sent() == ["some"]
 
 
-def test_a_process_that_wakes_after_its_lease_spends_nothing_of_it() -> None:
+def test_a_process_that_resumes_after_its_lease_expired_spends_nothing_of_it() -> None:
+    """A process is paused beyond the expiry of its lease, and no tick has published a new quota yet.
+
+    A request after the pause is rejected.
+    """
     host = Host(plans=(CAPPED,))
-    host.give(QuotaUpdated("v1", Quota(Amount(0.0, 0.0), ((2_000.0, Amount(10.0, 16.0)),))))
+    lease = ExpiringAllowance(2_000.0, Allowance(10.0, 16.0))
+    host.give(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0), (lease,))))
     host.run_to(1_900)
-    host.now = 30_000.0  # it stood still: no tick has told it anything
+    host.now = 30_000.0
     host.ask("late", units=1, volume_gateways=1)
     assert host.finals("late") and not host.sent()
 
 
-def test_a_cold_node_is_sent_the_share_in_hand() -> None:
-    cold = entry(started_ms=1.0)
-    host = Host(cold, hosts=100, position=50, warm_up_units=40.0)  # by turns it would wait for its own
+def test_a_warming_node_is_sent_as_much_as_the_quota_allows() -> None:
+    """A node is warming up, and the gateway would have to wait for its turn without a fleet.
+
+    With a quota of 20 units of the node's budget it sends requests of 16 units, although the node has
+    capacity for more.
+    """
+    warming = entry(started_ms=1.0)
+    host = Host(warming, hosts=100, position=50, warm_up_units=40.0)
     host.run_to(100)
     host.ask("r1", units=8)
     assert not host.sent()
-    host.scheduler._upstreams[0].capacity = 60.0  # it has room for more than its budget
-    host.give(QuotaUpdated("n1", Quota(Amount(0.0, 20.0))))
+    host.scheduler._upstreams[0].capacity = 60.0
+    host.give(QuotaUpdated("n1", Quota(Allowance(0.0, 20.0))))
     for n in range(2, 7):
         host.ask(f"r{n}", units=8)
     host.run_to(200)
-    assert len(host.sent()) == 2  # 16 of 20 units
+    assert len(host.sent()) == 2
+
 
+def test_nothing_is_sent_to_a_node_that_others_report_down_until_it_answers() -> None:
+    """Other gateways report a node down, then it answers a request of this one.
 
-def test_nothing_is_sent_to_a_node_that_others_find_gone_until_it_speaks() -> None:
+    Nothing is sent until the answer, which outweighs the report.  A second report expires by itself.
+    """
     host = Host()
     host.ask("r1")
     host.give(EndpointReportedDown("n1", 5_000.0))
     host.ask("r2")
     assert host.sent() == ["r1"]
-    host.answer("r1")  # what comes from it here outweighs what others say
+    host.answer("r1")
     host.ask("r3")
     assert "r3" in host.sent()
     host.give(EndpointReportedDown("n1", 5_000.0))
     host.run_to(5_001)
     host.ask("r4")
-    assert "r4" in host.sent()  # a word of others ends by itself
+    assert "r4" in host.sent()
+
+
+# ---- the coordinator
+
+
+class RecordingGateway:
+    """A `GatewayPort` that records what the coordinator tells its gateway."""
 
+    def __init__(self, network: list[tuple[int, bytes]], number: int) -> None:
+        self.network, self.number = network, number
+        self.events: list[Event] = []
+        self.ejections: list[tuple[str, bool]] = []
+        self.restarts: list[tuple[str, float]] = []
+        self.departures: list[tuple[str, int, Departure]] = []
 
-# ---- the liaison
+    def send(self, member: int, data: bytes) -> None:
+        self.network.append((self.number, data))
 
+    def handle(self, event: Event) -> None:
+        self.events.append(event)
 
-class Liaised:
-    """A liaison whose way out the test keeps."""
+    def set_ejected(self, node: str, is_ejected: bool) -> None:
+        self.ejections.append((node, is_ejected))
+
+    def restart_node(self, node: str, started_ms: float) -> None:
+        self.restarts.append((node, started_ms))
+
+    def receive_departure(self, node: str, incarnation: int, departure: Departure) -> None:
+        self.departures.append((node, incarnation, departure))
+
+
+class ThreeGateways:
+    """Three coordinators whose datagrams the test delivers; the first one's gateway is looked at."""
 
     def __init__(self, **changes: Any) -> None:
-        self.decided: list[Event] = []
-        self.bans: list[tuple[str, bool]] = []
-        self.incarnations: list[tuple[str, float]] = []
-        self.sent: list[tuple[int, bytes]] = []
+        self.network: list[tuple[int, bytes]] = []
         known = settings(plans=(CAPPED,), slow_start_ms=9_000.0, warm_up_units=40.0, **changes)
-        self.liaison = self.make(0, known)
-        self.other = self.make(1, known)
-        self.third = self.make(2, known)
-
-    def make(self, me: int, known: Settings) -> FleetCoordinator:
-        mine = me == 0
-        return FleetCoordinator(
-            me,
-            ["a", "b", "c"],
-            1.0,
-            known,
-            Options(),
-            {},
-            lambda to, data: self.sent.append((me, data)),
-            self.decided.append if mine else lambda event: None,
-            lambda node, out: self.bans.append((node, out)) if mine else None,
-            lambda node, incarnation: self.incarnations.append((node, incarnation)) if mine else None,
-        )
-
-    def pass_on(self, now_ms: float) -> None:
-        """What was sent goes to all, until nothing more is."""
+        self.gateways = [RecordingGateway(self.network, number) for number in range(3)]
+        self.gateway = self.gateways[0]
+        self.coordinators = [
+            FleetCoordinator(number, ["a", "b", "c"], 1.0, known, FleetOptions(), {}, gateway)
+            for number, gateway in enumerate(self.gateways)
+        ]
+        self.first, self.second, self.third = self.coordinators
+
+    def meet(self, now_ms: float, *entries: EndpointEntry) -> None:
+        """All receive an endpoint list of these entries, if any, and find each other."""
+        for coordinator in self.coordinators:
+            if entries:
+                coordinator.events_before(EndpointListUpdate(UpdateKind.FULL, entries), now_ms)
+            coordinator.tick(now_ms + 25.0)
+        self.deliver(now_ms + 50.0)
+
+    def deliver(self, now_ms: float) -> None:
+        """Deliver each datagram to all others, until nothing more is sent."""
         for _ in range(20):
-            sent, self.sent = self.sent, []
-            for sender, data in sent:
-                for number, there in enumerate((self.liaison, self.other, self.third)):
+            in_flight = list(self.network)
+            self.network.clear()
+            for sender, data in in_flight:
+                for number, coordinator in enumerate(self.coordinators):
                     if number != sender:
-                        there.receive(data, now_ms)
-            for there in (self.liaison, self.other, self.third):
-                there.tick(now_ms)
+                        coordinator.receive(data, now_ms)
+            for coordinator in self.coordinators:
+                coordinator.tick(now_ms)
             now_ms += 25.0
 
+    def reports_down(self) -> list[EndpointReportedDown]:
+        """Return what the first gateway was notified of."""
+        return [event for event in self.gateway.events if isinstance(event, EndpointReportedDown)]
 
-def ask(volume: str = "v1", shard: int = 0) -> Request:
+
+@pytest.fixture
+def three() -> ThreeGateways:
+    return ThreeGateways()
+
+
+def request(volume: str = "v1", shard: int = 0) -> Request:
     return Request("r", shard, "x", "basic", "read", volume, 2.0, 900.0, 2)
 
 
-def lost(node: str, outcome: Outcome = Outcome.CONNECT_FAILED) -> AttemptEnded:
+def attempt(node: str, outcome: Outcome = Outcome.CONNECT_FAILED) -> AttemptEnded:
     return AttemptEnded("r", 0, node, outcome, 20.0, False)
 
 
-def test_the_module_has_its_share_before_the_first_request_of_a_volume() -> None:
-    liaised = Liaised()
-    first = liaised.liaison.precede(ask(), 50.0)
-    assert first == [QuotaUpdated("v1", Quota())]  # just started: its own part rests for a term
-    assert liaised.liaison.precede(ask(), 60.0) == []  # told once
+def quota_names(events: list[Event]) -> list[str]:
+    return [event.name for event in events if isinstance(event, QuotaUpdated)]
+
 
+def test_the_scheduler_has_its_quota_before_the_first_request_of_a_volume(three: ThreeGateways) -> None:
+    """A gateway that has just started receives the first requests of a volume.
 
-def test_a_request_for_a_cold_node_asks_for_its_budget_until_the_ramp_is_over() -> None:
-    liaised = Liaised()
-    liaised.liaison.precede(EndpointListUpdate(UpdateKind.FULL, (entry(started_ms=3_000.0),)), 5_000.0)
-    told = liaised.liaison.precede(ask(), 6_000.0)
-    assert [each.name for each in told if isinstance(each, QuotaUpdated)] == ["v1", "n1"]
-    later = Liaised()
-    later.liaison.precede(EndpointListUpdate(UpdateKind.FULL, (entry(started_ms=3_000.0),)), 13_000.0)
-    told = later.liaison.precede(ask(), 13_000.0)
-    assert [each.name for each in told if isinstance(each, QuotaUpdated)] == ["v1"]
+    Its quota, still zero, precedes the first request and is not repeated before the second.
+    """
+    assert three.first.events_before(request(), 50.0) == [QuotaUpdated("v1", Quota())]
+    assert three.first.events_before(request(), 60.0) == []
 
 
-def test_a_node_is_gone_for_the_module_once_two_have_found_it_so() -> None:
-    liaised = Liaised()
-    for each in (liaised.liaison, liaised.other, liaised.third):
-        each.precede(EndpointListUpdate(UpdateKind.FULL, (entry(),)), 0.0)
-        each.tick(25.0)
-    liaised.pass_on(50.0)
+def test_a_request_for_a_warming_node_needs_its_budget_until_slow_start_ends() -> None:
+    """A node has just started at one gateway, and started long ago at another.
+
+    A request for it needs the node's budget only while slow start lasts.
+    """
+    update = EndpointListUpdate(UpdateKind.FULL, (entry(started_ms=3_000.0),))
+    early = ThreeGateways()
+    early.first.events_before(update, 5_000.0)
+    assert quota_names(early.first.events_before(request(), 6_000.0)) == ["v1", "n1"]
+    late = ThreeGateways()
+    late.first.events_before(update, 13_000.0)
+    assert quota_names(late.first.events_before(request(), 13_000.0)) == ["v1"]
+
+
+def test_a_node_is_reported_down_once_two_gateways_find_it_unreachable(three: ThreeGateways) -> None:
+    """Attempts of the second gateway fail, then also those of the third, until one of them succeeds.
+
+    The first gateway is notified when both report the node, and again when one has withdrawn its report.
+    """
+    three.meet(0.0, entry())
     for n in range(3):
-        liaised.other.precede(lost("n1"), 600.0 + n)
-    liaised.pass_on(610.0)
-    assert not [
-        each for each in liaised.decided if isinstance(each, EndpointReportedDown) and each.gone_until_ms > 0
-    ]
+        three.second.events_before(attempt("n1"), 600.0 + n)
+    three.deliver(610.0)
+    assert not [report for report in three.reports_down() if report.gone_until_ms > 0]
     for n in range(3):
-        liaised.third.precede(lost("n1", Outcome.TIMEOUT), 1_200.0 + n)
-    liaised.pass_on(1_210.0)
-    seen = [each for each in liaised.decided if isinstance(each, EndpointReportedDown)]
-    assert seen[-1].node == "n1" and 3_000.0 < seen[-1].gone_until_ms < 5_000.0
-    liaised.third.precede(lost("n1", Outcome.OK), 1_900.0)  # it answers again, and one word is taken back
-    liaised.pass_on(1_910.0)
-    assert [each for each in liaised.decided if isinstance(each, EndpointReportedDown)][
-        -1
-    ].gone_until_ms == 0.0
-
-
-def test_a_ban_reaches_the_others_and_so_does_its_end() -> None:
-    liaised = Liaised()
-    for each in (liaised.liaison, liaised.other, liaised.third):
-        each.tick(25.0)
-    liaised.pass_on(50.0)
-    liaised.other.ban("n1", True, 700.0)
-    liaised.pass_on(710.0)
-    liaised.third.ban("n1", False, 1_400.0)
-    liaised.pass_on(1_410.0)
-    assert liaised.bans == [("n1", True), ("n1", False)]
-
-
-def test_a_newer_life_of_a_node_is_told_where_the_own_list_has_the_older() -> None:
-    liaised = Liaised()
-    for each in (liaised.liaison, liaised.other, liaised.third):
-        each.precede(EndpointListUpdate(UpdateKind.FULL, (entry(started_ms=100.0),)), 200.0)
-        each.tick(225.0)
-    liaised.pass_on(250.0)
-    liaised.other.precede(EndpointListUpdate(UpdateKind.CHANGES, (entry(started_ms=900.0),)), 1_000.0)
-    liaised.pass_on(1_010.0)
-    assert liaised.incarnations == [("n1", 900.0)]
+        three.third.events_before(attempt("n1", Outcome.TIMEOUT), 1_200.0 + n)
+    three.deliver(1_210.0)
+    report = three.reports_down()[-1]
+    assert report.node == "n1" and 3_000.0 < report.gone_until_ms < 5_000.0
+    three.third.events_before(attempt("n1", Outcome.OK), 1_900.0)
+    three.deliver(1_910.0)
+    assert three.reports_down()[-1].gone_until_ms == 0.0
+
+
+def test_a_manual_ejection_reaches_the_other_gateways_and_so_does_its_end(three: ThreeGateways) -> None:
+    """An operator DISABLEs a node at the second gateway, another one ENABLEs it at the third.
+
+    The first gateway follows both.
+    """
+    three.meet(0.0)
+    three.second.set_ejected("n1", True, 700.0)
+    three.deliver(710.0)
+    three.third.set_ejected("n1", False, 1_400.0)
+    three.deliver(1_410.0)
+    assert three.gateway.ejections == [("n1", True), ("n1", False)]
+
+
+def test_a_restart_of_a_node_is_notified_where_the_own_list_is_older(three: ThreeGateways) -> None:
+    """A node restarts, and only the second gateway's endpoint list shows it.
+
+    The first gateway is notified of the new incarnation.
+    """
+    three.meet(200.0, entry(started_ms=100.0))
+    update = EndpointListUpdate(UpdateKind.CHANGES, (entry(started_ms=900.0),))
+    three.second.events_before(update, 1_000.0)
+    three.deliver(1_010.0)
+    assert three.gateway.restarts == [("n1", 900.0)]
+
+
+# ---- the engine
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
     def make(self) -> tuple[Engine, list[Event]]:
+        """An engine with one node, and the events that its scheduler handles."""
         engine = Engine(settings(), 1, SettableClock(1_000.0))
         engine.nodes(UpdateKind.FULL, 1, (Endpoint(entry(), "a:1", ScriptedUpstream()),))
-        told: list[Event] = []
+        handled: list[Event] = []
         handle = engine._scheduler.handle
 
-        def noted(now_ms: float, event: Event) -> list[Action]:
-            told.append(event)
+        def record(now_ms: float, event: Event) -> list[Action]:
+            handled.append(event)
             return handle(now_ms, event)
 
-        engine._scheduler.handle = noted  # type: ignore[method-assign]
-        return engine, told
+        engine._scheduler.handle = record  # type: ignore[method-assign]
+        return engine, handled
 
-    async def test_what_precedes_an_event_reaches_the_module_first(self) -> None:
-        engine, told = self.make()
-        share = QuotaUpdated("v1", Quota())
-        engine.precede = lambda event, now_ms: [share] if isinstance(event, Request) else []
+    async def test_the_scheduler_handles_preceding_events_first(self) -> None:
+        """The fleet has a quota to publish when a request arrives: the quota is handled first."""
+        engine, handled = self.make()
+        quota = QuotaUpdated("v1", Quota())
+        engine.precede = lambda event, now_ms: [quota] if isinstance(event, Request) else []
         engine.call(CALL, lambda answer: None)
-        self.assertEqual([type(each) for each in told], [QuotaUpdated, Request])
+        self.assertEqual([type(each) for each in handled], [QuotaUpdated, Request])
 
-    async def test_a_fault_beside_the_decisions_ends_none_of_them(self) -> None:
-        engine, told = self.make()
+    async def test_a_failure_of_the_fleet_stops_no_request(self) -> None:
+        """The fleet's code raises when it examines a request: the request is handled nevertheless."""
+        engine, handled = self.make()
 
-        def broken(event: Event, now_ms: float) -> list[Event]:
+        def fail(event: Event, now_ms: float) -> list[Event]:
             raise RuntimeError
 
-        engine.precede = broken
+        engine.precede = fail
         engine.call(CALL, lambda answer: None)
-        self.assertEqual([type(each) for each in told], [Request])
+        self.assertEqual([type(each) for each in handled], [Request])
 
-    async def test_a_newer_life_changes_neither_address_nor_list(self) -> None:
-        engine, told = self.make()
+    async def test_a_restart_reported_by_others_changes_neither_address_nor_list(self) -> None:
+        """Other gateways report a restart of a listed node, of an unlisted one, and an outdated one.
+
+        The scheduler handles the first only, and the endpoint list keeps its nodes and addresses.
+        """
+        engine, handled = self.make()
         engine.renew("n1", 900.0)
-        engine.renew("n9", 900.0)  # the own list has not named it
-        engine.renew("n1", 500.0)  # older
-        lists = [each for each in told if isinstance(each, EndpointListUpdate)]
-        self.assertEqual([each.entries[0].started_ms for each in lists], [900.0])
+        engine.renew("n9", 900.0)
+        engine.renew("n1", 500.0)
+        updates = [each for each in handled if isinstance(each, EndpointListUpdate)]
+        self.assertEqual([each.entries[0].started_ms for each in updates], [900.0])
         self.assertEqual(engine.listed["n1"].address, "a:1")
         self.assertEqual(set(engine.listed), {"n1"})
 
 
-# ---- the operators' file
+# ---- the operator file
 
 GOOD = """
 fleet {
@@ -262,19 +330,19 @@
 """
 
 
-def test_the_operators_file(tmp_path: Path) -> None:
+def test_the_operator_file_configures_the_fleet(tmp_path: Path) -> None:
     path = tmp_path / "operator.kdl"
     path.write_text(GOOD)
     fleet = read(path).fleet
     assert fleet.on and [each.name for each in fleet.member] == ["g0", "g1"]
-    terms = fleet.options(2).terms
-    assert terms is not None and (terms.term_ms, fleet.limit[0].policy) == (4_000.0, "available")
+    timing = fleet.options(2).lease_timing
+    assert timing is not None and (timing.term_ms, fleet.limit[0].policy) == (4_000.0, "available")
     path.write_text("")
     assert not read(path).fleet.on
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("term-ms 4000", 'term-ms "x"', "line 7: fleet.term-ms: Expected"),
         ("term-ms 4000", "term-ms 100", "line 7: fleet.term-ms: wants at least two leases"),
@@ -289,20 +357,25 @@
         ("}", "", "line 2"),
     ],
 )
-def test_a_fault_in_the_file_is_named_with_its_line_and_key(
+def test_an_error_in_the_file_is_reported_with_its_line_and_key(
     old: str,
     new: str,
-    said: str,
+    message: str,
     tmp_path: Path,
 ) -> None:
+    """An operator makes a mistake in the file: the error names the file, the line and the key."""
     path = tmp_path / "operator.kdl"
     path.write_text(GOOD.replace(old, new, 1))
     with pytest.raises(OperatorFileError) as error:
         read(path)
-    assert "operator.kdl: " in str(error.value) and said in str(error.value)
+    assert "operator.kdl: " in str(error.value) and message in str(error.value)
+
 
+def test_the_start_reports_what_is_wrong_with_the_file(tmp_path: Path) -> None:
+    """A gateway starts that is no member, one that is, one whose operator file is missing, and one without.
 
-def test_the_start_says_what_is_wrong_with_the_file(tmp_path: Path) -> None:
+    The first and the third report the reason and do not start.
+    """
     config = tmp_path / "config.json"
     config.write_text(
         '{"name": "g9", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": {'
@@ -326,7 +399,7 @@
 
 class LinksTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.heard: dict[int, list[bytes]] = {0: [], 1: []}
+        self.received: dict[int, list[bytes]] = {0: [], 1: []}
         ports = []
         for _ in range(2):
             server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
@@ -337,47 +410,56 @@
         self.links = [self.make(number) for number in range(2)]
 
     def make(self, number: int) -> Links:
-        return Links(number, self.addresses, self.heard[number].append, number)
+        return Links(number, self.addresses, self.received[number].append, number)
 
-    async def until(self, true: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(10.0):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.01)
 
     async def asyncTearDown(self) -> None:
         for links in self.links:
             links.close()
 
-    async def test_messages_pass_whole_and_in_order(self) -> None:
+    async def test_messages_arrive_complete_and_in_order(self) -> None:
         for links in self.links:
             await links.start()
-        said = [bytes([number % 250]) * (1 + number * 7) for number in range(200)]
-        for data in said:
+        sent = [bytes([number % 250]) * (1 + number * 7) for number in range(200)]
+        for data in sent:
             self.links[0].send(1, data)
-        await self.until(lambda: len(self.heard[1]) == len(said))
-        self.assertEqual(self.heard[1], said)
+        await self.until(lambda: len(self.received[1]) == len(sent))
+        self.assertEqual(self.received[1], sent)
 
-    async def test_a_link_connects_again_and_the_newest_news_waits_for_it(self) -> None:
+    async def test_a_link_reconnects_and_delivers_the_newest_messages(self) -> None:
+        """The other gateway is down while more messages are sent than fit the queue, and restarts later.
+
+        The oldest messages are dropped and counted, the others arrive when it starts; after its restart the
+        link reconnects.
+        """
         await self.links[0].start()
-        for number in range(MOST_WAITING + 20):
+        for number in range(MAX_QUEUED_MESSAGES + 20):
             self.links[0].send(1, str(number).encode())
         self.assertEqual(self.links[0].dropped, 20)
         await self.links[1].start()
-        await self.until(lambda: len(self.heard[1]) == MOST_WAITING)
-        self.assertEqual(self.heard[1][0], b"20")
+        await self.until(lambda: len(self.received[1]) == MAX_QUEUED_MESSAGES)
+        self.assertEqual(self.received[1][0], b"20")
         self.links[1].close()
         self.links[1] = self.make(1)
         await self.links[1].start()
 
-        def said_again() -> bool:
+        def is_resent() -> bool:
             self.links[0].send(1, b"again")
-            return b"again" in self.heard[1]
+            return b"again" in self.received[1]
+
+        await self.until(is_resent)
 
-        await self.until(said_again)
+    async def test_an_invalid_frame_closes_its_connection_only(self) -> None:
+        """Connections send a frame that is too long, an empty one and a truncated one.
 
-    async def test_a_frame_that_cannot_be_ends_its_link_alone(self) -> None:
+        Each is closed, and a gateway's own link still delivers.
+        """
         await self.links[1].start()
-        for raw in (LENGTH.pack(1 << 30), LENGTH.pack(0), b"\x00"):
+        for raw in (FRAME_HEADER.pack(1 << 30), FRAME_HEADER.pack(0), b"\x00"):
             reader, writer = await asyncio.open_connection(*self.addresses[1])
             writer.write(raw)
             writer.write_eof()
@@ -385,11 +467,12 @@
             writer.close()
         await self.links[0].start()
         self.links[0].send(1, b"good")
-        await self.until(lambda: self.heard[1] == [b"good"])
+        await self.until(lambda: self.received[1] == [b"good"])
 
 
-def test_a_link_that_is_down_keeps_the_newest() -> None:
-    link = Link(("127.0.0.1", 1), __import__("random").Random(1))
-    for number in range(MOST_WAITING + 5):
+def test_a_link_that_is_down_keeps_the_newest_messages() -> None:
+    """A link is down while more messages are sent than fit its queue: the oldest are dropped and counted."""
+    link = Link(("127.0.0.1", 1), random.Random(1))
+    for number in range(MAX_QUEUED_MESSAGES + 5):
         link.send(str(number).encode())
-    assert link.dropped == 5 and link._waiting[0] == b"5"
+    assert link.dropped == 5 and link._queue[0] == b"5"
--- a/tests/fleet/test_fleet_guards.py
+++ b/tests/fleet/test_fleet_guards.py
@@ -1,71 +1,82 @@
-"""Fleets in virtual time: the guarantees hold in seeded schedules of faults, and a guard taken out is seen.
+"""Fleets in virtual time: the guarantees hold in seeded schedules of faults.
 
-For each guarantee its guard is removed, and the checker has to object: else it would object to nothing.
+For each guarantee one test removes the guard that upholds it, and the checker has to detect the violation: a
+checker that never objects would prove nothing.
 """
 
 from __future__ import annotations
 
 import unittest.mock
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from typing import Any
 
 import pytest
 
-from shaletiller.fleet import health_gossip
-from shaletiller.fleet.core import Options
-from shaletiller.fleet.health_gossip import HealthGossip, Kind, key_of
-from shaletiller.fleet.leases import Leases
-from shaletiller.fleet.quotas import NOTHING, Amount, Quota, Steps
+from shaletiller.fleet.codec import HealthRecord
+from shaletiller.fleet.core import FleetOptions
+from shaletiller.fleet.health_gossip import HealthGossip, HealthKind, key_of
+from shaletiller.fleet.leases.accounts import LimitAccount, LimitAccounts
+from shaletiller.fleet.leases.granter import Granter, LimitPool
+from shaletiller.fleet.leases.owner import Owner
+from shaletiller.fleet.quotas import NO_ALLOWANCE, Allowance, ExpiringAllowances, Quota
 from shaletiller.lab.fault_schedules import play
 from shaletiller.lab.fleet_simulation import at_size, lines, study
 from shaletiller.lab.virtual_network import Limit, Spend, World, overshoot, use
 
 SEEDS = range(1, 31)
+SUM_EXCEEDED = "add up to"  # how the checker reports quotas that exceed a limit together
 
 
 def broken(seeds: range) -> list[str]:
-    return [each for seed in seeds for each in play(seed).broken]
+    """The guarantees violated in the schedules of these seeds."""
+    return [violation for seed in seeds for violation in play(seed).broken]
+
+
+def sum_is_exceeded(seeds: range) -> bool:
+    """Whether the quotas of all gateways exceed a limit in any of these schedules."""
+    return any(SUM_EXCEEDED in violation for violation in broken(seeds))
 
 
 def test_every_guarantee_holds_in_schedules_of_faults() -> None:
+    """Fleets go through loss, delay, partitions, crashes and pauses: no guarantee is violated."""
     assert broken(SEEDS) == []
 
 
-def test_a_schedule_is_played_alike_each_time() -> None:
+def test_a_schedule_is_reproducible() -> None:
     assert play(7) == play(7)
 
 
 @contextmanager
-def without(owner: Any, name: str, instead: Any) -> Iterator[None]:
-    with unittest.mock.patch.object(owner, name, instead):
+def replaced(owner: type, name: str, replacement: Callable[..., Any]) -> Iterator[None]:
+    with unittest.mock.patch.object(owner, name, replacement):
         yield
 
 
-def test_an_expiry_that_is_not_checked_is_seen() -> None:
-    whole = Leases._share
+def test_an_unchecked_lease_expiry_is_detected() -> None:
+    """A gateway does not check the expiry of its leases against the clock, and keeps them for too long."""
+    checked = LimitAccounts.quota
 
-    def share(self: Leases, ledger: Any, now_ms: float) -> Quota:
-        held = ledger.held.at(-1e18)
-        return Quota(whole(self, ledger, now_ms).rest.plus(held))
+    def quota(self: LimitAccounts, account: LimitAccount, now_ms: float) -> Quota:
+        return Quota(checked(self, account, now_ms).base.plus(account.leased.at(-1e18)))
 
-    def forget(self: Steps, now_ms: float) -> None:
-        """Nothing is dropped for a while after its end, as if nobody had looked at the clock."""
-        self.steps = [step for step in self.steps if step[0] > now_ms - 1_500.0]
+    def prune(self: ExpiringAllowances, now_ms: float) -> None:
+        self.entries = [entry for entry in self.entries if entry.expires_ms > now_ms - 1_500.0]
 
-    with without(Leases, "_share", share), without(Steps, "forget", forget):
-        assert any("add up to" in each for each in broken(range(1, 6)))
+    with replaced(LimitAccounts, "quota", quota), replaced(ExpiringAllowances, "prune", prune):
+        assert sum_is_exceeded(range(1, 6))
 
 
-def test_a_successor_that_does_not_wait_is_seen() -> None:
-    with without(Leases, "_may_pledge", lambda self, ledger, to, now_ms: True):
-        assert any("add up to" in each for each in broken(range(1, 16)))
+def test_pledging_at_once_to_a_successor_is_detected() -> None:
+    """Owners pledge to a new granter before their pledges to the previous one have expired."""
+    with replaced(Owner, "_may_pledge", lambda self, account, granter, now_ms: True):
+        assert sum_is_exceeded(range(1, 16))
 
 
-def _restarted() -> float:
-    """By how much shares pass a limit when an idle owner, its part lent out, is killed and comes back."""
-    world = World(3, 3, Options())
-    limit = Limit("v:strict", Amount(100.0, 60.0))
+def _excess_after_restart() -> float:
+    """By how much quotas exceed a limit when an idle owner is killed and restarts, its part lent out."""
+    world = World(3, 3, FleetOptions())
+    limit = Limit("v:strict", Allowance(100.0, 60.0))
     for gateway in world.gateways:
         gateway.start()
     world.load(0, limit, 200.0, 2_500.0, 8_000.0, 3)
@@ -77,31 +88,33 @@
     return world.excess.get(limit.name, 0.0)
 
 
-def test_a_restarted_member_that_does_not_rest_is_seen() -> None:
-    whole = Leases._own
+def test_a_restarted_member_that_does_not_wait_is_detected() -> None:
+    """A restarted member spends its own part at once, although it had pledged it before."""
+    waiting = LimitAccounts.own_part
+
+    def own_part(self: LimitAccounts, account: LimitAccount, when_ms: float) -> Allowance:
+        account.quiet_until_ms = 0.0
+        return waiting(self, account, when_ms)
 
-    def own(self: Leases, ledger: Any, when_ms: float) -> Amount:
-        ledger.quiet_until_ms = 0.0
-        return whole(self, ledger, when_ms)
+    assert _excess_after_restart() == 0.0
+    with replaced(LimitAccounts, "own_part", own_part):
+        assert _excess_after_restart() > 10.0
 
-    assert _restarted() == 0.0
-    with without(Leases, "_own", own):
-        assert _restarted() > 10.0
 
+def test_a_granter_that_does_not_count_its_leases_is_detected() -> None:
+    """A granter leases the pledges to each holder anew, whatever it has leased to the others."""
 
-def test_a_granter_that_does_not_count_what_it_has_leased_is_seen() -> None:
-    def allot(self: Leases, pool: Any, holder: int, now_ms: float) -> Amount:
-        want: Amount = pool.wants[holder][0]
-        return want.least(self._sum(pool.pledged, now_ms))
+    def allocate(self: Granter, pool: LimitPool, holder: int, now_ms: float) -> Allowance:
+        return pool.demands[holder].allowance.minimum(self._sum(pool.pledged, now_ms))
 
-    with without(Leases, "_allot", allot):
-        assert any("add up to" in each for each in broken(range(1, 6)))
+    with replaced(Granter, "_allocate", allocate):
+        assert sum_is_exceeded(range(1, 6))
 
 
-def _moved_budget() -> float:
-    """By how much a cold node's budget is passed when its traffic moves from one gateway to the others."""
-    world = World(3, 5, Options())
-    limit = Limit("c:n", Amount(0.0, 30.0), settle_ms=3_000.0)
+def _overshoot_of_moved_traffic() -> float:
+    """By how much a warm-up budget is exceeded when its traffic moves from one gateway to the others."""
+    world = World(3, 5, FleetOptions())
+    limit = Limit("c:n", Allowance(0.0, 30.0), settle_ms=3_000.0)
     for gateway in world.gateways:
         gateway.start()
     world.load(0, limit, 60.0, 5_500.0, 9_500.0, 3)
@@ -111,48 +124,58 @@
     return overshoot(world.spends, limit, world.drift)
 
 
-def test_a_span_that_does_not_rest_is_seen() -> None:
-    """A cold node's budget counts what is sent in a span: lent on at once, it is spent twice in one."""
+def test_a_windowed_budget_that_is_lent_on_at_once_is_detected() -> None:
+    """A warm-up budget counts what is sent in a window: lent on at once, it is spent twice in one window."""
 
-    def own(self: Leases, ledger: Any, when_ms: float) -> Amount:
-        return NOTHING if when_ms < ledger.quiet_until_ms else ledger.own.less(ledger.pledged.at(when_ms))
+    def own_part(self: LimitAccounts, account: LimitAccount, when_ms: float) -> Allowance:
+        if when_ms < account.quiet_until_ms:
+            return NO_ALLOWANCE
+        return account.own_part.minus(account.pledged.at(when_ms))
 
-    assert _moved_budget() == 0.0
-    with without(Leases, "_own", own):
-        assert _moved_budget() > 0.0
+    assert _overshoot_of_moved_traffic() == 0.0
+    with replaced(LimitAccounts, "own_part", own_part):
+        assert _overshoot_of_moved_traffic() > 0.0
 
 
-def test_a_merge_by_arrival_is_seen() -> None:
-    def take(self: HealthGossip, word: Any, wall_ms: float) -> bool:
-        if word.until <= wall_ms or word in set(self):
+def test_merging_in_order_of_arrival_is_detected() -> None:
+    """Gateways let the record that arrives last win, in place of the newest one."""
+
+    def merge(self: HealthGossip, record: HealthRecord, wall_ms: float) -> bool:
+        if record.expires_ms <= wall_ms or record in set(self):
             return False
-        self._put(key_of(word), word)
-        self._spread(word)
-        self._moved(word.node, Kind(word.kind))
+        self._put(key_of(record), record)
+        self._broadcast(record)
+        self._on_change(record.node, HealthKind(record.kind))
         return True
 
-    with without(health_gossip.HealthGossip, "take", take):
+    with replaced(HealthGossip, "merge", merge):
         assert any(
-            "words that nobody said, or older ones" in each or "differ" in each
-            for each in broken(range(1, 6))
+            "words that nobody said, or older ones" in violation or "differ" in violation
+            for violation in broken(range(1, 6))
         )
 
 
-def test_the_checkers_see_what_they_are_for() -> None:
-    limit = Limit("v", Amount(10.0, 5.0))
+def test_the_checkers_detect_what_they_are_for() -> None:
+    """Spends within a limit pass; those beyond its rate, its burst or its window are measured."""
+    limit = Limit("v", Allowance(10.0, 5.0))
     spends = [Spend(at, 0, "v", 5.0) for at in (0.0, 500.0, 1_000.0)]
     assert overshoot(spends, limit) == 0.0
     assert overshoot([*spends, Spend(1_001.0, 1, "v", 3.0)], limit) == pytest.approx(2.99)
     assert overshoot([Spend(0.0, 0, "v", 6.0)], limit) == 1.0
-    span = Limit("c", Amount(0.0, 5.0), settle_ms=1_000.0)
-    calm = [Spend(at, 0, "c", 5.0) for at in (0.0, 1_000.0)]
-    assert overshoot(calm, span) == 0.0
-    assert overshoot([*calm, Spend(1_900.0, 1, "c", 1.0)], span) == 1.0
+    windowed = Limit("c", Allowance(0.0, 5.0), settle_ms=1_000.0)
+    within = [Spend(at, 0, "c", 5.0) for at in (0.0, 1_000.0)]
+    assert overshoot(within, windowed) == 0.0
+    assert overshoot([*within, Spend(1_900.0, 1, "c", 1.0)], windowed) == 1.0
     assert use(spends, limit, 0.0, 1_000.0) == 1.0
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_talk_does_not_grow_with_the_fleet_and_news_spreads_in_time(loss: float) -> None:
+def test_message_rate_is_independent_of_fleet_size_and_records_spread_in_time(loss: float) -> None:
+    """Operators eject nodes in fleets of 5 and of 30 gateways, without and with 30 % loss.
+
+    The larger fleet sends less than twice the messages of each gateway, every record reaches all gateways in
+    time, and the limit is used and not exceeded.
+    """
     small, large = at_size(5, 1, loss, news=3), at_size(30, 1, loss, news=3)
     assert large.messages_a_second < 2.0 * small.messages_a_second
     bound_ms = 500.0 if not loss else 2_000.0
@@ -161,7 +184,7 @@
     assert min(small.use, large.use) > (0.95 if not loss else 0.5)
 
 
-def test_a_study_is_told_in_words() -> None:
+def test_a_study_is_summarized_in_lines() -> None:
     found = study(4, 2, 3, [3])
     assert found["schedules"]["schedules"] == 2 and found["schedules"]["broken"] == 0
     assert lines(found)[0].startswith("ok 2 schedules of 4 gateways")
--- a/tests/fleet/test_fleet_process.py
+++ b/tests/fleet/test_fleet_process.py
@@ -1,4 +1,4 @@
-"""Real processes of the program that hold a limit and verdicts together, with faults put between them."""
+"""Real gateway processes that share a limit and health records, with faults on the links between them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,11 @@
         ("kill-granter", "datagrams"),
     ],
 )
-def test_five_processes_keep_what_they_promise(faults: str, carrier: str) -> None:
+def test_five_processes_uphold_their_guarantees(faults: str, carrier: str) -> None:
+    """Five gateways serve load while links are cut, the lease holder pauses or the granter is killed.
+
+    All guarantees hold, the limit was used, and at the end all five see each other.
+    """
     out = asyncio.run(fleet_scenarios.run(5, SECONDS, 1, scenario.load(faults), carrier))
     assert out.kept, "\n".join([*out.course, *out.lines()])
     named = [each.name for each in out.guarantees]
@@ -35,7 +39,8 @@
         assert stats["edge.fleet.members"] == 5 and stats["edge.fleet.received"] > 0
 
 
-def test_the_command_says_what_it_found_and_ends_with_its_verdict(tmp_path: Path) -> None:
+def test_the_command_reports_its_findings_and_exits_with_the_result(tmp_path: Path) -> None:
+    """The laboratory's command runs with valid faults and with unknown ones: exit codes 0 and 2."""
     path = tmp_path / "out.json"
     found = subprocess.run(
         [
@@ -56,8 +61,8 @@
         timeout=60,
     )
     assert found.returncode == 0, found.stdout + found.stderr
-    told = json.loads(path.read_text())
-    assert told["kept"] and all(each["kept"] for each in told["guarantees"])
+    report = json.loads(path.read_text())
+    assert report["kept"] and all(each["kept"] for each in report["guarantees"])
     assert "over the strict limit" in found.stdout
     wrong = subprocess.run(
         [sys.executable, "-m", "shaletiller.lab", "fleet", "--faults", "nonsense"],
@@ -69,7 +74,8 @@
     assert wrong.returncode == 2 and "there are cut-one-way" in wrong.stderr
 
 
-def test_a_guarantee_that_is_passed_fails_the_run() -> None:
+def test_a_violated_guarantee_fails_the_run() -> None:
+    """One guarantee holds and one is violated: the run as a whole fails, and its lines show which."""
     out = Outcome("x", 1, [Guarantee("a", 1.0, 1.0), Guarantee("b", 0.95, 0.94, "at least")])
     assert not out.kept
     assert [line[:2] for line in out.lines()] == ["ok", "!!"]
--- a/tests/gateway/test_operators.py
+++ b/tests/gateway/test_operators.py
@@ -11,7 +11,7 @@
 from shaletiller.config import read_config, read_config_again
 from shaletiller.gateway import Gateway
 from shaletiller.net import listener
-from shaletiller.net.peers import Peers
+from shaletiller.net.peers import PeerEndpoint
 from tests.support.scenario import Scenario
 
 
@@ -217,7 +217,7 @@
 
     async def test_a_second_process_hears_peers_on_the_same_address(self) -> None:
         # Both processes of an upgrade bind the peers' UDP address; without SO_REUSEPORT the new one ends.
-        first, second = Peers((), None, lambda *_: None), Peers((), None, lambda *_: None)
+        first, second = PeerEndpoint((), None, lambda *_: None), PeerEndpoint((), None, lambda *_: None)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -15,7 +15,7 @@
 import unittest
 from pathlib import Path
 
-from shaletiller.net.peers import Peers
+from shaletiller.net.peers import PeerEndpoint
 from tests.net.test_endings import Wire, ask
 from tests.support.scenario import SETTINGS, VOLUME, read_message
 
@@ -246,13 +246,13 @@
             other.settimeout(3.0)
             addresses = (("127.0.0.1", free_port()), other.getsockname())
             heard: asyncio.Queue[tuple[int, str]] = asyncio.Queue()
-            peers = Peers(addresses, addresses[1], lambda peer, data: heard.put_nowait((peer, data)))
+            peers = PeerEndpoint(addresses, addresses[1], lambda peer, data: heard.put_nowait((peer, data)))
             await peers.start(addresses[0])
             try:
-                peers.tell(1, "x" * 257)
-                peers.tell(7, "to nobody")
-                peers.tell(1, "y" * 256)
-                peers.tell(None, "all")
+                peers.send_text(1, "x" * 257)
+                peers.send_text(7, "to nobody")
+                peers.send_text(1, "y" * 256)
+                peers.send_text(None, "all")
                 self.assertEqual([other.recv(999), other.recv(999)], [b"y" * 256, b"all"])
                 for raw in (b"z" * 257, b"\xff", b"hello"):
                     other.sendto(raw, addresses[0])
--- a/tests/registry/test_nodes.py
+++ b/tests/registry/test_nodes.py
@@ -13,7 +13,7 @@
 from shaletiller.config import ServerList, ServerRow
 from shaletiller.core.route import Endpoint
 from shaletiller.fleet.codec import HealthRecord
-from shaletiller.fleet.health_gossip import Departs, HealthGossip, Kind
+from shaletiller.fleet.health_gossip import DepartureState, HealthGossip, HealthKind
 from shaletiller.lab import discovery_scenarios, scenario
 from shaletiller.messages.endpoints import EndpointState, UpdateKind
 from shaletiller.net.discovery import Discovery, EndpointListError
@@ -202,17 +202,17 @@
 
 
 def test_of_two_words_on_a_departure_that_of_the_higher_version_stands() -> None:
-    def word(version: int, what: Departs, stamp: int, observer: int) -> HealthRecord:
-        return HealthRecord("n1", int(Kind.LEAVING), observer, 7, stamp, 10_000, version * 4 + what)
+    def word(version: int, what: DepartureState, stamp: int, observer: int) -> HealthRecord:
+        return HealthRecord("n1", int(HealthKind.DEPARTING), observer, 7, stamp, 10_000, version * 4 + what)
 
-    older, newer = word(5, Departs.DRAINING, 900, 1), word(6, Departs.LEFT, 100, 2)
+    older, newer = word(5, DepartureState.DRAINING, 900, 1), word(6, DepartureState.LEFT, 100, 2)
     for order in ((older, newer), (newer, older)):
         verdicts = HealthGossip(lambda said: None)
         for each in order:
-            verdicts.take(each, 0.0)
-        assert verdicts.leaving("n1") == newer and len(verdicts) == 1
-    verdicts.take(HealthRecord("n1", int(Kind.COLD), 3, 8, 1, 10_000, 1), 0.0)
-    assert verdicts.leaving("n1") is None  # a newer life of the node ends it
+            verdicts.merge(each, 0.0)
+        assert verdicts.departure_record("n1") == newer and len(verdicts) == 1
+    verdicts.merge(HealthRecord("n1", int(HealthKind.WARMING_UP), 3, 8, 1, 10_000, 1), 0.0)
+    assert verdicts.departure_record("n1") is None  # a newer life of the node ends it
 
 
 @pytest.mark.parametrize("faults", ["silent", "overbooked"])
