--- a/shaletiller/policy/volume_limits.py
+++ b/shaletiller/policy/volume_limits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from shaletiller.fleet.quotas import Amount, Quota
+from shaletiller.fleet.quotas import Allowance, Quota
 from shaletiller.policy.class_fairness import ClassFairness
 from shaletiller.rate_counters import DecayingRate, TokenBucket
 from shaletiller.state.records import PendingRequest, Upstream, VolumeState
@@ -55,9 +55,9 @@
     def _rate_limit_level(self, pending: PendingRequest) -> float:
         """Return the bucket's level now, by the quota where a fleet assigns one (it may have expired)."""
         plan, part = pending.volume.plan, 1 / pending.volume.gateways
-        even = Quota(Amount(plan.limit_rate * part, plan.limit_burst * part))
+        even = Quota(Allowance(plan.limit_rate * part, plan.limit_burst * part))
         quota = self._state.volumes.quota(pending.request.volume) or even
-        return pending.volume.rate_limit.by_share(self._state.now_ms, quota)
+        return pending.volume.rate_limit.fill_by_quota(self._state.now_ms, quota)
 
     def _headroom(self, pending: PendingRequest, cap: float) -> float:
         """Headroom for higher priority: tokens that a request has to leave in a bucket of this cap.
