--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -37,7 +37,7 @@
 from tests.core.test_engine import CALL, ScriptedUpstream
 from tests.support.scheduler_host import ScriptedGateway, entry, settings
 
-CAPPED = PlanSpec("basic", base_rate=4, reserve=2, limit_rate=10, limit_burst=16)
+CAPPED = PlanSpec("basic", base_rate=4, reserved_rate=2, limit_rate=10, limit_burst=16)
 
 
 # ---- the scheduler
@@ -81,7 +81,7 @@
     capacity for more.
     """
     warming = entry(started_ms=1.0)
-    host = ScriptedGateway(warming, hosts=100, position=50, warm_up_units=40.0)
+    host = ScriptedGateway(warming, gateways=100, position=50, warm_up_units=40.0)
     host.run_to(100)
     host.request("r1", units=8)
     assert not host.sent()
