--- a/shaletiller/__main__.py
+++ b/shaletiller/__main__.py
@@ -1,4 +1,4 @@
-"""The real gateway: `python -m shaletiller`."""
+"""The gateway's program: `python -m shaletiller`, and `python -m shaletiller store` for its store."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import logging
 import signal
 import sys
+from typing import Any
 
 import uvloop
 
@@ -16,45 +17,66 @@
 
 logger = logging.getLogger("shaletiller")  # `__name__` is `__main__` here
 
+EXIT_USAGE = 2  # a faulty configuration, or a library that is not installed
+
 
 async def serve(config: Config) -> None:
-    """Run until SIGTERM or SIGINT; SIGHUP reads the configuration anew."""
-    told = asyncio.Event()
+    """Run one gateway until SIGTERM or SIGINT; SIGHUP reads the configuration again."""
+    shutdown = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for name in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(name, told.set)
-    loop.set_exception_handler(
-        lambda _, what: logger.warning(f"{what.get('message')}: {what.get('exception')!r}")
-    )
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, shutdown.set)
+    loop.set_exception_handler(log_loop_exception)
     gateway = Gateway(config)
-
-    # Without a handler SIGHUP ends the process, and all requests that it holds are lost.
-    loop.add_signal_handler(signal.SIGHUP, gateway.hup, read_config_again)
+    # Without a handler SIGHUP ends the process, and all requests in flight are lost.
+    loop.add_signal_handler(signal.SIGHUP, gateway.handle_sighup, read_config_again)
     await gateway.start()
-    # What is there by now stays: looked through by each whole collection, it holds up all requests for 50 ms.
+    # The objects of the start live as long as the process: each full collection that visited them would hold
+    # up all requests for 50 ms.
     gc.collect()
     gc.freeze()
-    logger.warning(f"runs on {type(loop).__module__}, {gc.get_freeze_count()} objects set aside")
-    await told.wait()
+    logger.info(
+        "running on %s, %d objects exempt from garbage collection",
+        type(loop).__module__,
+        gc.get_freeze_count(),
+    )
+    await shutdown.wait()
     await gateway.stop()
 
 
+def log_loop_exception(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Log an exception that no task or callback handled; the event loop goes on."""
+    logger.error("event loop: %s: %r", context.get("message"), context.get("exception"))
+
+
+def run_store_tool(arguments: list[str]) -> int:
+    """Run the tool for the store's files.
+
+    :returns: the exit code.
+    """
+    try:
+        from shaletiller.store.cli import main as store_main  # its libraries are not those of a gateway
+    except ModuleNotFoundError as error:
+        print(f"shaletiller: store: {error.name} is not installed: make lab", file=sys.stderr)
+        return EXIT_USAGE
+    return store_main(arguments)
+
+
 def main() -> int:
+    """Run the program.
+
+    :returns: the exit code.
+    """
     if sys.argv[1:2] == ["store"]:
-        try:
-            from shaletiller.store.cli import main as store  # its libraries are not those of a gateway
-        except ModuleNotFoundError as error:
-            print(f"shaletiller: store: {error.name} is not installed: make lab", file=sys.stderr)
-            return 2
-        return store(sys.argv[2:])
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
+        return run_store_tool(sys.argv[2:])
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a gateway that can reload
     configure_logging()
     try:
         config = read_config()
     except ConfigError as error:
         print(f"shaletiller: {error}", file=sys.stderr)
-        return 2
-    # asyncio's own loop comes to its work twice as late where gateways share a core.
+        return EXIT_USAGE
+    # uvloop: asyncio's own loop wakes up twice as late where gateways share a core.
     uvloop.run(serve(config))
     return 0
 
--- /dev/null
+++ b/shaletiller/config/nvme.py
@@ -0,0 +1,142 @@
+"""The configuration of NVMe over TCP: the file `deploy/nvme.toml`, its model and its checks.
+
+The structures' encoded names are the keys of the file; docs/nvme.md explains them.
+"""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Annotated
+
+import msgspec
+
+from shaletiller.config.address import read_address
+from shaletiller.config.errors import ConfigError, describe
+from shaletiller.settings.model import Settings
+
+# Nine digits of milliseconds, as over HTTP.  A class's own deadline is the site's to set.
+MAX_TIMEOUT_MS = 999_999_999
+MAX_TRANSFER_BYTES = 65536  # data of one NVMe command; it bounds what one command may hold in memory
+# The part of the memory limit that completions may occupy while their hosts do not read them.  Empirical: the
+# other half is for the interpreter and for requests over HTTP.
+MAX_MEMORY_PART = 0.5
+BYTES_PER_MB = 1 << 20
+
+PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
+NaturalInt = Annotated[int, msgspec.Meta(ge=0)]
+BlockBytes = Annotated[int, msgspec.Meta(ge=4096, le=MAX_TRANSFER_BYTES)]
+TimeoutMs = Annotated[float, msgspec.Meta(gt=0, le=MAX_TIMEOUT_MS)]
+
+
+class NvmeNamespace(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A namespace that the gateway offers to hosts: block b is the object of key `first_key` + b.
+
+    A Read or Write becomes a client request of `read_class` or `write_class`, of the same `plan`, `volume`,
+    `shard` and `units` for each of its blocks.  `volume_gateways` is the number of gateways through which
+    the volume's requests come.
+    """
+
+    nsid: Annotated[int, msgspec.Meta(ge=1, le=1024)]
+    blocks: PositiveInt
+    read_class: str
+    write_class: str
+    plan: str
+    volume: Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{16}$")]
+    shard: NaturalInt
+    first_key: NaturalInt = 0
+    units: Annotated[float, msgspec.Meta(gt=0)] = 1.0
+    volume_gateways: PositiveInt = msgspec.field(default=1, name="hosts")
+    block_bytes: BlockBytes = 4096
+    read_timeout_ms: TimeoutMs = 750.0
+    write_timeout_ms: TimeoutMs = 1200.0
+
+
+class NvmeUpstreamConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A storage node that speaks NVMe: the object of key k is block k - `first_key` of its namespace."""
+
+    node: str
+    subsystem: str
+    nsid: PositiveInt = 1
+    first_key: NaturalInt = 0
+    block_bytes: BlockBytes = 4096
+
+
+class NvmeTargetConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """What the gateway offers to NVMe hosts; off where `listen` is empty."""
+
+    listen: str = ""
+    subsystem: str = "nqn.2026-12.example.shaletiller:gateway"
+    queue_depth: Annotated[int, msgspec.Meta(ge=2, le=1024)] = 32
+    max_connections: Annotated[int, msgspec.Meta(ge=1, le=256)] = msgspec.field(
+        default=32, name="connections"
+    )
+    namespaces: tuple[NvmeNamespace, ...] = msgspec.field(default=(), name="namespace")
+
+
+class NvmeConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The whole file: the target for hosts, and the storage nodes that are reached over NVMe."""
+
+    target: NvmeTargetConfig = msgspec.field(default=NvmeTargetConfig(), name="front")
+    upstreams: tuple[NvmeUpstreamConfig, ...] = msgspec.field(default=(), name="box")
+
+
+def read_nvme(path: Path) -> NvmeConfig:
+    """Read the NVMe file; where there is none, NVMe is off for hosts and storage nodes.
+
+    :raises ConfigError: with the file's name and the faulty key.
+    """
+    if not path.exists():
+        return NvmeConfig()
+    try:
+        nvme = msgspec.toml.decode(path.read_bytes(), type=NvmeConfig)
+    except msgspec.MsgspecError as error:
+        raise ConfigError(f"{path.name}: {describe(error)}") from error
+    if nvme.target.listen:
+        read_address(nvme.target.listen, f"{path.name}: front.listen")
+    _check_block_bytes(nvme, path.name)
+    _check_unique([space.nsid for space in nvme.target.namespaces], f"{path.name}: front.namespace.nsid")
+    _check_unique([upstream.node for upstream in nvme.upstreams], f"{path.name}: box.node")
+    return nvme
+
+
+def _check_block_bytes(nvme: NvmeConfig, file_name: str) -> None:
+    sizes = [each.block_bytes for each in nvme.target.namespaces]
+    sizes += [each.block_bytes for each in nvme.upstreams]
+    for at, size in enumerate(sizes):
+        if size & (size - 1):
+            raise ConfigError(f"{file_name}: block_bytes: wants a power of two, got {size} (entry {at})")
+
+
+def _check_unique(values: list[int] | list[str], key: str) -> None:
+    if len(set(values)) < len(values):
+        raise ConfigError(f"{key}: the same value stands twice")
+
+
+def check_nvme(nvme: NvmeConfig, settings: Settings, memory_mb: float) -> None:
+    """Check the target against the site's settings and the memory limit.
+
+    :raises ConfigError: where it names an unknown class or plan, or could occupy too much memory.
+    """
+    target = nvme.target
+    if not target.listen:
+        return
+    used_mb = target.max_connections * target.queue_depth * MAX_TRANSFER_BYTES / BYTES_PER_MB
+    allowed_mb = memory_mb * MAX_MEMORY_PART
+    if used_mb > allowed_mb:
+        raise ConfigError(
+            f"nvme.toml: front.connections: with queue_depth they may hold {used_mb:.0f} MB, "
+            f"at most {allowed_mb:.0f} are allowed"
+        )
+    for at, space in enumerate(target.namespaces):
+        _check_namespace(space, settings, f"nvme.toml: front.namespace[{at}]")
+
+
+def _check_namespace(space: NvmeNamespace, settings: Settings, key: str) -> None:
+    classes = {spec.name for spec in settings.classes}
+    for name, value in (("read_class", space.read_class), ("write_class", space.write_class)):
+        if value not in classes:
+            raise ConfigError(f"{key}.{name}: unknown class {value!r}")
+    if space.plan not in {plan.name for plan in settings.plans}:
+        raise ConfigError(f"{key}.plan: unknown plan {space.plan!r}")
+    if space.units > settings.max_units:
+        raise ConfigError(f"{key}.units: at most {settings.max_units}, got {space.units}")
--- /dev/null
+++ b/shaletiller/config/operator_checks.py
@@ -0,0 +1,54 @@
+"""Checks of the operator file that no single value shows; each ValueError begins with the key."""
+
+from __future__ import annotations
+
+import re
+
+from shaletiller.config.operator_model import FleetPart, OperatorFile
+
+ADDRESS = re.compile(r"\S+:\d{1,5}", re.ASCII)
+
+
+def check_operator_file(file: OperatorFile) -> None:
+    """Check the values against one another.
+
+    :raises ValueError: `key: message`.
+    """
+    _check_fleet(file.fleet)
+    _check_replication(file)
+    _check_fleet_options(file.fleet)
+
+
+def _check_fleet(fleet: FleetPart) -> None:
+    member_names = [member.name for member in fleet.member]
+    for at, member in enumerate(fleet.member):
+        _check_unique(member.name, member_names, f"fleet.member[{at}].name")
+        if fleet.carrier == "tcp" and not ADDRESS.fullmatch(member.address):
+            raise ValueError(f"fleet.member[{at}].address: wants host:port, got {member.address!r}")
+    limit_names = [limit.name for limit in fleet.limit]
+    for at, name in enumerate(limit_names):
+        _check_unique(name, limit_names, f"fleet.limit[{at}].name")
+
+
+def _check_replication(file: OperatorFile) -> None:
+    replication = file.promises
+    class_names = [row.name for row in replication.class_]
+    for at, name in enumerate(class_names):
+        _check_unique(name, class_names, f"promises.class[{at}].name")
+    if replication.on and not file.store.dir:
+        raise ValueError("promises.on: wants a folder for the store, store.dir")
+    if replication.on and (file.fleet.carrier != "tcp" or not file.fleet.member):
+        raise ValueError('promises.on: wants the members of a fleet and its carrier "tcp"')
+
+
+def _check_fleet_options(fleet: FleetPart) -> None:
+    try:
+        fleet.options(max(1, len(fleet.member)))
+    except ValueError as error:
+        name, _, message = str(error).partition(": ")
+        raise ValueError(f"fleet.{name.replace('_', '-')}: {message}") from error
+
+
+def _check_unique(name: str, names: list[str], key: str) -> None:
+    if names.count(name) > 1:
+        raise ValueError(f"{key}: {name!r} stands twice")
--- /dev/null
+++ b/shaletiller/config/operator_reader.py
@@ -0,0 +1,163 @@
+"""Reads the operator file: a KDL document (https://kdl.dev, version 1).
+
+    fleet {
+        name "campus"
+        carrier "tcp"
+        member "g0" address="10.0.0.4:7100" zone="a"
+        member "g1" address="10.0.0.5:7100" zone="b"
+        limit "gold" policy="available"
+        term-ms 2000
+    }
+
+A node with children is a group, one without is a value; nodes that may occur several times make a list, named
+by their first argument.  Each error names its line and key.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any, get_args, get_origin, get_type_hints
+
+import msgspec
+
+from shaletiller.config.errors import OperatorFileError
+from shaletiller.config.operator_checks import check_operator_file
+from shaletiller.config.operator_model import Group, OperatorFile
+
+
+def read_operator_file(path: Path) -> OperatorFile:
+    """Read and check the file.
+
+    :raises OperatorFileError: with the line and key of the fault.
+    """
+    try:
+        text = path.read_text(encoding="utf-8")
+    except (OSError, UnicodeDecodeError) as error:
+        raise OperatorFileError(f"{path.name}: cannot be read: {error}") from error
+    document = _parse(path.name, text)
+    converter = _Converter(path.name, document.lines)
+    values = converter.group(document.nodes, OperatorFile, "")
+    try:
+        file = msgspec.convert(values, OperatorFile)
+        check_operator_file(file)
+    except msgspec.ValidationError as error:
+        message, _, key = str(error).partition(" - at `$.")
+        raise converter.error(key.rstrip("`"), message) from error
+    except ValueError as error:
+        key, _, message = str(error).partition(": ")
+        raise converter.error(key, message) from error
+    return file
+
+
+@dataclass(slots=True, frozen=True)
+class _Document:
+    """A parsed document; `lines` gives each node's line by the node's `id()`."""
+
+    nodes: list[Any]
+    lines: dict[int, int]
+
+
+def _parse(file_name: str, text: str) -> _Document:
+    # Imported where there is such a file only: the library takes 60 ms to load.
+    import kdl.errors
+    import kdl.parsefuncs
+    import kdl.parsing
+
+    lines: dict[int, int] = {}
+
+    def note_line(node: Any, fragment: Any) -> Any:
+        lines[id(node)] = fragment.error("").line  # the library states positions in its errors only
+        return node
+
+    converters: dict[Any, Any] = {(None, None): note_line, (..., ...): note_line}
+    try:
+        document = kdl.parsefuncs.parse(text, kdl.parsing.ParseConfig(nodeConverters=converters))
+    except kdl.errors.ParseError as error:
+        message = error.msg.split(": ", 1)[-1]
+        raise OperatorFileError(f"{file_name}: line {error.line}: {message}") from error
+    return _Document(document.nodes, lines)
+
+
+@dataclass(slots=True)
+class _Converter:
+    """Converts the nodes of a document to the dictionaries that msgspec converts to the model.
+
+    `key_lines` gives the line of each key that was converted, such as `fleet.member[0]`.
+    """
+
+    file_name: str
+    node_lines: dict[int, int]
+    key_lines: dict[str, int] = field(default_factory=dict)
+
+    def error(self, key: str, message: str) -> OperatorFileError:
+        """An error with the line of its key, or of the closest group around it."""
+        known = key
+        while known and known not in self.key_lines:
+            known = known.rpartition(".")[0]
+        line = f"line {self.key_lines[known]}: " if known else ""
+        text = f"{key}: {message}" if key else message
+        return OperatorFileError(f"{self.file_name}: {line}{text}")
+
+    def group(self, nodes: Sequence[Any], model: type[Group], path: str) -> dict[str, Any]:
+        """Convert a group's nodes.
+
+        :param path: the group's own key; empty for the whole document.
+        :raises OperatorFileError: where a node does not fit its field of the model.
+        """
+        fields = _field_types(model)
+        values: dict[str, Any] = {}
+        for node in nodes:
+            key = f"{path}.{node.name}" if path else node.name
+            if node.name not in fields:
+                raise self._node_error(node, key, f"unknown key; there are {', '.join(sorted(fields))}")
+            field_type = fields[node.name]
+            item_model = _item_model(field_type)
+            if item_model is not None:
+                self._append_item(values.setdefault(node.name, []), node, item_model, key)
+            elif node.name in values:
+                raise self._node_error(node, key, "stands twice")
+            else:
+                values[node.name] = self._single(node, field_type, key)
+        return values
+
+    def _append_item(self, items: list[Any], node: Any, model: type[Group], key: str) -> None:
+        """Convert a node of a list; its first argument is the item's name."""
+        line = self._line(node)
+        item_key = f"{key}[{len(items)}]"
+        self.key_lines.setdefault(key, line)
+        self.key_lines[item_key] = line
+        if len(node.args) != 1:
+            raise self._node_error(node, key, "wants one name and then its properties")
+        children = self.group(node.nodes, model, item_key)
+        items.append({"name": node.args[0], **node.props, **children})
+
+    def _single(self, node: Any, field_type: Any, key: str) -> Any:
+        """Convert a group or a value that may occur once."""
+        self.key_lines[key] = self._line(node)
+        if isinstance(field_type, type) and issubclass(field_type, Group):
+            if node.args or node.props:
+                raise self._node_error(node, key, "is a group: its values stand in braces")
+            return self.group(node.nodes, field_type, key)
+        if len(node.args) != 1 or node.props or node.nodes:
+            raise self._node_error(node, key, "wants one value")
+        return node.args[0]
+
+    def _line(self, node: Any) -> int:
+        return self.node_lines.get(id(node), 0)
+
+    def _node_error(self, node: Any, key: str, message: str) -> OperatorFileError:
+        return OperatorFileError(f"{self.file_name}: line {self._line(node)}: {key}: {message}")
+
+
+def _field_types(model: type[Group]) -> dict[str, Any]:
+    """The types of a model's fields by their keys in the file."""
+    hints = get_type_hints(model)
+    return {each.encode_name: hints[each.name] for each in msgspec.structs.fields(model)}
+
+
+def _item_model(field_type: Any) -> type[Group] | None:
+    """The model of a list's items; None where the type is no list of groups."""
+    item = get_args(field_type)[0] if get_origin(field_type) is tuple else None
+    return item if isinstance(item, type) and issubclass(item, Group) else None
--- /dev/null
+++ b/shaletiller/config/reader.py
@@ -0,0 +1,163 @@
+"""Reads the configuration from its sources and checks it.
+
+Sources: the JSON file named by EDGE_CONFIG, the variables EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and
+EDGE_ADMIN (they win over the file), the OTLP variables of OpenTelemetry, deploy/nvme.toml, and the operator
+file that EDGE_OPERATOR names.
+"""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Mapping
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+
+from shaletiller.config.address import read_address
+from shaletiller.config.errors import ConfigError, OperatorFileError, describe
+from shaletiller.config.model import Config, Limits, ServerList, TelemetryConfig
+from shaletiller.config.nvme import check_nvme, read_nvme
+from shaletiller.settings.decoder import read_settings
+from shaletiller.settings.model import Settings
+
+if TYPE_CHECKING:
+    from shaletiller.config.operator_model import OperatorFile
+
+NVME_FILE = Path(__file__).parent.parent.parent / "deploy" / "nvme.toml"
+# Bytes of a gateway's name: a file that is named after it has a prefix and a suffix, and file systems allow
+# 255 bytes.
+MAX_NAME_BYTES = 200
+MAX_ECHOED_NAME = 64  # characters of a faulty name in the error
+# The variables from which the fields of `TelemetryConfig` are read, and their defaults.
+TELEMETRY_VARIABLES = {
+    "endpoint": ("OTEL_EXPORTER_OTLP_ENDPOINT", ""),
+    "interval_ms": ("OTEL_METRIC_EXPORT_INTERVAL", "5000"),
+    "sample_ratio": ("OTEL_TRACES_SAMPLER_ARG", "0.05"),
+}
+
+
+class ConfigFile(msgspec.Struct, frozen=True):
+    """The configuration file as it is written; `settings` are decoded by `settings/decoder.py`."""
+
+    settings: dict[str, Any]
+    name: str = ""
+    listen: str = ""
+    discovery: str = ""
+    seed: str | int = 0
+    limits: Limits = Limits()
+    peer_listen: str | None = None
+    peers: tuple[str, ...] | None = None
+    peers_all: str | None = None
+    known: ServerList | None = None
+    admin: str | None = None
+
+
+def read_config(env: Mapping[str, str] = os.environ, nvme_file: Path = NVME_FILE) -> Config:
+    """Read the complete configuration.
+
+    :param env: the environment variables.
+    :raises ConfigError: with the faulty key.
+    """
+    file = _read_file(env)
+    settings = _read_settings(file)
+    nvme = read_nvme(nvme_file)
+    check_nvme(nvme, settings, file.limits.memory_mb)
+    name = _check_name(env.get("EDGE_NAME") or file.name)
+    admin = env.get("EDGE_ADMIN") or file.admin
+    return Config(
+        name=name,
+        operator=_read_operator_file(env, name),
+        listen=read_address(env.get("EDGE_LISTEN") or file.listen, "EDGE_LISTEN"),
+        discovery=read_address(env.get("EDGE_DISCOVERY") or file.discovery, "EDGE_DISCOVERY"),
+        seed=_read_seed(file.seed),
+        limits=file.limits,
+        peer_listen=_read_optional_address(file.peer_listen, "peer_listen"),
+        peers=tuple(read_address(each, f"peers[{at}]") for at, each in enumerate(file.peers or ())),
+        peers_all=_read_optional_address(file.peers_all, "peers_all"),
+        known=file.known or ServerList(),
+        settings=settings,
+        nvme=nvme,
+        telemetry=_read_telemetry(env),
+        admin=_read_optional_address(admin, "EDGE_ADMIN"),
+        state_dir=env.get("TMPDIR") or "/tmp",
+    )
+
+
+def read_config_again(env: Mapping[str, str] = os.environ, nvme_file: Path = NVME_FILE) -> Config:
+    """Read the configuration after SIGHUP.
+
+    EDGE_DISCOVERY is as old as the process: it wins at the start, and from then on the file does.
+
+    :raises ConfigError: with the faulty key.
+    """
+    without_discovery = {name: value for name, value in env.items() if name != "EDGE_DISCOVERY"}
+    return read_config(without_discovery, nvme_file)
+
+
+def _read_file(env: Mapping[str, str]) -> ConfigFile:
+    path = env.get("EDGE_CONFIG", "")
+    if not path:
+        raise ConfigError("EDGE_CONFIG: not set")
+    try:
+        raw = Path(path).read_bytes()
+    except OSError as error:
+        raise ConfigError(f"EDGE_CONFIG: cannot read {path!r}: {error.strerror}") from error
+    try:
+        return msgspec.json.decode(raw, type=ConfigFile)
+    except msgspec.MsgspecError as error:
+        raise ConfigError(f"EDGE_CONFIG: {describe(error)}") from error
+
+
+def _read_settings(file: ConfigFile) -> Settings:
+    try:
+        return read_settings(file.settings)
+    except ValueError as error:
+        raise ConfigError(f"settings.{error}") from error
+
+
+def _read_optional_address(text: str | None, key: str) -> tuple[str, int] | None:
+    return read_address(text, key) if text else None
+
+
+def _check_name(name: str) -> str:
+    """Check a gateway's name: it is a part of a file's name, and stands on one line of the log."""
+    if "/" in name or not name.isprintable() or len(name.encode()) > MAX_NAME_BYTES:
+        raise ConfigError(
+            f"EDGE_NAME: wants {MAX_NAME_BYTES} printable bytes at most, no '/', "
+            f"got {name[:MAX_ECHOED_NAME]!r}"
+        )
+    return name
+
+
+def _read_seed(value: str | int) -> int:
+    try:
+        return value if isinstance(value, int) else int(value, 16)
+    except ValueError as error:
+        raise ConfigError(f"seed: wants hex digits, got {value!r}") from error
+
+
+def _read_telemetry(env: Mapping[str, str]) -> TelemetryConfig:
+    raw = {field: env.get(name, default) for field, (name, default) in TELEMETRY_VARIABLES.items()}
+    try:
+        return msgspec.convert(raw, TelemetryConfig, strict=False)
+    except msgspec.ValidationError as error:
+        field, _, message = describe(error).partition(":")
+        key = TELEMETRY_VARIABLES[field][0] if field in TELEMETRY_VARIABLES else field
+        raise ConfigError(f"{key}:{message}") from error
+
+
+def _read_operator_file(env: Mapping[str, str], gateway_name: str) -> OperatorFile | None:
+    path = env.get("EDGE_OPERATOR", "")
+    if not path:
+        return None
+    from shaletiller.config.operator_reader import read_operator_file  # it loads the fleet's modules
+
+    try:
+        file = read_operator_file(Path(path))
+    except OperatorFileError as error:
+        raise ConfigError(f"EDGE_OPERATOR: {error}") from error
+    me = file.fleet.me or gateway_name
+    if file.fleet.member and me not in [member.name for member in file.fleet.member]:
+        raise ConfigError(f"EDGE_OPERATOR: {Path(path).name}: fleet.me: no member {me!r}")
+    return file
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -1,10 +1,10 @@
-"""One gateway put together: start, run, and a planned stop."""
+"""One gateway: its parts put together, started, reloaded and shut down."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Callable
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -12,17 +12,18 @@
 
 from shaletiller.clock import Clock
 from shaletiller.config import Config, ConfigError, ServerList, read_address
-from shaletiller.core import metrics
 from shaletiller.core.engine import Engine
 from shaletiller.core.interfaces import UpstreamClient
 from shaletiller.core.manual_ejection import ManualEjections
-from shaletiller.core.model import Exchange
-from shaletiller.messages.events import Event, PeerMessageReceived
-from shaletiller.net.admin import Admin, Refused
+from shaletiller.gateway_services import GatewayServices
+from shaletiller.messages.events import PeerMessageReceived
+from shaletiller.net.admin import Admin
 from shaletiller.net.discovery import Discovery
 from shaletiller.net.http_server import HttpServer
 from shaletiller.net.http_upstream import HttpUpstreamClient
 from shaletiller.net.peers import Peers
+from shaletiller.operator_calls import OperatorCalls
+from shaletiller.settings.model import Settings
 
 if TYPE_CHECKING:
     from shaletiller.net.fleet import FleetAgent
@@ -33,14 +34,22 @@
 
 logger = logging.getLogger(__name__)
 
-KEEP_ACCEPTING_S = 0.75  # after SIGTERM: new connections still come for a while
-# A process may be killed so long after SIGTERM and its longest deadline, which counts as so much at the most.
-KEEP_ACCEPTING_MS, MOST_GRACE_MS = 700.0, 3000.0
-SPARE_MS = 250.0  # before that
-WATCH_S = 0.02
-BANS_S = 0.2  # how often the bans that the other process of the gateway may have written are looked at
-# What a reload leaves as it was.
-FIXED_KEYS = (
+# How long new connections are still accepted after SIGTERM: the platform goes on opening them for 0.2 to 0.4
+# s.  Empirical beyond that: twice as long allows for a slow machine, and delays the end of the process.
+ACCEPT_AFTER_SIGTERM_S = 0.75
+# The platform's SIGKILL comes no sooner after SIGTERM than the longest deadline of a request, which counts as
+# so much at most, and so much more.
+MAX_KILL_DEADLINE_MS = 3000.0
+KILL_GRACE_MS = 700.0
+# The shutdown ends so long before SIGKILL.  Empirical: it leaves time for the last responses to arrive, at
+# the expense of requests that are still in flight.
+KILL_MARGIN_MS = 250.0
+SHUTDOWN_POLL_S = 0.02  # empirical: how often the shutdown looks whether clients are still served
+# How often the file of manual ejections is read again: the gateway's other process may have written it while
+# one replaces the other.  Empirical: operators notice no delay, and a `stat` costs next to nothing.
+EJECTIONS_POLL_S = 0.2
+# Keys of the configuration that a reload leaves as they were: their sockets and parts are made at the start.
+RESTART_KEYS = (
     "name",
     "listen",
     "limits",
@@ -55,101 +64,75 @@
 )
 
 
-class GatewayServices:
-    """What a gateway does for its engine beside sending attempts; parts that are off do nothing."""
-
-    def __init__(self, gateway: Gateway) -> None:
-        self._gateway = gateway
-
-    def send_peer_message(self, peer: int | None, data: str) -> None:
-        """Send a datagram to one gateway, or to all (None)."""
-        self._gateway.peers.tell(peer, data)
-
-    def fetch_endpoint_list(self) -> None:
-        """Fetch the full endpoint list once, in the background."""
-        self._gateway.engine.spawn(self._gateway.discovery.fetch())
-
-    def events_before(self, event: Event, now_ms: float) -> Sequence[Event]:
-        """What the fleet has for the scheduler before an event."""
-        fleet = self._gateway.fleet
-        return fleet.events_before(event, now_ms) if fleet is not None else ()
-
-    def replicate_intent(self, exchange: Exchange) -> bool:
-        """Hand a write to the replication, where its class is replicated."""
-        replication = self._gateway.promises
-        return replication is not None and replication.replicate_intent(exchange)
-
-    def request_ended(self, exchange: Exchange) -> None:
-        """Report a request to the telemetry."""
-        telemetry = self._gateway.telemetry
-        if telemetry is not None:
-            telemetry.request_ended(exchange)
+class Gateway:
+    """One gateway put together: its servers, upstream clients, engine and operators' calls.
 
+    Parts that the configuration switches off are None and their modules are not loaded: forty gateways that
+    start at the same time on one core would share the cost.
 
-class Gateway:
-    """One gateway put together: its servers, upstream clients, engine and operators' calls."""
+    :param clock: real time by default.
+    """
 
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config = config
         self._clock = clock or Clock()
+        self._stopping = False
+        self._discovery_watch: asyncio.Task[None] | None = None
+        self._longest_deadline_ms = longest_deadline_ms(config.settings)
+        self.reload_counts = {"applied": 0, "rejected": 0}
         self.engine = Engine(config.settings, config.seed, self._clock, GatewayServices(self))
         self.telemetry: Otlp | None = None
-        # Shared by all nodes that speak HTTP: what is kept for one node would add up over those that go.
-        self._http = HttpUpstreamClient(config.settings, config.back_sockets // (2 if config.nvme.box else 1))
-        a_box = config.back_sockets // 2 // max(1, len(config.nvme.box))
-        self._boxes = self._nvme_boxes(a_box)
+        # One client for all nodes that speak HTTP: sockets reserved for each node would add up over those
+        # that leave.
+        http_sockets = config.upstream_sockets // (2 if config.nvme.upstreams else 1)
+        self._http = HttpUpstreamClient(config.settings, http_sockets)
+        self._nvme_clients = self._make_nvme_clients()
         self.discovery = Discovery(
             config.discovery,
             config.known,
-            self._back_of,
+            self._upstream_client,
             self.engine.update_endpoints,
             config.seed,
             self._clock.now_ms,
         )
         self.discovery.retune(config.settings)
-        self.front = HttpServer(self.engine, config.front_sockets, lambda: self.discovery.held, self._clock)
-        self.fleet = self._fleet_port()
+        self.front = HttpServer(self.engine, config.client_sockets, lambda: self.discovery.held, self._clock)
+        self.fleet = self._make_fleet_agent()
         self.peers = Peers(
             config.peers,
             config.peers_all,
-            self._heard,
+            self._receive_peer_message,
             self.fleet.receive if self.fleet is not None else None,
         )
-        self.nvme = self._nvme_front()
-        self._watch: asyncio.Task[None] | None = None
-        self._longest_ms = max(spec.deadline_ms for spec in config.settings.classes)
-        self._stopping = False
-        self.sighup = {"applied": 0, "rejected": 0}
-        bans = Path(config.state_dir) / f"shaletiller-{config.name or 'gateway'}-bans.json"
-        self.bans = ManualEjections(bans, lambda moved: self.engine.eject(self.bans.nodes, moved))
-        self.promises = self._promise_port()
-        self.admin = (
-            Admin(
-                {
-                    "READY": self._ready,
-                    "STATS": self._stats,
-                    "DISABLE": self._disable,
-                    "ENABLE": self._enable,
-                    "DRAIN": lambda words: self._drain(True),
-                    "UNDRAIN": lambda words: self._drain(False),
-                }
-            )
-            if config.admin
-            else None
-        )
-
-    # ---- NVMe over TCP: loaded only where it is configured, for it takes CPU at the start
-
-    def _nvme_boxes(self, sockets: int) -> dict[str, NvmeUpstreamClient]:
-        if not self.config.nvme.box:
+        self.nvme = self._make_nvme_server()
+        ejections_file = Path(config.state_dir) / f"shaletiller-{config.name or 'gateway'}-bans.json"
+        self.ejections = ManualEjections(ejections_file, self._apply_ejections)
+        self.replication = self._make_replication_agent()
+        self.admin = self._make_admin_server()
+
+    # ---- the parts that a configuration may switch off
+
+    def _make_nvme_clients(self) -> dict[str, NvmeUpstreamClient]:
+        """The clients of the storage nodes that speak NVMe over TCP, by node."""
+        upstreams = self.config.nvme.upstreams
+        if not upstreams:
             return {}
         from shaletiller.net.nvme.upstream import NvmeUpstreamClient
 
+        sockets = self.config.upstream_sockets // 2 // len(upstreams)
         return {
-            box.node: NvmeUpstreamClient(box, self.config.settings, sockets) for box in self.config.nvme.box
+            upstream.node: NvmeUpstreamClient(upstream, self.config.settings, sockets)
+            for upstream in upstreams
         }
 
-    def _fleet_port(self) -> FleetAgent | None:
+    def _make_nvme_server(self) -> NvmeFront | None:
+        if not self.config.nvme.target.listen:
+            return None
+        from shaletiller.net.nvme.server import NvmeFront
+
+        return NvmeFront(self.config.nvme.target, self.engine)
+
+    def _make_fleet_agent(self) -> FleetAgent | None:
         operator = self.config.operator
         if operator is None or not operator.fleet.on:
             return None
@@ -160,210 +143,210 @@
         port.hear_lists(self.discovery.others_say)
         return port
 
-    def _promise_port(self) -> ReplicationAgent | None:
+    def _make_replication_agent(self) -> ReplicationAgent | None:
         operator = self.config.operator
         if operator is None or self.fleet is None or not operator.promises.on:
             return None
         from shaletiller.net.replication import ReplicationAgent
 
-        port = ReplicationAgent(operator, self.fleet, self.engine, self._clock, self.config.name, self.bans)
-        port.listed = self._listed
+        port = ReplicationAgent(
+            operator, self.fleet, self.engine, self._clock, self.config.name, self.ejections
+        )
+        port.listed = self._load_stored_list
         port.drained = self.front.drain
         self.discovery.news = port.news
         return port
 
-    def _listed(self, kept: ServerList) -> None:
-        """A node list that was kept: it serves where nothing newer is there yet."""
-        if self.discovery.start_from(kept):
-            logger.warning(f"node list of version {kept.version} as it was kept")
+    def _make_admin_server(self) -> Admin | None:
+        if self.config.admin is None:
+            return None
+        calls = OperatorCalls(
+            self.engine,
+            self.discovery,
+            self.front,
+            self.ejections,
+            self._clock,
+            self._ready,
+            self.reload_counts,
+            self.fleet,
+            self.replication,
+        )
+        return Admin(calls.by_name())
 
-    def _nvme_front(self) -> NvmeFront | None:
-        if not self.config.nvme.front.listen:
+    def _make_telemetry(self) -> Otlp | None:
+        if not self.config.telemetry.endpoint:
             return None
-        from shaletiller.net.nvme.server import NvmeFront
+        from shaletiller.telemetry.otlp import Otlp
 
-        return NvmeFront(self.config.nvme.front, self.engine)
-
-    # ---- the operators' calls
-
-    def _ready(self, words: list[str]) -> list[str]:
-        if self._stopping or not self.discovery.held:
-            raise Refused("no: not ready")
-        return ["yes"]
-
-    def _stats(self, words: list[str]) -> list[str]:
-        engine = self.engine
-        gauges = {
-            "forwards": engine.counters.get("forwards", 0)
-            + len(engine.attempts.in_flight),  # out: mostly written
-            "outstanding": len(engine.exchanges),
-            "discovered": len(engine.endpoints),
-            "ejected": len(engine.ejected & engine.endpoints.keys()),
-            "sighup_applied": self.sighup["applied"],
-            "sighup_rejected": self.sighup["rejected"],
-            **(self.fleet.figures() if self.fleet is not None else {}),
-            **(self.discovery.book.figures(self._clock.now_ms()) if self.fleet is not None else {}),
-            **(self.promises.figures() if self.promises is not None else {}),
-        }
-        classes = [spec.name for spec in engine.settings.classes]
-        return ["", *metrics.stats_lines(engine.counters, classes, gauges), "end"]
+        return Otlp(self.config.telemetry, self.config.name, self.engine, self._clock)
 
-    @staticmethod
-    def _node(words: list[str]) -> str:
-        if len(words) != 1:
-            raise Refused("wants the id of one storage node")
-        return words[0]
+    # ---- what the parts call
 
-    async def _kept(self, word: Awaitable[None], first: str) -> list[str]:
-        """An operator's word that holds here: done when most of its copies have it."""
-        from shaletiller.net.replication import NotReplicatedError
+    def _ready(self) -> bool:
+        return self.discovery.held and not self._stopping
 
-        try:
-            await word
-        except NotReplicatedError as error:
-            raise Refused("kept here only: no majority of its copies; call again later") from error
-        return [first]
-
-    def _disable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
-        node = self._node(words)
-        if node not in self.engine.endpoints and node not in self.bans.nodes:
-            raise Refused(f"no: no storage node {node[:64]} on the list")
-        self.bans.add(node)
-        if self.fleet is not None:
-            self.fleet.ban(node, True)
-        return [node] if self.promises is None else self._kept(self.promises.ban(node), node)
-
-    def _enable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
-        node = self._node(words)
-        if node not in self.engine.endpoints and node not in self.bans.nodes:
-            raise Refused(f"no: no storage node {node[:64]} on the list")
-        self.bans.remove(node)
-        if self.fleet is not None:
-            self.fleet.ban(node, False)
-        return [node] if self.promises is None else self._kept(self.promises.ban(node), node)
+    def _upstream_client(self, node: str) -> UpstreamClient:
+        return self._nvme_clients.get(node, self._http)
 
-    def _drain(self, drained: bool) -> list[str] | Awaitable[list[str]]:
-        self.front.drain(drained)
-        return [] if self.promises is None else self._kept(self.promises.drain(drained), "")
+    @property
+    def _upstream_clients(self) -> tuple[UpstreamClient, ...]:
+        return (self._http, *self._nvme_clients.values())
 
-    async def _look_at_bans(self) -> None:
-        while True:
-            await asyncio.sleep(BANS_S)
-            self.bans.reload()
+    def _receive_peer_message(self, peer: int, data: str) -> None:
+        self.engine.notify(PeerMessageReceived(peer, data))
 
-    @property
-    def _backs(self) -> tuple[UpstreamClient, ...]:
-        return (self._http, *self._boxes.values())
+    def _apply_ejections(self, changed: set[str]) -> None:
+        self.engine.eject(self.ejections.nodes, changed)
 
-    def _back_of(self, node: str) -> UpstreamClient:
-        return self._boxes.get(node, self._http)
+    def _load_stored_list(self, stored: ServerList) -> None:
+        """Serve by an endpoint list of the replication's store, where discovery has sent no newer one yet."""
+        if self.discovery.start_from(stored):
+            logger.info("endpoint list: version %d loaded from the replicated store", stored.version)
 
-    async def _stop_fronts(self, ends_ms: float) -> None:
-        while self._clock.now_ms() < ends_ms and (self.front.clients or (self.nvme and self.nvme.busy)):
-            await asyncio.sleep(WATCH_S)
-        self.front.end()
-        self.engine.respond_to_all()  # before either front ends: it is owed by both
-        fronts = (self.front, self.nvme) if self.nvme else (self.front,)
-        await asyncio.gather(*(front.stop(SPARE_MS / 2000) for front in fronts))
+    async def _watch_ejections(self) -> None:
+        while True:
+            await asyncio.sleep(EJECTIONS_POLL_S)
+            self.ejections.reload()
 
-    def _heard(self, peer: int, data: str) -> None:
-        self.engine.notify(PeerMessageReceived(peer, data))
+    # ---- start
 
     async def start(self) -> None:
-        if self.config.telemetry.endpoint:
-            # Loaded only where it is wanted: the library takes memory and time at the start.
-            from shaletiller.telemetry.otlp import Otlp
-
-            self.telemetry = Otlp(self.config.telemetry, self.config.name, self.engine, self._clock)
-        self.bans.reload()  # before the first list: what the process before this one took out stays out
+        """Load the known state, then listen; the HTTP server accepts clients from its own start on."""
+        self.telemetry = self._make_telemetry()
+        # Before the first endpoint list: a node that the previous process had ejected gets no request.
+        self.ejections.reload()
         self.discovery.start_from_known()
-        if self.promises is not None:
-            self.promises.open()
-        if self.admin is not None and self.config.admin is not None:
-            await self.admin.start(*self.config.admin)
-            logger.warning(f"operators' door at {self.admin.address[0]}:{self.admin.address[1]}")
+        if self.replication is not None:
+            self.replication.open()
+        await self._start_admin_server()
+        await self._start_fleet()
+        self.front.start(*self.config.listen)
+        await self._start_nvme_server()
+        self._discovery_watch = self.engine.spawn(self.discovery.run())
+        self.engine.spawn(self._watch_ejections())
+        logger.info("gateway %s listens on %s:%d", self.config.name, *self.front.address)
+
+    async def _start_admin_server(self) -> None:
+        if self.admin is None or self.config.admin is None:
+            return
+        await self.admin.start(*self.config.admin)
+        logger.info("operators' calls are served on %s:%d", *self.admin.address)
+
+    async def _start_fleet(self) -> None:
         if self.config.settings.peer_messages_allowed and self.config.peer_listen is not None:
             await self.peers.start(self.config.peer_listen)
         if self.fleet is not None:
-            await self.fleet.start(self.peers, self.bans, tell=self.promises is None)
-        if self.promises is not None:
-            await self.promises.start()
-        self.front.start(*self.config.listen)
-        if self.nvme is not None:
-            await self.nvme.start(*read_address(self.config.nvme.front.listen, "front.listen"))
-            logger.warning(f"NVMe/TCP at {self.nvme.address[0]}:{self.nvme.address[1]}")
-        self._watch = self.engine.spawn(self.discovery.run())
-        self.engine.spawn(self._look_at_bans())
-        logger.warning(
-            f"gateway {self.config.name} listens at {self.front.address[0]}:{self.front.address[1]}"
-        )
+            await self.fleet.start(self.peers, self.ejections, tell=self.replication is None)
+        if self.replication is not None:
+            await self.replication.start()
 
-    def hup(self, read: Callable[[], Config]) -> None:
-        """SIGHUP: the file is read again; a faulty one leaves the configuration as it was."""
+    async def _start_nvme_server(self) -> None:
+        if self.nvme is None:
+            return
+        await self.nvme.start(*read_address(self.config.nvme.target.listen, "front.listen"))
+        logger.info("NVMe/TCP hosts are served on %s:%d", *self.nvme.address)
+
+    # ---- reload
+
+    def handle_sighup(self, read: Callable[[], Config]) -> None:
+        """Read the configuration again and apply it; a faulty one is rejected completely.
+
+        :param read: reads it; a ConfigError leaves the configuration as it is.
+        """
         try:
             config = read()
         except ConfigError as error:
-            self.sighup["rejected"] += 1
-            logger.warning(f"reload: {error}; the configuration stays as it was")
+            self.reload_counts["rejected"] += 1
+            logger.error("reload rejected, the configuration stays as it is: %s", error)
             return
-        self.sighup["applied"] += 1
+        self.reload_counts["applied"] += 1
         self.reload(config)
 
     def reload(self, config: Config) -> None:
-        """A new configuration, under load: the list comes from its `discovery` from now on.
+        """Apply a new configuration's settings and discovery address under load.
 
-        The old agent may take no further call, so the watch moves at once; requests and the list in hand are
-        left alone.  The rest is fixed for the life of a process, and is said to be.
+        Requests in flight and the present endpoint list stay.  All other keys need a restart; those that
+        differ are logged.
         """
-        fixed = [key for key in FIXED_KEYS if getattr(config, key) != getattr(self.config, key)]
-        if fixed:
-            logger.warning(f"reload: {', '.join(fixed)} need a restart, left as they were")
-        moved = config.discovery != self.config.discovery
-        if config.settings != self.config.settings:
-            self.engine.retune(config.settings)
-            for back in self._backs:
-                back.retune(config.settings)
-            self.discovery.retune(config.settings)
-            self._longest_ms = max(spec.deadline_ms for spec in config.settings.classes)
-            logger.warning(
-                f"reload: classes {', '.join(spec.name for spec in config.settings.classes)} from now on"
-            )
-        self.config = msgspec.structs.replace(
-            self.config, discovery=config.discovery, settings=config.settings
-        )
-        if moved:
-            self.discovery.move(config.discovery)  # as it starts, too: the watch begins at the new address
-        if moved and self._watch is not None and not self._watch.done():
-            self._watch.cancel()
-            self._watch = self.engine.spawn(self.discovery.run())
-        how = "" if moved else ", as before"
-        logger.warning(f"reload: discovery at {config.discovery[0]}:{config.discovery[1]}{how}")
+        needs_restart = [key for key in RESTART_KEYS if getattr(config, key) != getattr(self.config, key)]
+        if needs_restart:
+            logger.warning("reload: not applied before a restart: %s", ", ".join(needs_restart))
+        previous = self.config
+        if config.settings != previous.settings:
+            self._retune(config.settings)
+        self.config = msgspec.structs.replace(previous, discovery=config.discovery, settings=config.settings)
+        if config.discovery != previous.discovery:
+            self._move_discovery(config.discovery)
+        else:
+            logger.info("reload: discovery stays at %s:%d", *config.discovery)
+
+    def _retune(self, settings: Settings) -> None:
+        """Apply new settings to all parts."""
+        self.engine.retune(settings)
+        for client in self._upstream_clients:
+            client.retune(settings)
+        self.discovery.retune(settings)
+        self._longest_deadline_ms = longest_deadline_ms(settings)
+        names = ", ".join(spec.name for spec in settings.classes)
+        logger.info("reload: new settings apply to new requests; classes: %s", names)
+
+    def _move_discovery(self, address: tuple[str, int]) -> None:
+        """Watch the endpoint list at a new address, at once: the old agent may answer no further poll."""
+        self.discovery.move(address)  # during the start, too: the watch then begins at the new address
+        if self._discovery_watch is not None and not self._discovery_watch.done():
+            self._discovery_watch.cancel()
+            self._discovery_watch = self.engine.spawn(self.discovery.run())
+        logger.info("reload: discovery at %s:%d", *address)
+
+    # ---- graceful shutdown
 
     async def stop(self) -> None:
-        """A planned stop: clients still come at first, those that are there may ask on, and all that was
-        taken gets its answer before the process can be killed.
+        """Shut down gracefully: every accepted request has its response before the platform's SIGKILL.
 
-        To close what clients hold any sooner would turn them away while no other process takes over.
+        New connections are accepted at first and open ones are kept: closed any sooner, they would send
+        clients away while no other process takes over.
         """
         self._stopping = True
         if self.fleet is not None:
             self.fleet.stop()
-        ends_ms = self._clock.now_ms() + min(MOST_GRACE_MS, self._longest_ms) + KEEP_ACCEPTING_MS - SPARE_MS
+        grace_ms = min(MAX_KILL_DEADLINE_MS, self._longest_deadline_ms) + KILL_GRACE_MS - KILL_MARGIN_MS
+        ends_ms = self._clock.now_ms() + grace_ms
         self.front.ends_ms = ends_ms
-        await asyncio.sleep(min(KEEP_ACCEPTING_S, max(0.0, ends_ms - self._clock.now_ms()) / 1000))
+        await asyncio.sleep(min(ACCEPT_AFTER_SIGTERM_S, max(0.0, ends_ms - self._clock.now_ms()) / 1000))
         self.front.shut()
         if self.nvme is not None:
             self.nvme.shut()
-        await self._stop_fronts(ends_ms)
+        await self._stop_servers(ends_ms)
+        await self._close_parts()
+
+    async def _stop_servers(self, ends_ms: float) -> None:
+        while self._clock.now_ms() < ends_ms and self._serving:
+            await asyncio.sleep(SHUTDOWN_POLL_S)
+        self.front.end()
+        self.engine.respond_to_all()  # before either server ends: both still owe responses
+        servers = (self.front, self.nvme) if self.nvme else (self.front,)
+        await asyncio.gather(*(server.stop(KILL_MARGIN_MS / 2000) for server in servers))
+
+    @property
+    def _serving(self) -> bool:
+        """Whether HTTP clients are connected or a completion is owed to an NVMe host."""
+        return bool(self.front.clients or (self.nvme and self.nvme.busy))
+
+    async def _close_parts(self) -> None:
         await self.engine.close()
-        for back in self._backs:
-            await back.close()
+        for client in self._upstream_clients:
+            await client.close()
         self.peers.close()
-        if self.promises is not None:
-            await self.promises.close()
+        if self.replication is not None:
+            await self.replication.close()
         if self.fleet is not None:
             self.fleet.close()
         if self.telemetry is not None:
             await self.telemetry.stop()
         if self.admin is not None:
             await self.admin.stop()
+
+
+def longest_deadline_ms(settings: Settings) -> float:
+    """The longest deadline that the settings give a request."""
+    return max(spec.deadline_ms for spec in settings.classes)
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -7,6 +7,7 @@
 
 from shaletiller.clock import Clock, Timer
 from shaletiller.config import Config, ConfigError, read_address
+from shaletiller.config.operator_model import FleetPart
 from shaletiller.core.engine import Engine
 from shaletiller.core.manual_ejection import ManualEjections
 from shaletiller.fleet.coordinator import FleetCoordinator
@@ -16,7 +17,6 @@
 from shaletiller.messages.events import Event
 from shaletiller.net.links import Links
 from shaletiller.net.peers import Peers
-from shaletiller.operator_file import FleetPart
 from shaletiller.replication.messages import MARK
 
 logger = logging.getLogger(__name__)
--- a/shaletiller/net/nvme/identify.py
+++ b/shaletiller/net/nvme/identify.py
@@ -4,7 +4,8 @@
 
 import struct
 
-from shaletiller.config import NVME_TRANSFER, NvmeFront, NvmeNamespace
+from shaletiller.config import NvmeNamespace, NvmeTargetConfig
+from shaletiller.config.nvme import MAX_TRANSFER_BYTES
 from shaletiller.net.nvme.pdu import CQE_BYTES, IN_CAPSULE, SQE_BYTES
 
 IDENTIFY_BYTES = 4096
@@ -27,19 +28,19 @@
     return fits[0] if fits else len(RETRY_DELAYS)
 
 
-def controller(front: NvmeFront, cntlid: int) -> bytes:
+def controller(front: NvmeTargetConfig, cntlid: int) -> bytes:
     data = bytearray(IDENTIFY_BYTES)
     data[4:24] = b"shaletiller".ljust(20)
     data[24:64] = b"shaletiller gateway".ljust(40)
     data[64:72] = b"1".ljust(8)
-    data[77] = (NVME_TRANSFER // 4096).bit_length() - 1  # MDTS
+    data[77] = (MAX_TRANSFER_BYTES // 4096).bit_length() - 1  # MDTS
     struct.pack_into("<HI", data, 78, cntlid, VERSION)
     data[111] = 1  # an I/O controller
     struct.pack_into("<HHH", data, 128, *RETRY_DELAYS)
     data[258], data[259] = MOST_ABORTS - 1, MOST_EVENTS - 1
     struct.pack_into("<H", data, 320, 10)  # keep alive counts in steps of 1 s
     data[512], data[513] = 0x66, 0x44
-    struct.pack_into("<HI", data, 514, front.queue_depth, max([0, *(s.nsid for s in front.namespace)]))
+    struct.pack_into("<HI", data, 514, front.queue_depth, max([0, *(s.nsid for s in front.namespaces)]))
     struct.pack_into("<I", data, 536, 1 | 1 << 20)  # SGLs, with an offset into the capsule
     data[768 : 768 + len(front.subsystem)] = front.subsystem.encode()
     capsule = (SQE_BYTES + IN_CAPSULE) // 16
@@ -54,8 +55,8 @@
     return bytes(data)
 
 
-def active_list(front: NvmeFront, after: int) -> bytes:
-    known = sorted(space.nsid for space in front.namespace if space.nsid > after)
+def active_list(front: NvmeTargetConfig, after: int) -> bytes:
+    known = sorted(space.nsid for space in front.namespaces if space.nsid > after)
     return struct.pack(f"<{len(known)}I", *known).ljust(IDENTIFY_BYTES, b"\0")
 
 
--- a/shaletiller/net/nvme/server.py
+++ b/shaletiller/net/nvme/server.py
@@ -15,8 +15,9 @@
 import struct
 from dataclasses import dataclass, field
 
-from shaletiller.config import NVME_TRANSFER, NvmeNamespace
-from shaletiller.config import NvmeFront as FrontConfig
+from shaletiller.config import NvmeNamespace
+from shaletiller.config import NvmeTargetConfig as FrontConfig
+from shaletiller.config.nvme import MAX_TRANSFER_BYTES
 from shaletiller.core.errors import BadRequestError
 from shaletiller.core.interfaces import RequestSink
 from shaletiller.core.model import ClientCall, Exchange, FinalResponse, FinalResult
@@ -116,7 +117,7 @@
     def __init__(self, config: FrontConfig, calls: RequestSink) -> None:
         self.config = config
         self.calls = calls
-        self.spaces = {space.nsid: space for space in config.namespace}
+        self.spaces = {space.nsid: space for space in config.namespaces}
         self.associations: dict[int, Association] = {}
         self.held_bytes = 0
         self.address: tuple[str, int] = ("", 0)
@@ -165,9 +166,9 @@
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         # All that a whole queue may ask for at once fits; see the check of `front.connections` in config.
-        owed = (self.config.queue_depth + 1) * NVME_TRANSFER
+        owed = (self.config.queue_depth + 1) * MAX_TRANSFER_BYTES
         stream = PduStream(reader, writer, FROM_HOST, owed)
-        if len(self._queues) >= self.config.connections:
+        if len(self._queues) >= self.config.max_connections:
             logger.warning("too many NVMe connections, one closed")
             stream.abort()
             return
@@ -462,7 +463,7 @@
         if queue is None or pending is None or queue_id == 0:
             return False
         # What went out may have run: its host must not take the abort for a promise that it did not.
-        sent = pending.command.opcode == Io.WRITE and not all(each.harmless for each in pending.exchanges)
+        sent = pending.command.opcode == Io.WRITE and not all(each.never_ran for each in pending.exchanges)
         exchanges = list(pending.exchanges)
         queue._finish(pending, Status.ABORTED, final=sent)
         for exchange in exchanges:
@@ -486,7 +487,7 @@
         if space is None:
             raise CommandError(Status.INVALID_NAMESPACE)
         size = command.blocks * space.block_bytes
-        if size > NVME_TRANSFER:
+        if size > MAX_TRANSFER_BYTES:
             raise CommandError(Status.INVALID_FIELD)
         if command.lba + command.blocks > space.blocks:
             raise CommandError(Status.LBA_RANGE)
@@ -567,7 +568,7 @@
             key=key,
             units=space.units,
             shard=space.shard,
-            volume_gateways=space.hosts,
+            volume_gateways=space.volume_gateways,
             timeout_ms=space.write_timeout_ms if write else space.read_timeout_ms,
             write=write,
             method="PUT" if write else "GET",
--- a/shaletiller/net/nvme/upstream.py
+++ b/shaletiller/net/nvme/upstream.py
@@ -12,7 +12,7 @@
 import struct
 import time
 
-from shaletiller.config import NvmeBox, read_address
+from shaletiller.config import NvmeUpstreamConfig, read_address
 from shaletiller.core.model import AttemptResult, ClientCall
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.net.nvme.pdu import (
@@ -171,7 +171,7 @@
         self.idle_since = 0.0
 
     @classmethod
-    async def open(cls, host: str, port: int, box: NvmeBox) -> Association:
+    async def open(cls, host: str, port: int, box: NvmeUpstreamConfig) -> Association:
         admin = await HostQueue.open(host, port, 0, 0xFFFF, box.subsystem)
         try:
             await cls._enable(admin, box)
@@ -181,7 +181,7 @@
             raise
 
     @staticmethod
-    async def _enable(admin: HostQueue, box: NvmeBox) -> None:
+    async def _enable(admin: HostQueue, box: NvmeUpstreamConfig) -> None:
         tail = struct.pack("<B3xIQ", 0, Property.CC, ENABLE)
         done, _ = await admin.run(fabrics(Fabrics.PROPERTY_SET, admin.next_cid(), tail))
         while done.status == Status.SUCCESS:
@@ -214,7 +214,7 @@
 class NvmeUpstreamClient:
     """The back of one NVMe box."""
 
-    def __init__(self, box: NvmeBox, settings: Settings, most: int) -> None:
+    def __init__(self, box: NvmeUpstreamConfig, settings: Settings, most: int) -> None:
         self._box = box
         self.retune(settings)
         self._places = asyncio.Semaphore(max(1, most // 2))  # an association holds two sockets
--- a/shaletiller/net/replication.py
+++ b/shaletiller/net/replication.py
@@ -14,6 +14,7 @@
 
 from shaletiller.clock import Clock, Timer
 from shaletiller.config import ServerList
+from shaletiller.config.operator_model import OperatorFile
 from shaletiller.core.engine import Engine
 from shaletiller.core.manual_ejection import ManualEjections
 from shaletiller.core.model import ClientCall, Exchange, FinalResponse
@@ -24,7 +25,6 @@
 from shaletiller.fleet.membership import State
 from shaletiller.fleet.quotas import NOTHING, Amount, from_wire, to_wire
 from shaletiller.net.fleet import FleetAgent
-from shaletiller.operator_file import OperatorFile
 from shaletiller.replication.core import Keep, ReplicationNode, Send
 from shaletiller.replication.groups import Groups
 from shaletiller.replication.messages import Codec
--- /dev/null
+++ b/shaletiller/operator_calls.py
@@ -0,0 +1,147 @@
+"""The operators' calls READY, STATS, DISABLE, ENABLE, DRAIN and UNDRAIN.
+
+`net/admin.py` reads their lines and writes their responses; this module carries them out.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING
+
+from shaletiller.clock import Clock
+from shaletiller.core import metrics
+from shaletiller.core.engine import Engine
+from shaletiller.core.manual_ejection import ManualEjections
+from shaletiller.net.admin import Call, Refused
+from shaletiller.net.discovery import Discovery
+from shaletiller.net.http_server import HttpServer
+
+if TYPE_CHECKING:
+    from shaletiller.net.fleet import FleetAgent
+    from shaletiller.net.replication import ReplicationAgent
+
+MAX_ECHOED_NODE = 64  # characters of an unknown node's id in the response: it is the caller's own text
+
+
+class OperatorCalls:
+    """Carries out the operators' calls on the parts of one gateway.
+
+    :param ready: whether the gateway has an endpoint list and is not shutting down.
+    :param reload_counts: reloads by result, `applied` or `rejected`.
+    :param fleet: None where the fleet is switched off.
+    :param replication: None where the replication is switched off.
+    """
+
+    def __init__(
+        self,
+        engine: Engine,
+        discovery: Discovery,
+        http_server: HttpServer,
+        ejections: ManualEjections,
+        clock: Clock,
+        ready: Callable[[], bool],
+        reload_counts: dict[str, int],
+        fleet: FleetAgent | None,
+        replication: ReplicationAgent | None,
+    ) -> None:
+        self._engine = engine
+        self._discovery = discovery
+        self._http_server = http_server
+        self._ejections = ejections
+        self._clock = clock
+        self._ready = ready
+        self._reload_counts = reload_counts
+        self._fleet = fleet
+        self._replication = replication
+
+    def by_name(self) -> dict[str, Call]:
+        """The calls by the first word of an operator's line."""
+        return {
+            "READY": self.ready,
+            "STATS": self.stats,
+            "DISABLE": self.disable,
+            "ENABLE": self.enable,
+            "DRAIN": lambda words: self._set_draining(True),
+            "UNDRAIN": lambda words: self._set_draining(False),
+        }
+
+    def ready(self, words: list[str]) -> list[str]:
+        """READY: whether this gateway can serve requests.
+
+        :raises Refused: where it cannot.
+        """
+        if not self._ready():
+            raise Refused("no: not ready")
+        return ["yes"]
+
+    def stats(self, words: list[str]) -> list[str]:
+        """STATS: counters and gauges as lines `edge.NAME=VALUE`, then `end`."""
+        engine, fleet, replication = self._engine, self._fleet, self._replication
+        gauges = {
+            # An attempt in flight counts as forwarded: nearly all of them are written by then.
+            "forwards": engine.counters.get("forwards", 0) + len(engine.attempts.in_flight),
+            "outstanding": len(engine.exchanges),
+            "discovered": len(engine.endpoints),
+            "ejected": len(engine.ejected & engine.endpoints.keys()),
+            "sighup_applied": self._reload_counts["applied"],
+            "sighup_rejected": self._reload_counts["rejected"],
+            **(fleet.figures() if fleet is not None else {}),
+            **(self._discovery.book.figures(self._clock.now_ms()) if fleet is not None else {}),
+            **(replication.figures() if replication is not None else {}),
+        }
+        classes = [spec.name for spec in engine.settings.classes]
+        return ["", *metrics.stats_lines(engine.counters, classes, gauges), "end"]
+
+    def disable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
+        """DISABLE: eject a storage node by hand.
+
+        :raises Refused: where the words do not name a known node.
+        """
+        node = self._known_node(words)
+        self._ejections.add(node)
+        return self._publish_ejection(node, True)
+
+    def enable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
+        """ENABLE: lift a storage node's manual ejection.
+
+        :raises Refused: where the words do not name a known node.
+        """
+        node = self._known_node(words)
+        self._ejections.remove(node)
+        return self._publish_ejection(node, False)
+
+    def _known_node(self, words: list[str]) -> str:
+        if len(words) != 1:
+            raise Refused("wants the id of one storage node")
+        node = words[0]
+        if node not in self._engine.endpoints and node not in self._ejections.nodes:
+            raise Refused(f"no: no storage node {node[:MAX_ECHOED_NODE]} on the list")
+        return node
+
+    def _publish_ejection(self, node: str, ejected: bool) -> list[str] | Awaitable[list[str]]:
+        if self._fleet is not None:
+            self._fleet.ban(node, ejected)
+        if self._replication is None:
+            return [node]
+        return self._replicated(self._replication.ban(node), node)
+
+    def _set_draining(self, draining: bool) -> list[str] | Awaitable[list[str]]:
+        """DRAIN and UNDRAIN: send HTTP clients away, or accept them again."""
+        self._http_server.drain(draining)
+        if self._replication is None:
+            return []
+        return self._replicated(self._replication.drain(draining), "")
+
+    async def _replicated(self, replication: Awaitable[None], first_line: str) -> list[str]:
+        """Wait until a majority of the copies has the call.
+
+        :param first_line: of the response to the operator.
+        :raises Refused: where the call holds at this gateway only.
+        """
+        from shaletiller.net.replication import NotReplicatedError  # loaded only where it is configured
+
+        try:
+            await replication
+        except NotReplicatedError as error:
+            raise Refused("kept here only: no majority of its copies; call again later") from error
+        return [first_line]
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -22,7 +22,7 @@
 from opentelemetry.trace import SpanKind, Status, StatusCode, set_span_in_context
 
 from shaletiller.clock import Clock
-from shaletiller.config import Telemetry as TelemetryConfig
+from shaletiller.config import TelemetryConfig
 from shaletiller.core.engine import Engine
 from shaletiller.core.model import Exchange, FinalResult
 
@@ -58,7 +58,7 @@
             export_timeout_millis=EXPORT_S * 1000,
         )
         self._meters = MeterProvider([reader], resource=resource)
-        self._tracers = TracerProvider(sampler=TraceIdRatioBased(config.sample), resource=resource)
+        self._tracers = TracerProvider(sampler=TraceIdRatioBased(config.sample_ratio), resource=resource)
         self._tracers.add_span_processor(
             BatchSpanProcessor(
                 OTLPSpanExporter(endpoint=f"{base}/v1/traces", timeout=EXPORT_S),
--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -11,7 +11,8 @@
 import pytest
 
 from shaletiller.clock import SettableClock
-from shaletiller.config import ConfigError, read_config
+from shaletiller.config import ConfigError, OperatorFileError, read_config
+from shaletiller.config.operator_reader import read_operator_file
 from shaletiller.core.engine import Engine
 from shaletiller.core.interfaces import EngineServices, NoServices
 from shaletiller.core.route import Endpoint
@@ -30,7 +31,6 @@
 )
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.net.links import LENGTH, MOST_WAITING, Link, Links
-from shaletiller.operator_file import OperatorFileError, read
 from shaletiller.settings.model import PlanSpec, Settings
 from tests.core.test_engine import CALL, ScriptedUpstream
 from tests.support.scheduler_host import Host, entry, settings
@@ -271,12 +271,12 @@
 def test_the_operators_file(tmp_path: Path) -> None:
     path = tmp_path / "operator.kdl"
     path.write_text(GOOD)
-    fleet = read(path).fleet
+    fleet = read_operator_file(path).fleet
     assert fleet.on and [each.name for each in fleet.member] == ["g0", "g1"]
     terms = fleet.options(2).terms
     assert terms is not None and (terms.term_ms, fleet.limit[0].policy) == (4_000.0, "available")
     path.write_text("")
-    assert not read(path).fleet.on
+    assert not read_operator_file(path).fleet.on
 
 
 @pytest.mark.parametrize(
@@ -304,7 +304,7 @@
     path = tmp_path / "operator.kdl"
     path.write_text(GOOD.replace(old, new, 1))
     with pytest.raises(OperatorFileError) as error:
-        read(path)
+        read_operator_file(path)
     assert "operator.kdl: " in str(error.value) and said in str(error.value)
 
 
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -11,21 +11,21 @@
 
 
 @pytest.fixture
-def _configured() -> Iterator[None]:
-    """Logging configured as in a gateway, and put back afterwards."""
+def _logging_restored() -> Iterator[None]:
+    """Whatever a test does to the configuration of logging is undone."""
     handlers, level = logging.root.handlers[:], logging.root.level
-    log.configure_logging()
     yield
     logging.root.handlers[:], logging.root.level = handlers, level
     logging.getLogger(log.PROGRAM).setLevel(logging.NOTSET)
 
 
-@pytest.mark.usefixtures("_configured")
+@pytest.mark.usefixtures("_logging_restored")
 def test_a_flood_is_cut_and_counted(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """More lines come in one second than may be written; a second later one more line comes."""
+    log.configure_logging()
     now = [1000.0]
     monkeypatch.setattr("shaletiller.log.time.monotonic", lambda: now[0])
     logger = logging.getLogger("shaletiller.core.engine")
@@ -39,12 +39,13 @@
     assert lines[-2:] == ["shaletiller: 5 log lines dropped", "shaletiller: later"]
 
 
-@pytest.mark.usefixtures("_configured")
+@pytest.mark.usefixtures("_logging_restored")
 def test_what_libraries_log_is_one_line_and_keeps_to_the_rate(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A library logs an exception with its traceback more often than may be written."""
+    log.configure_logging()
     monkeypatch.setattr("shaletiller.log.time.monotonic", lambda: 1000.0)
     for _ in range(log.MAX_LINES_PER_SECOND + 9):
         try:
--- a/tests/gateway/test_operators.py
+++ b/tests/gateway/test_operators.py
@@ -125,10 +125,10 @@
 
     async def test_a_faulty_file_at_sighup_is_counted_as_turned_down(self) -> None:
         self.config.write_text("")
-        self.gateway.hup(lambda: read_config_again(self.env, self.nvme))
+        self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
         self.config.write_text(json.dumps(self.told))
-        self.gateway.hup(lambda: read_config_again(self.env, self.nvme))
-        self.assertEqual(self.gateway.sighup, {"applied": 1, "rejected": 1})
+        self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
+        self.assertEqual(self.gateway.reload_counts, {"applied": 1, "rejected": 1})
 
 
 class ByHand(Scenario):
@@ -162,14 +162,14 @@
         await self.play("send a1 DISABLE n1\nexpect a1 done n1")
         follower = Gateway(read_config(self.env, self.nvme))
         follower.discovery.start_from_known = lambda: None  # type: ignore[method-assign]
-        follower.bans.reload()
+        follower.ejections.reload()
         self.assertEqual(follower.engine.ejected, {"n1"})
 
     async def test_a_ban_that_the_other_process_lifts_is_lifted_here(self) -> None:
         await self.play("send a1 DISABLE n1\nexpect a1 done n1")
         other = Gateway(read_config(self.env, self.nvme))
-        other.bans.reload()
-        other.bans.remove("n1")
+        other.ejections.reload()
+        other.ejections.remove("n1")
         await self.play("""
             wait 300
             send c1 GET 5
@@ -230,7 +230,7 @@
 class NewSettings(Scenario):
     def hup(self, **settings: object) -> None:
         self.config.write_text(json.dumps({**self.told, "settings": {**self.settings, **settings}}))
-        self.gateway.hup(lambda: read_config_again(self.env, self.nvme))
+        self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
 
     async def test_a_class_comes_and_one_goes_while_what_is_held_keeps_its_class(self) -> None:
         read, write = self.settings["classes"]
@@ -252,7 +252,7 @@
             send c4 GET 8
             expect n1 GET 8
         """)
-        self.assertEqual(self.gateway.sighup, {"applied": 2, "rejected": 0})
+        self.assertEqual(self.gateway.reload_counts, {"applied": 2, "rejected": 0})
 
     async def test_fewer_attempts_hold_for_what_comes_next(self) -> None:
         self.hup(limits={**self.settings["limits"], "max-attempts": 1})
@@ -280,8 +280,8 @@
         text = json.dumps(self.told)
         for cut in ("", text[: len(text) // 2]):
             self.config.write_text(cut)
-            self.gateway.hup(lambda: read_config_again(self.env, self.nvme))
-        self.assertEqual(self.gateway.sighup, {"applied": 0, "rejected": 8})
+            self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
+        self.assertEqual(self.gateway.reload_counts, {"applied": 0, "rejected": 8})
         await self.play("""
             send c1 GET 5
             expect n1 GET 5
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -101,7 +101,9 @@
                 self.assertEqual(await self.up(port, 20.0), "HTTP/1.1 200 OK")
                 assert process.stderr is not None
                 told_so = b"".join([await asyncio.wait_for(process.stderr.readline(), 3.0) for _ in range(2)])
-                self.assertRegex(told_so, rb"runs on uvloop, \d{5,} objects set aside")
+                self.assertRegex(
+                    told_so, rb"running on uvloop, \d{5,} objects exempt from garbage collection"
+                )
                 await self.reload(process, path, told)
                 sent = time.monotonic()
                 process.send_signal(signal.SIGTERM)
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -357,10 +357,10 @@
             with self.subTest(classes):
                 self.told["settings"] = {**SETTINGS, "classes": classes}
                 self.config.write_text(json.dumps(self.told))
-                self.gateway.hup(lambda: read_config_again(self.env, self.nvme))
+                self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
                 self.assertIs(self.gateway.config, before)
                 self.assertIs(self.gateway.engine._scheduler.settings, scheduler)
-        self.assertEqual(self.gateway.sighup, {"applied": 0, "rejected": 3})
+        self.assertEqual(self.gateway.reload_counts, {"applied": 0, "rejected": 3})
         await self.served(await self.wire(), 1)
 
 
@@ -576,7 +576,7 @@
 
         for at in range(0, count, 50):
             await asyncio.gather(*(one(number) for number in range(at, at + 50)))
-        self.assertLessEqual(most, self.gateway.config.front_sockets)
+        self.assertLessEqual(most, self.gateway.config.client_sockets)
         await self.rest()
         wire = await self.wire()
         await self.served(wire, 99999)
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -401,7 +401,7 @@
     async def fill(self, lines: str) -> None:
         # Clients that heed no advice to leave.
         self.enterContext(unittest.mock.patch("shaletiller.net.listener.CROWDED_PART", 2.0))
-        for number in range(self.gateway.config.front_sockets):
+        for number in range(self.gateway.config.client_sockets):
             await self.play(lines.replace("N", str(number)))
 
     async def test_a_newcomer_waits_for_a_place_and_the_longest_idle_gives_way(self) -> None:
@@ -415,7 +415,7 @@
 
     async def test_in_a_crowd_clients_leave_with_their_answers(self) -> None:
         await self.play("send c99 GET 1 shard=9 timeout=50\nexpect c99 503\nclose c99")
-        crowd = self.gateway.config.front_sockets * 3 // 4
+        crowd = self.gateway.config.client_sockets * 3 // 4
         self.assertGreater(crowd, self.sockets / 3)  # so many may wait for answers on a busy day
         for number in range(crowd - 1):
             await self.play(f"send c{number} GET up\nexpect c{number} 200")
--- a/tests/nvme/test_scenarios_nvme.py
+++ b/tests/nvme/test_scenarios_nvme.py
@@ -180,7 +180,7 @@
         )
 
     async def test_connect_is_checked(self) -> None:
-        name = self.gateway.config.nvme.front.subsystem
+        name = self.gateway.config.nvme.target.subsystem
         tries = {
             "another subsystem": p.connect(1, 0, 32, 0, 0xFFFF, "nqn.other", "nqn.h"),
             "a queue too large": p.connect(1, 0, 1000, 0, 0xFFFF, name, "nqn.h"),
@@ -198,7 +198,7 @@
         await self.play(f"send v8 hex {IC_REQ}{early.hex()}\nexpect v8 ic_resp\nexpect v8 resp sequence")
 
     async def test_a_host_that_keeps_no_keep_alive_is_let_go(self) -> None:
-        raw = p.connect(1, 0, 32, 80, 0xFFFF, self.gateway.config.nvme.front.subsystem, "nqn.h")
+        raw = p.connect(1, 0, 32, 80, 0xFFFF, self.gateway.config.nvme.target.subsystem, "nqn.h")
         await self.play(
             f"send v1 hex {IC_REQ}{raw.hex()}\nexpect v1 ic_resp\nexpect v1 resp success\nexpect v1 end"
         )
@@ -209,7 +209,7 @@
         await self.play(f"send v1 hex {IC_REQ}{raw.hex()}\nexpect v1 ic_resp\nexpect v1 end")
 
     async def test_more_commands_than_the_queue_holds_end_the_connection(self) -> None:
-        name = self.gateway.config.nvme.front.subsystem
+        name = self.gateway.config.nvme.target.subsystem
         entries = [p.command(p.Admin.ASYNC_EVENT, cid) for cid in (3, 4, 5)]
         events = b"".join(p.encode(p.Kind.CAPSULE_CMD, entry) for entry in entries)
         enable = p.fabrics(p.Fabrics.PROPERTY_SET, 2, p.struct.pack("<B3xIQ", 0, p.Property.CC, 1))
@@ -303,7 +303,7 @@
     async def test_an_association_is_kept_and_closes_when_idle(self) -> None:
         for number in range(3):
             await self.play(f"send c1 GET {number}\nexpect b1 read {number}\nsend b1 ok\nexpect c1 200")
-        box, back = await self.party("b1"), self.gateway._boxes["b1"]
+        box, back = await self.party("b1"), self.gateway._nvme_clients["b1"]
         self.assertEqual(len(box.front.associations), 1)
         back._idle_s = 0.0
         back._sweep()
--- a/tests/settings/test_config.py
+++ b/tests/settings/test_config.py
@@ -63,13 +63,13 @@
     assert (found.name, found.listen, found.discovery) == ("n3", ("127.0.0.9", 1), ("127.0.0.1", 8500))
     assert (found.seed, found.peers, found.known.version) == (0x8C1F30D27A5BE964, (("127.0.0.1", 7946),), 41)
     assert found.settings.classes[1].writes
-    assert (found.nvme.front.listen, found.telemetry.endpoint) == ("", "")
-    assert found.front_sockets + found.back_sockets < 1024
+    assert (found.nvme.target.listen, found.telemetry.endpoint) == ("", "")
+    assert found.client_sockets + found.upstream_sockets < 1024
 
 
 def test_the_nvme_front_is_off_on_the_platform(tmp_path: Path) -> None:
     found = read_config(env(tmp_path, GOOD))
-    assert (found.nvme.front.listen, found.nvme.box) == ("", ())
+    assert (found.nvme.target.listen, found.nvme.upstreams) == ("", ())
 
 
 @pytest.mark.parametrize(
@@ -134,7 +134,7 @@
 def test_an_nvme_namespace_may_give_its_commands_minutes(tmp_path: Path) -> None:
     path = tmp_path / "nvme.toml"
     path.write_text(NVME + "read_timeout_ms = 228552\nwrite_timeout_ms = 86400000\n")
-    space = read_config(env(tmp_path, GOOD), path).nvme.front.namespace[0]
+    space = read_config(env(tmp_path, GOOD), path).nvme.target.namespaces[0]
     assert (space.read_timeout_ms, space.write_timeout_ms) == (228_552, 86_400_000)
 
 
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -29,8 +29,7 @@
 from pathlib import Path
 from typing import Any
 
-from shaletiller.config import NvmeFront as FrontConfig
-from shaletiller.config import NvmeNamespace, read_config, read_config_again
+from shaletiller.config import NvmeNamespace, NvmeTargetConfig, read_config, read_config_again
 from shaletiller.core.model import ClientCall, Exchange, FinalResponse, FinalResult
 from shaletiller.gateway import Gateway
 from shaletiller.net.nvme import pdu as p
@@ -314,7 +313,7 @@
     def __init__(self, scene: Scenario, name: str) -> None:
         super().__init__(scene, name)
         space = NvmeNamespace(1, 1000, "r", "w", "p", VOLUME, 0, block_bytes=scene.box_block)
-        self.front = NvmeFront(FrontConfig(subsystem="box", namespace=(space,)), self)
+        self.front = NvmeFront(NvmeTargetConfig(subsystem="box", namespaces=(space,)), self)
         self.held: dict[str, bytes] = {}
         self.script: Any = None
         self.left: list[str] = []
@@ -465,7 +464,7 @@
             await party.stop()
         await self.gateway.engine.close()
         await self.gateway.front.stop(0.1)
-        for back in (self.gateway._http, *self.gateway._boxes.values()):
+        for back in (self.gateway._http, *self.gateway._nvme_clients.values()):
             await back.close()
         if self.gateway.nvme is not None:
             await self.gateway.nvme.stop(0.1)
