--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -30,7 +30,7 @@
     from shaletiller.net.nvme.server import NvmeFront
     from shaletiller.net.nvme.upstream import NvmeUpstreamClient
     from shaletiller.net.replication import ReplicationAgent
-    from shaletiller.telemetry.otlp import Otlp
+    from shaletiller.telemetry.otlp import OtlpExporter
 
 logger = logging.getLogger(__name__)
 
@@ -81,7 +81,7 @@
         self._longest_deadline_ms = longest_deadline_ms(config.settings)
         self.reload_counts = {"applied": 0, "rejected": 0}
         self.engine = Engine(config.settings, config.seed, self._clock, GatewayServices(self))
-        self.telemetry: Otlp | None = None
+        self.telemetry: OtlpExporter | None = None
         # One client for all nodes that speak HTTP: sockets reserved for each node would add up over those
         # that leave.
         http_sockets = config.upstream_sockets // (2 if config.nvme.upstreams else 1)
@@ -173,12 +173,12 @@
         )
         return Admin(calls.by_name())
 
-    def _make_telemetry(self) -> Otlp | None:
+    def _make_telemetry(self) -> OtlpExporter | None:
         if not self.config.telemetry.endpoint:
             return None
-        from shaletiller.telemetry.otlp import Otlp
+        from shaletiller.telemetry.otlp import OtlpExporter
 
-        return Otlp(self.config.telemetry, self.config.name, self.engine, self._clock)
+        return OtlpExporter(self.config.telemetry, self.config.name, self.engine, self._clock)
 
     # ---- what the parts call
 
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -1,18 +1,20 @@
 """Metrics and traces of the engine by OpenTelemetry's SDK, over OTLP/HTTP.
 
 The export runs on the SDK's own threads and its queues are bounded: what does not fit is dropped, and no
-request waits for it.
+request waits for it.  The names and descriptions of metrics, spans and labels are exported:
+they stay as dashboards know them.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 
+from opentelemetry.context import Context
 from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
 from opentelemetry.exporter.otlp.proto.http.trace_exporter import OTLPSpanExporter
-from opentelemetry.metrics import CallbackOptions, Observation
+from opentelemetry.metrics import CallbackOptions, Meter, Observation
 from opentelemetry.sdk.metrics import MeterProvider
 from opentelemetry.sdk.metrics.export import PeriodicExportingMetricReader
 from opentelemetry.sdk.resources import Resource
@@ -24,51 +26,59 @@
 from shaletiller.clock import Clock
 from shaletiller.config import TelemetryConfig
 from shaletiller.core.engine import Engine
-from shaletiller.core.model import Exchange, FinalResult
+from shaletiller.core.model import Attempt, Exchange, FinalResult
 
 logger = logging.getLogger(__name__)
 
-MOST_SPANS = 1024
-MOST_BATCH = 256
-EXPORT_S = 2.0  # a collector that does not answer by then has lost the batch
-STOP_S = 3.0
+# Empirical: spans that wait for the export, and those of one export.  More would keep more of a burst, at the
+# expense of the process's memory limit.
+MAX_QUEUED_SPANS = 1024
+MAX_EXPORTED_SPANS = 256
+EXPORT_TIMEOUT_S = 2.0  # empirical: a collector that does not respond by then has lost the batch
+# How long a shutdown waits for the last export.  Empirical: one export's timeout and some more; it delays the
+# end of the process while a collector is down.
+SHUTDOWN_TIMEOUT_S = 3.0
+MS_PER_S = 1000
 NS_PER_MS = 1_000_000
 
+ATTEMPT_PREFIX = "attempt."  # of the engine's counters of attempts by outcome
+FORWARDS = "forwards"  # a counter of the operators' STATS, which is not exported
+CLIENT_GONE = "left"  # the label of a request whose client disconnected before its response
 
-def _observed(counts: Mapping[str, int], prefix: str, label: str) -> Iterable[Observation]:
-    """The counts of one family; copied first, for the export runs on another thread."""
-    for name, count in dict(counts).items():
-        attempt = name.startswith("attempt.")
-        answer = "." not in name and name != "forwards"  # the operators' figures are of their own
-        if (attempt, answer) == (prefix == "attempt.", prefix == ""):
-            yield Observation(count, {label: name.removeprefix(prefix)})
 
+def _request_counts(counters: Mapping[str, int]) -> Iterator[Observation]:
+    # Copied first: the export runs on another thread.
+    for name, count in dict(counters).items():
+        if "." not in name and name != FORWARDS:
+            yield Observation(count, {"answer": name})
 
-class Otlp:
-    """Attached to an engine, it reports what the engine has ended."""
+
+def _attempt_counts(counters: Mapping[str, int]) -> Iterator[Observation]:
+    for name, count in dict(counters).items():
+        if name.startswith(ATTEMPT_PREFIX):
+            yield Observation(count, {"outcome": name.removeprefix(ATTEMPT_PREFIX)})
+
+
+class OtlpExporter:
+    """Exports what an engine counts, and a trace of a sample of its requests.
+
+    :param name: the gateway's; the instance id of what is exported.
+    """
 
     def __init__(self, config: TelemetryConfig, name: str, engine: Engine, clock: Clock) -> None:
         self._engine = engine
         self._clock = clock
         resource = Resource.create({"service.name": "shaletiller", "service.instance.id": name})
-        base = config.endpoint.rstrip("/")
-        reader = PeriodicExportingMetricReader(
-            OTLPMetricExporter(endpoint=f"{base}/v1/metrics", timeout=EXPORT_S),
-            export_interval_millis=config.interval_ms,
-            export_timeout_millis=EXPORT_S * 1000,
-        )
-        self._meters = MeterProvider([reader], resource=resource)
-        self._tracers = TracerProvider(sampler=TraceIdRatioBased(config.sample_ratio), resource=resource)
-        self._tracers.add_span_processor(
-            BatchSpanProcessor(
-                OTLPSpanExporter(endpoint=f"{base}/v1/traces", timeout=EXPORT_S),
-                max_queue_size=MOST_SPANS,
-                max_export_batch_size=MOST_BATCH,
-                schedule_delay_millis=config.interval_ms,
-            )
+        self._meter_provider = _meter_provider(config, resource)
+        self._tracer_provider = _tracer_provider(config, resource)
+        self._tracer = self._tracer_provider.get_tracer("shaletiller")
+        meter = self._meter_provider.get_meter("shaletiller")
+        self._observe_engine(meter)
+        self._duration = meter.create_histogram(
+            "shaletiller.request.duration", unit="ms", description="From taking in to the final answer"
         )
-        self._tracer = self._tracers.get_tracer("shaletiller")
-        meter = self._meters.get_meter("shaletiller")
+
+    def _observe_engine(self, meter: Meter) -> None:
         meter.create_observable_counter(
             "shaletiller.requests", [self._requests], description="Requests by final answer"
         )
@@ -76,27 +86,24 @@
             "shaletiller.attempts", [self._attempts], description="Attempts by outcome"
         )
         meter.create_observable_gauge(
-            "shaletiller.requests.held", [self._held], description="Requests without a final answer"
-        )
-        self._duration = meter.create_histogram(
-            "shaletiller.request.duration", unit="ms", description="From taking in to the final answer"
+            "shaletiller.requests.held", [self._in_flight], description="Requests without a final answer"
         )
 
     def _requests(self, _: CallbackOptions) -> Iterable[Observation]:
-        return _observed(self._engine.counters, "", "answer")
+        return _request_counts(self._engine.counters)
 
     def _attempts(self, _: CallbackOptions) -> Iterable[Observation]:
-        return _observed(self._engine.counters, "attempt.", "outcome")
+        return _attempt_counts(self._engine.counters)
 
-    def _held(self, _: CallbackOptions) -> Iterable[Observation]:
+    def _in_flight(self, _: CallbackOptions) -> Iterable[Observation]:
         return [Observation(len(self._engine.exchanges))]
 
     def request_ended(self, exchange: Exchange) -> None:
-        """A request is over: its figures, and a span with one below it for each attempt."""
+        """Record a request's duration, and where it is sampled its span with a child for each attempt."""
         now_ms = self._clock.now_ms()
         call = exchange.call
-        answer = "left" if exchange.result is None else exchange.result.value
-        labels = {"class": call.request_class, "plan": call.plan, "answer": answer}
+        result = CLIENT_GONE if exchange.result is None else exchange.result.value
+        labels = {"class": call.request_class, "plan": call.plan, "answer": result}
         self._duration.record(now_ms - exchange.accepted_ms, labels)
         span = self._tracer.start_span(
             call.request_class,
@@ -109,22 +116,54 @@
                 span.set_status(Status(StatusCode.ERROR))
             context = set_span_in_context(span)
             for attempt in exchange.attempts:
-                child = self._tracer.start_span(
-                    "attempt",
-                    context,
-                    kind=SpanKind.CLIENT,
-                    start_time=int(attempt.sent_ms * NS_PER_MS),
-                    attributes={"node": attempt.node},
-                )
-                if attempt.outcome is not None:
-                    child.set_attribute("outcome", attempt.outcome.value)
-                child.end(int((attempt.ended_ms or now_ms) * NS_PER_MS))
+                self._record_attempt(attempt, context, now_ms)
         span.end(int(now_ms * NS_PER_MS))
 
+    def _record_attempt(self, attempt: Attempt, context: Context, now_ms: float) -> None:
+        span = self._tracer.start_span(
+            "attempt",
+            context,
+            kind=SpanKind.CLIENT,
+            start_time=int(attempt.sent_ms * NS_PER_MS),
+            attributes={"node": attempt.node},
+        )
+        if attempt.outcome is not None:
+            span.set_attribute("outcome", attempt.outcome.value)
+        span.end(int((attempt.ended_ms or now_ms) * NS_PER_MS))
+
     async def stop(self) -> None:
-        """Send what is left, for a short while and off the event loop."""
+        """Export what is queued, for `SHUTDOWN_TIMEOUT_S` at most and off the event loop."""
         loop = asyncio.get_running_loop()
-        work = [loop.run_in_executor(None, each.shutdown) for each in (self._tracers, self._meters)]
-        _, late = await asyncio.wait(work, timeout=STOP_S)
-        if late:
-            logger.warning("telemetry: the last export did not end in time")
+        providers = (self._tracer_provider, self._meter_provider)
+        exports = [loop.run_in_executor(None, provider.shutdown) for provider in providers]
+        _, unfinished = await asyncio.wait(exports, timeout=SHUTDOWN_TIMEOUT_S)
+        if unfinished:
+            logger.warning(
+                "telemetry: the last export did not end within %g s, it is lost", SHUTDOWN_TIMEOUT_S
+            )
+
+
+def _meter_provider(config: TelemetryConfig, resource: Resource) -> MeterProvider:
+    reader = PeriodicExportingMetricReader(
+        OTLPMetricExporter(endpoint=_url(config, "metrics"), timeout=EXPORT_TIMEOUT_S),
+        export_interval_millis=config.interval_ms,
+        export_timeout_millis=EXPORT_TIMEOUT_S * MS_PER_S,
+    )
+    return MeterProvider([reader], resource=resource)
+
+
+def _tracer_provider(config: TelemetryConfig, resource: Resource) -> TracerProvider:
+    provider = TracerProvider(sampler=TraceIdRatioBased(config.sample_ratio), resource=resource)
+    provider.add_span_processor(
+        BatchSpanProcessor(
+            OTLPSpanExporter(endpoint=_url(config, "traces"), timeout=EXPORT_TIMEOUT_S),
+            max_queue_size=MAX_QUEUED_SPANS,
+            max_export_batch_size=MAX_EXPORTED_SPANS,
+            schedule_delay_millis=config.interval_ms,
+        )
+    )
+    return provider
+
+
+def _url(config: TelemetryConfig, signal: str) -> str:
+    return f"{config.endpoint.rstrip('/')}/v1/{signal}"
