--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -27,7 +27,7 @@
 
 if TYPE_CHECKING:
     from shaletiller.net.fleet import FleetAgent
-    from shaletiller.net.nvme.server import NvmeFront
+    from shaletiller.net.nvme.target import NvmeTarget
     from shaletiller.net.nvme.upstream import NvmeUpstreamClient
     from shaletiller.net.replication import ReplicationAgent
     from shaletiller.telemetry.otlp import OtlpExporter
@@ -104,7 +104,7 @@
             self._receive_peer_message,
             self.fleet.receive if self.fleet is not None else None,
         )
-        self.nvme = self._make_nvme_server()
+        self.nvme = self._make_nvme_target()
         ejections_file = Path(config.state_dir) / f"shaletiller-{config.name or 'gateway'}-bans.json"
         self.ejections = ManualEjections(ejections_file, self._apply_ejections)
         self.replication = self._make_replication_agent()
@@ -125,12 +125,12 @@
             for upstream in upstreams
         }
 
-    def _make_nvme_server(self) -> NvmeFront | None:
+    def _make_nvme_target(self) -> NvmeTarget | None:
         if not self.config.nvme.target.listen:
             return None
-        from shaletiller.net.nvme.server import NvmeFront
+        from shaletiller.net.nvme.target import NvmeTarget
 
-        return NvmeFront(self.config.nvme.target, self.engine)
+        return NvmeTarget(self.config.nvme.target, self.engine)
 
     def _make_fleet_agent(self) -> FleetAgent | None:
         operator = self.config.operator
@@ -221,7 +221,7 @@
         await self._start_admin_server()
         await self._start_fleet()
         self.front.start(*self.config.listen)
-        await self._start_nvme_server()
+        await self._start_nvme_target()
         self._discovery_watch = self.engine.spawn(self.discovery.run())
         self.engine.spawn(self._watch_ejections())
         logger.info("gateway %s listens on %s:%d", self.config.name, *self.front.address)
@@ -240,7 +240,7 @@
         if self.replication is not None:
             await self.replication.start()
 
-    async def _start_nvme_server(self) -> None:
+    async def _start_nvme_target(self) -> None:
         if self.nvme is None:
             return
         await self.nvme.start(*read_address(self.config.nvme.target.listen, "front.listen"))
--- /dev/null
+++ b/shaletiller/net/nvme/io_commands.py
@@ -0,0 +1,229 @@
+"""I/O commands at the target: Read, Write and Flush, as client requests for objects.
+
+A block is an object.  A Read or Write is submitted to the engine as one request for each of its blocks.
+"""
+
+from __future__ import annotations
+
+import logging
+from functools import partial
+from typing import TYPE_CHECKING
+
+from shaletiller.config import NvmeNamespace
+from shaletiller.config.nvme import MAX_TRANSFER_BYTES
+from shaletiller.core.errors import BadRequestError
+from shaletiller.core.model import ClientCall, FinalResponse, FinalResult
+from shaletiller.net.nvme.commands import ALL_NAMESPACES, FUSED_MASK, Command, IoOpcode, SglType
+from shaletiller.net.nvme.errors import CommandError, FatalErrorStatus, PduError
+from shaletiller.net.nvme.identify import retry_delay_number
+from shaletiller.net.nvme.pdu import FLAG_LAST_PDU, MAX_H2C_DATA, MAX_IN_CAPSULE_DATA, Pdu, r2t
+from shaletiller.net.nvme.pending import PendingCommand
+from shaletiller.net.nvme.status import Status
+
+if TYPE_CHECKING:
+    from shaletiller.net.nvme.queue import ControllerQueue
+
+logger = logging.getLogger(__name__)
+
+# Bytes of write data reserved for all hosts together; a Write beyond them is to be retried.  Empirical: a
+# twelfth of the default memory limit, against the number of Writes that may be received at the same time.
+MAX_WRITE_DATA_BYTES = 16 << 20
+
+
+class IoCommands:
+    """Carries out the I/O commands of one queue."""
+
+    def __init__(self, queue: ControllerQueue) -> None:
+        self._queue = queue
+        self._target = queue.target
+
+    def handle(self, pending: PendingCommand, data: bytes) -> None:
+        """Carry out a command.
+
+        :param data: that came in its capsule.
+        :raises CommandError: where it is faulty, or a Write finds no memory for its data.
+        """
+        command = pending.command
+        namespace = self._target.namespaces.get(command.nsid)
+        if command.opcode == IoOpcode.FLUSH:
+            self._flush(pending, namespace)
+            return
+        if command.opcode not in (IoOpcode.READ, IoOpcode.WRITE):
+            raise CommandError(Status.INVALID_OPCODE)
+        if command.raw[1] & FUSED_MASK:
+            raise CommandError(Status.INVALID_FIELD)
+        if namespace is None:
+            raise CommandError(Status.INVALID_NAMESPACE)
+        size = _checked_size(command, namespace)
+        if command.opcode == IoOpcode.READ:
+            pending.namespace = namespace
+            self._submit(pending, namespace)
+        else:
+            self._receive_write(pending, namespace, data, size)
+
+    def _flush(self, pending: PendingCommand, namespace: NvmeNamespace | None) -> None:
+        """Complete a Flush at once: a Write completes when its storage node has it, nothing is cached."""
+        if namespace is None and pending.command.nsid != ALL_NAMESPACES:
+            raise CommandError(Status.INVALID_NAMESPACE)
+        self._queue.complete(pending, Status.SUCCESS)
+
+    # ---- write data
+
+    def _receive_write(
+        self, pending: PendingCommand, namespace: NvmeNamespace, data: bytes, size: int
+    ) -> None:
+        """Submit a Write whose data is in its capsule, or ask the host for the data."""
+        if self._target.write_data_bytes + size > MAX_WRITE_DATA_BYTES:
+            raise CommandError(Status.INTERRUPTED, do_not_retry=False)
+        if pending.command.sgl_type == SglType.IN_CAPSULE:
+            if len(data) != size or size > MAX_IN_CAPSULE_DATA:
+                raise CommandError(Status.INVALID_SGL)
+            pending.data += data
+        pending.namespace = namespace
+        self._target.write_data_bytes += size
+        if pending.data:
+            self._submit(pending, namespace)
+            return
+        pending.missing_bytes = size
+        command_id = pending.command.command_id
+        self._queue.stream.send(
+            r2t(command_id, command_id, 0, size)
+        )  # the command id is its transfer tag too
+
+    def receive_data(self, pdu: Pdu) -> None:
+        """Take an H2CData PDU; with the last one the Write is submitted.
+
+        :raises PduError: where it does not fit the R2T of its command.
+        """
+        command_id, transfer_tag = pdu.field("H", 8), pdu.field("H", 10)
+        pending = self._queue.pending.get(command_id)
+        if pending is None and self._queue.connected:
+            return  # the command was aborted meanwhile
+        if pending is None or transfer_tag != command_id or not pending.missing_bytes:
+            raise PduError(FatalErrorStatus.INVALID_HEADER_FIELD, "data without an R2T", 8)
+        _check_data(pdu, pending)
+        pending.data += pdu.data
+        pending.missing_bytes -= len(pdu.data)
+        if bool(pdu.flags & FLAG_LAST_PDU) != (pending.missing_bytes == 0):
+            raise PduError(FatalErrorStatus.INVALID_HEADER_FIELD, "the last PDU's flag", 1)
+        if not pending.missing_bytes:
+            assert pending.namespace is not None
+            self._submit(pending, pending.namespace)
+
+    # ---- requests and responses
+
+    def _submit(self, pending: PendingCommand, namespace: NvmeNamespace) -> None:
+        """Submit a request for each block; their deadlines start now, when the command is complete."""
+        for position in range(pending.command.blocks):
+            call = self._block_call(pending, namespace, position)
+            respond = partial(self._receive_response, pending, position)
+            try:
+                pending.exchanges.append(self._target.requests.submit(call, respond))
+            except BadRequestError as error:
+                logger.warning("request %s of NVMe block %s rejected, it fails: %s", call.id, call.key, error)
+                respond(FinalResponse(FinalResult.FAILED))
+        # A block may have its response before the next one is submitted: only from here on may the command
+        # complete.
+        pending.submitted = True
+        self._complete_when_responded(pending)
+
+    def _block_call(self, pending: PendingCommand, namespace: NvmeNamespace, position: int) -> ClientCall:
+        is_write, block_bytes = pending.is_write, namespace.block_bytes
+        key = f"{namespace.first_key + pending.command.first_block + position:016x}"
+        start = position * block_bytes
+        body = bytes(pending.data[start : start + block_bytes]) if is_write else b""
+        # The request's id serves as its idempotency key: hosts have none, and send a command only once.
+        request_id = self._target.next_request_id()
+        return ClientCall(
+            id=request_id,
+            idempotency_key=request_id,
+            request_class=namespace.write_class if is_write else namespace.read_class,
+            plan=namespace.plan,
+            volume=namespace.volume,
+            key=key,
+            units=namespace.units,
+            shard=namespace.shard,
+            volume_gateways=namespace.volume_gateways,
+            timeout_ms=namespace.write_timeout_ms if is_write else namespace.read_timeout_ms,
+            write=is_write,
+            method="PUT" if is_write else "GET",
+            target=f"/api?key={key}",
+            body=body,
+        )
+
+    def _receive_response(self, pending: PendingCommand, position: int, response: FinalResponse) -> None:
+        pending.responses[position] = response
+        self._complete_when_responded(pending)
+
+    def _complete_when_responded(self, pending: PendingCommand) -> None:
+        """Complete a command all of whose blocks have their responses."""
+        blocks = pending.command.blocks
+        if pending.done or not pending.submitted or len(pending.responses) < blocks:
+            return
+        assert pending.namespace is not None
+        responses = [pending.responses[position] for position in range(blocks)]
+        results = {response.result for response in responses}
+        if results == {FinalResult.SERVED}:
+            self._complete_served(pending, pending.namespace, responses)
+        elif results == {FinalResult.REJECTED} or (
+            not pending.is_write and FinalResult.FAILED not in results
+        ):
+            retry_delay = self._retry_delay(responses)
+            self._queue.complete(pending, Status.INTERRUPTED, retry_delay=retry_delay)
+        elif pending.is_write:
+            # Some of it may have run: the host must not send it again.
+            self._queue.complete(pending, Status.WRITE_FAULT, do_not_retry=True)
+        else:
+            self._queue.complete(pending, Status.INTERNAL)
+
+    def _retry_delay(self, responses: list[FinalResponse]) -> int:
+        """The number of the command retry delay, 0 where the host does not understand it."""
+        controller = self._queue.controller
+        if controller is None or not controller.host_retries:
+            return 0
+        return retry_delay_number(max(response.retry_after_ms for response in responses))
+
+    def _complete_served(
+        self, pending: PendingCommand, namespace: NvmeNamespace, responses: list[FinalResponse]
+    ) -> None:
+        if pending.is_write:
+            self._queue.complete(pending, Status.SUCCESS)
+            return
+        block_bytes = namespace.block_bytes
+        if any(len(response.body) > block_bytes for response in responses):
+            logger.warning(
+                "NVMe namespace %d: read of %d blocks at %d fails, an object is larger than a block",
+                namespace.nsid,
+                pending.command.blocks,
+                pending.command.first_block,
+            )
+            self._queue.complete(pending, Status.DATA_TRANSFER, do_not_retry=True)
+            return
+        # A shorter object reads as zeros at its end.
+        data = b"".join(response.body.ljust(block_bytes, b"\0") for response in responses)
+        self._queue.complete(pending, Status.SUCCESS, data=data)
+
+
+def _checked_size(command: Command, namespace: NvmeNamespace) -> int:
+    """The number of bytes of a Read or Write.
+
+    :raises CommandError: where its size, range or data pointer is faulty.
+    """
+    size = command.blocks * namespace.block_bytes
+    if size > MAX_TRANSFER_BYTES:
+        raise CommandError(Status.INVALID_FIELD)
+    if command.first_block + command.blocks > namespace.blocks:
+        raise CommandError(Status.LBA_RANGE)
+    if command.sgl_length != size or command.sgl_type not in (SglType.IN_CAPSULE, SglType.TRANSPORT):
+        raise CommandError(Status.INVALID_SGL)
+    return size
+
+
+def _check_data(pdu: Pdu, pending: PendingCommand) -> None:
+    """Check that an H2CData PDU continues the data of its command."""
+    if pdu.field("I", 16) != len(pdu.data) or not pdu.data:
+        raise PduError(FatalErrorStatus.INVALID_HEADER_FIELD, "data length", 16)
+    if pdu.field("I", 12) != len(pending.data):
+        raise PduError(FatalErrorStatus.DATA_OUT_OF_RANGE, "data offset", 12)
+    if len(pdu.data) > pending.missing_bytes or len(pdu.data) > MAX_H2C_DATA:
+        raise PduError(FatalErrorStatus.DATA_OUT_OF_RANGE, "more data than the R2T named", 16)
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -19,8 +19,8 @@
 import uvloop
 
 from shaletiller.net.listener import Connection
-from shaletiller.net.nvme import pdu as p
-from shaletiller.net.nvme.server import Queue
+from shaletiller.net.nvme import capsules, commands
+from shaletiller.net.nvme.queue import ControllerQueue
 from shaletiller.net.pool import UpstreamProtocol
 from tests.support.scenario import PATIENCE_S, SETTINGS, VOLUME, Scenario, key
 
@@ -570,13 +570,13 @@
         host = await self.party("v1")
         await self.play("send v1 read 5\nexpect n1 GET 5")
         queue = (await host.associate()).io
-        flush = p.command(p.Io.FLUSH, queue.next_cid(), 1)
+        flush = commands.encode_command(commands.IoOpcode.FLUSH, queue.next_command_id(), 1)
         sock = queue._stream._writer.transport.get_extra_info("socket")
         # Behind the completion that ends its waiting, and unread as the first connection ends.
-        self.at(Queue, "end", lambda: os.write(sock.fileno(), p.encode(p.Kind.CAPSULE_CMD, flush)))
+        self.at(ControllerQueue, "end", lambda: os.write(sock.fileno(), capsules.command_capsule(flush)))
         stop = asyncio.ensure_future(self.gateway.stop())
         await self.play("expect v1 interrupted")
-        self.assertIsNone(await queue._stream.next(PATIENCE_S))  # the end, in order
+        self.assertIsNone(await queue._stream.receive(PATIENCE_S))  # the end, in order
         await asyncio.wait_for(stop, PATIENCE_S)
 
     async def test_a_host_that_leaves_while_its_command_waits_is_not_sent_on(self) -> None:
--- a/tests/nvme/test_scenarios_nvme.py
+++ b/tests/nvme/test_scenarios_nvme.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import random
+import struct
 import unittest.mock
 from collections import Counter
 from typing import Any
@@ -11,10 +12,12 @@
 from shaletiller.core.errors import BadRequestError
 from shaletiller.core.model import FinalResponse, FinalResult
 from shaletiller.messages.actions import Reject
-from shaletiller.net.nvme import pdu as p
+from shaletiller.net.nvme import capsules, commands, pdu
+from shaletiller.net.nvme.errors import FatalErrorStatus, PduError
+from shaletiller.net.nvme.status import Status
 from tests.support.scenario import Box, Scenario, Server, key, read_message
 
-IC_REQ = p.ic_req().hex()
+IC_REQ = pdu.ic_req().hex()
 
 
 class Front(Scenario):
@@ -82,7 +85,7 @@
 
     async def test_a_host_that_leaves_takes_its_attempts_along(self) -> None:
         await self.play("send v1 read 7\nexpect n1 GET 7\nclose v1\nexpect n1 closed")
-        self.assertEqual(self.gateway.nvme.associations, {})
+        self.assertEqual(self.gateway.nvme.controllers, {})
 
     async def test_commands_out_of_range_are_declined(self) -> None:
         await self.play("""
@@ -95,34 +98,36 @@
 
     async def test_identify_names_the_namespace(self) -> None:
         found = await (await self.party("v1")).associate()
-        entry = p.command(p.Admin.IDENTIFY, found.admin.next_cid(), length=4096, tail=b"\x02")
-        done, data = await found.admin.run(entry, wants=4096)
+        entry = commands.encode_command(
+            commands.AdminOpcode.IDENTIFY, found.admin.next_command_id(), length=4096, tail=b"\x02"
+        )
+        done, data = await found.admin.run(entry, read_bytes=4096)
         self.assertEqual((done.status, data[:8]), (0, b"\1\0\0\0\0\0\0\0"))
-        entry = p.command(p.Admin.KEEP_ALIVE, found.admin.next_cid())
+        entry = commands.encode_command(commands.AdminOpcode.KEEP_ALIVE, found.admin.next_command_id())
         self.assertEqual((await found.admin.run(entry))[0].status, 0)
-        entry = p.command(0x7E, found.admin.next_cid())
-        self.assertEqual((await found.admin.run(entry))[0].status, p.Status.INVALID_OPCODE)
+        entry = commands.encode_command(0x7E, found.admin.next_command_id())
+        self.assertEqual((await found.admin.run(entry))[0].status, Status.INVALID_OPCODE)
 
     async def test_digests_are_declined_and_the_rest_goes_on(self) -> None:
-        asked = bytearray(p.ic_req())
+        asked = bytearray(pdu.ic_req())
         asked[11] = 3
         await self.play(f"send v1 hex {asked.hex()}\nexpect v1 ic_resp 0")
 
     async def test_hostile_units_end_their_connection_alone(self) -> None:
-        capsule = p.encode(p.Kind.CAPSULE_CMD, p.command(p.Admin.KEEP_ALIVE, 1))
-        stray = p.data_pdu(p.Kind.H2C_DATA, 1, 1, 0, b"x" * 16)
+        capsule = capsules.command_capsule(commands.encode_command(commands.AdminOpcode.KEEP_ALIVE, 1))
+        stray = pdu.data_pdu(pdu.PduType.H2C_DATA, 1, 1, 0, b"x" * 16)
         wrong = {
             "no ICReq": (capsule, 2),
             "unknown type": (bytes([0x55, 0, 8, 0, 8, 0, 0, 0]), 1),
-            "a unit of the other side": (p.r2t(0, 0, 0, 0), 2),
+            "a unit of the other side": (pdu.r2t(0, 0, 0, 0), 2),
             "a length of 4 GiB": (bytes([4, 0, 72, 72, 255, 255, 255, 255]), 1),
             "a length below the header": (bytes([4, 0, 72, 0, 8, 0, 0, 0]), 1),
             "a wrong header length": (bytes([0, 0, 64, 0, 128, 0, 0, 0]), 1),
-            "a strange version": (p.encode(p.Kind.IC_REQ, b"\x09\0"), 6),
+            "a strange version": (pdu.encode_pdu(pdu.PduType.IC_REQ, b"\x09\0"), 6),
         }
         after = {
             "stray data": (stray, 1),
-            "a second ICReq": (p.ic_req(), 2),
+            "a second ICReq": (pdu.ic_req(), 2),
             "a digest": (bytes([4, 1, 72, 0, 72, 0, 0, 0]) + bytes(64), 1),
         }
         for number, (what, (raw, why)) in enumerate(wrong.items()):
@@ -139,7 +144,7 @@
     async def test_truncated_units_and_random_bytes_harm_nothing(self) -> None:
         dice = random.Random(7)
         for number in range(12):
-            raw = p.ic_req() + dice.randbytes(dice.randrange(1, 300))
+            raw = pdu.ic_req() + dice.randbytes(dice.randrange(1, 300))
             await self.play(f"send v{number} hex {raw[: dice.randrange(1, len(raw))].hex()}\nclose v{number}")
         await self.play("send v99 read 7\nexpect n1 GET 7\nsend n1 200 fine\nexpect v99 ok fine")
 
@@ -159,8 +164,12 @@
     async def test_a_controller_that_is_disabled_drops_its_commands(self) -> None:
         await self.play("send v1 read 7\nexpect n1 GET 7")
         admin = (await self.party("v1")).association.admin
-        tail = p.struct.pack("<B3xIQ", 0, p.Property.CC, 0)
-        await admin.run(p.fabrics(p.Fabrics.PROPERTY_SET, admin.next_cid(), tail))
+        tail = struct.pack("<B3xIQ", 0, commands.Property.CC, 0)
+        await admin.run(
+            commands.encode_fabrics_command(
+                commands.FabricsCommand.PROPERTY_SET, admin.next_command_id(), tail
+            )
+        )
         await self.play("expect n1 closed")
         self.assertEqual(self.gateway.engine.exchanges, {})
 
@@ -182,11 +191,11 @@
     async def test_connect_is_checked(self) -> None:
         name = self.gateway.config.nvme.target.subsystem
         tries = {
-            "another subsystem": p.connect(1, 0, 32, 0, 0xFFFF, "nqn.other", "nqn.h"),
-            "a queue too large": p.connect(1, 0, 1000, 0, 0xFFFF, name, "nqn.h"),
-            "a queue of one": p.connect(1, 0, 1, 0, 0xFFFF, name, "nqn.h"),
-            "a controller of its choice": p.connect(1, 0, 32, 0, 5, name, "nqn.h"),
-            "an I/O queue of no controller": p.connect(1, 1, 32, 0, 9, name, "nqn.h"),
+            "another subsystem": capsules.connect_capsule(1, 0, 32, 0, 0xFFFF, "nqn.other", "nqn.h"),
+            "a queue too large": capsules.connect_capsule(1, 0, 1000, 0, 0xFFFF, name, "nqn.h"),
+            "a queue of one": capsules.connect_capsule(1, 0, 1, 0, 0xFFFF, name, "nqn.h"),
+            "a controller of its choice": capsules.connect_capsule(1, 0, 32, 0, 5, name, "nqn.h"),
+            "an I/O queue of no controller": capsules.connect_capsule(1, 1, 32, 0, 9, name, "nqn.h"),
         }
         for number, (what, raw) in enumerate(tries.items()):
             with self.subTest(what):
@@ -194,39 +203,51 @@
                     f"send v{number} hex {IC_REQ}{raw.hex()}\nexpect v{number} ic_resp\n"
                     f"expect v{number} resp connect_parameter"
                 )
-        early = p.encode(p.Kind.CAPSULE_CMD, p.command(p.Admin.IDENTIFY, 1, length=4096))
+        early = capsules.command_capsule(
+            commands.encode_command(commands.AdminOpcode.IDENTIFY, 1, length=4096)
+        )
         await self.play(f"send v8 hex {IC_REQ}{early.hex()}\nexpect v8 ic_resp\nexpect v8 resp sequence")
 
     async def test_a_host_that_keeps_no_keep_alive_is_let_go(self) -> None:
-        raw = p.connect(1, 0, 32, 80, 0xFFFF, self.gateway.config.nvme.target.subsystem, "nqn.h")
+        raw = capsules.connect_capsule(
+            1, 0, 32, 80, 0xFFFF, self.gateway.config.nvme.target.subsystem, "nqn.h"
+        )
         await self.play(
             f"send v1 hex {IC_REQ}{raw.hex()}\nexpect v1 ic_resp\nexpect v1 resp success\nexpect v1 end"
         )
-        self.assertEqual(self.gateway.nvme.associations, {})
+        self.assertEqual(self.gateway.nvme.controllers, {})
 
     async def test_a_host_that_ends_the_connection_is_let_go(self) -> None:
-        raw = p.term_req(p.Kind.H2C_TERM, p.PduError(p.Fatal.SEQUENCE, "x"))
+        raw = pdu.term_req(pdu.PduType.H2C_TERM_REQ, PduError(FatalErrorStatus.SEQUENCE_ERROR, "x"))
         await self.play(f"send v1 hex {IC_REQ}{raw.hex()}\nexpect v1 ic_resp\nexpect v1 end")
 
     async def test_more_commands_than_the_queue_holds_end_the_connection(self) -> None:
         name = self.gateway.config.nvme.target.subsystem
-        entries = [p.command(p.Admin.ASYNC_EVENT, cid) for cid in (3, 4, 5)]
-        events = b"".join(p.encode(p.Kind.CAPSULE_CMD, entry) for entry in entries)
-        enable = p.fabrics(p.Fabrics.PROPERTY_SET, 2, p.struct.pack("<B3xIQ", 0, p.Property.CC, 1))
-        raw = p.connect(1, 0, 2, 0, 0xFFFF, name, "nqn.h") + p.encode(p.Kind.CAPSULE_CMD, enable) + events
+        entries = [
+            commands.encode_command(commands.AdminOpcode.ASYNC_EVENT_REQUEST, cid) for cid in (3, 4, 5)
+        ]
+        events = b"".join(capsules.command_capsule(entry) for entry in entries)
+        enable = commands.encode_fabrics_command(
+            commands.FabricsCommand.PROPERTY_SET, 2, struct.pack("<B3xIQ", 0, commands.Property.CC, 1)
+        )
+        raw = (
+            capsules.connect_capsule(1, 0, 2, 0, 0xFFFF, name, "nqn.h")
+            + capsules.command_capsule(enable)
+            + events
+        )
         await self.play(
             f"send v1 hex {IC_REQ}{raw.hex()}\nexpect v1 ic_resp\nexpect v1 resp success\n"
             "expect v1 resp success\nexpect v1 term 2"
         )
 
     async def test_write_data_beyond_what_may_be_held_is_to_be_tried_again(self) -> None:
-        with unittest.mock.patch("shaletiller.net.nvme.server.MOST_HELD", 4096):
+        with unittest.mock.patch("shaletiller.net.nvme.io_commands.MAX_WRITE_DATA_BYTES", 4096):
             await self.play(
                 "send v1 write 1 a\nexpect n1 PUT 1\nsend v2 write 2 b\nexpect v2 interrupted\n"
                 "send n1 200\nexpect v1 ok\nsend v2 write 2 b\nexpect n1 PUT 2\nsend n1 200\n"
                 "expect v2 ok"
             )
-        self.assertEqual(self.gateway.nvme.held_bytes, 0)
+        self.assertEqual(self.gateway.nvme.write_data_bytes, 0)
 
 
 class Back(Scenario):
@@ -304,11 +325,11 @@
         for number in range(3):
             await self.play(f"send c1 GET {number}\nexpect b1 read {number}\nsend b1 ok\nexpect c1 200")
         box, back = await self.party("b1"), self.gateway._nvme_clients["b1"]
-        self.assertEqual(len(box.front.associations), 1)
+        self.assertEqual(len(box.front.controllers), 1)
         back._idle_s = 0.0
-        back._sweep()
+        back._close_stale()
         await self.play("wait 50")
-        self.assertEqual(box.front.associations, {})
+        self.assertEqual(box.front.controllers, {})
 
 
 class LargeBlocks(Scenario):
@@ -328,8 +349,8 @@
 
     async def test_a_box_of_another_block_size_gets_no_command(self) -> None:
         box = await self.party("b1")
-        space = box.front.spaces[1]
-        box.front.spaces[1] = type(space)(1, 1000, "r", "w", "p", space.volume, 0, block_bytes=8192)
+        space = box.front.namespaces[1]
+        box.front.namespaces[1] = type(space)(1, 1000, "r", "w", "p", space.volume, 0, block_bytes=8192)
         await self.play("send c1 PUT 5 a timeout=300\nexpect c1 503\nexpect b1 nothing")
 
 
@@ -394,7 +415,7 @@
                 else:
                     await party.send("read", str(self.count() % 1000))
                 done, _ = await asyncio.wait_for(party.result, 2.0)
-                statuses[p.Status(done.status).name] += 1
+                statuses[Status(done.status).name] += 1
 
         names = [client(f"c{n}") for n in range(6)] + [host(f"v{n}") for n in range(6)]
         await asyncio.gather(*names)
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -24,6 +24,7 @@
 import json
 import re
 import shlex
+import struct
 import tempfile
 import unittest
 from pathlib import Path
@@ -32,10 +33,12 @@
 from shaletiller.config import NvmeNamespace, NvmeTargetConfig, read_config, read_config_again
 from shaletiller.core.model import ClientCall, Exchange, FinalResponse, FinalResult
 from shaletiller.gateway import Gateway
-from shaletiller.net.nvme import pdu as p
-from shaletiller.net.nvme.server import NvmeFront
+from shaletiller.net.nvme import capsules, commands, pdu
+from shaletiller.net.nvme.association import Association
+from shaletiller.net.nvme.host_queue import HostQueue
+from shaletiller.net.nvme.status import Status
 from shaletiller.net.nvme.stream import PduStream
-from shaletiller.net.nvme.upstream import Association, HostQueue
+from shaletiller.net.nvme.target import NvmeTarget
 
 PATIENCE_S = 3.0
 VOLUME = "00000003b4d60021"
@@ -230,17 +233,21 @@
         if self.association is None:
             host, port = self.opened()
             admin = await HostQueue.open(host, port, 0, 0xFFFF, SUBSYSTEM)
-            tail = p.struct.pack("<B3xIQ", 0, p.Property.CC, 0x00460001)
-            await admin.run(p.fabrics(p.Fabrics.PROPERTY_SET, admin.next_cid(), tail))
-            behaviour = p.command(
-                p.Admin.SET_FEATURES,
-                admin.next_cid(),
+            tail = struct.pack("<B3xIQ", 0, commands.Property.CC, 0x00460001)
+            await admin.run(
+                commands.encode_fabrics_command(
+                    commands.FabricsCommand.PROPERTY_SET, admin.next_command_id(), tail
+                )
+            )
+            behaviour = commands.encode_command(
+                commands.AdminOpcode.SET_FEATURES,
+                admin.next_command_id(),
                 length=512,
                 in_capsule=True,
-                tail=p.struct.pack("<II", 0x16, 0),
+                tail=struct.pack("<II", 0x16, 0),
             )
             await admin.run(behaviour, b"\x01".ljust(512, b"\0"))
-            io = await HostQueue.open(host, port, 1, admin.cntlid, SUBSYSTEM)
+            io = await HostQueue.open(host, port, 1, admin.controller_id, SUBSYSTEM)
             self.association = Association(admin, io)
         return self.association
 
@@ -248,50 +255,60 @@
         if what == "hex":
             if self.raw is None:
                 reader, writer = await asyncio.open_connection(*self.opened())
-                self.raw = PduStream(reader, writer, p.FROM_CONTROLLER)
+                self.raw = PduStream(reader, writer, pdu.FROM_CONTROLLER)
             self.raw.send(bytes.fromhex(rest[0]))
             return
         found = await self.associate()
         if what == "abort":
-            which = p.struct.pack("<HH", 1, found.io._cid)
-            await found.admin.run(p.command(p.Admin.ABORT, found.admin.next_cid(), tail=which))
+            which = struct.pack("<HH", 1, found.io._command_id)
+            await found.admin.run(
+                commands.encode_command(commands.AdminOpcode.ABORT, found.admin.next_command_id(), tail=which)
+            )
             return
-        nsid, cid = 1, found.io.next_cid()
+        nsid, cid = 1, found.io.next_command_id()
         size, blocks = 4096, int(rest[2]) if rest[2:] else 1
         if what == "flush":
-            work = found.io.run(p.command(p.Io.FLUSH, cid, nsid))
+            work = found.io.run(commands.encode_command(commands.IoOpcode.FLUSH, cid, nsid))
         elif what == "read":
-            entry = p.io_command(p.Io.READ, cid, nsid, int(rest[0]), blocks, size * blocks, False)
-            work = found.io.run(entry, wants=size * blocks)
+            entry = commands.encode_io_command(
+                commands.IoOpcode.READ, cid, nsid, int(rest[0]), blocks, size * blocks, False
+            )
+            work = found.io.run(entry, read_bytes=size * blocks)
         else:
             data = rest[1].encode().ljust(size * blocks, b"\0")
-            capsule = len(data) <= p.IN_CAPSULE and what == "write"
-            entry = p.io_command(p.Io.WRITE, cid, nsid, int(rest[0]), blocks, len(data), capsule)
+            capsule = len(data) <= pdu.MAX_IN_CAPSULE_DATA and what == "write"
+            entry = commands.encode_io_command(
+                commands.IoOpcode.WRITE, cid, nsid, int(rest[0]), blocks, len(data), capsule
+            )
             work = found.io.run(entry, data) if capsule else self.by_r2t(found.io, entry, cid, data)
         self.result = asyncio.ensure_future(work)
 
     @staticmethod
     async def by_r2t(queue: HostQueue, entry: bytes, cid: int, data: bytes) -> Any:
-        queue._stream.send(p.encode(p.Kind.CAPSULE_CMD, entry))
-        return await queue._answer(cid, data, 0)
+        queue._stream.send(capsules.command_capsule(entry))
+        return await queue.receive_response(cid, data, 0)
 
     async def expect(self, status: str, *rest: str) -> None:
         if status in ("term", "ic_resp", "resp", "end"):
             assert self.raw is not None
-            found = await self.raw.next(PATIENCE_S)
-            kinds = {"term": p.Kind.C2H_TERM, "ic_resp": p.Kind.IC_RESP, "resp": p.Kind.CAPSULE_RESP}
-            self.scene.assertEqual(found and found.kind, kinds.get(status))
+            found = await self.raw.receive(PATIENCE_S)
+            kinds = {
+                "term": pdu.PduType.C2H_TERM_REQ,
+                "ic_resp": pdu.PduType.IC_RESP,
+                "resp": pdu.PduType.RESPONSE_CAPSULE,
+            }
+            self.scene.assertEqual(found and found.type, kinds.get(status))
             if found and status == "resp":
-                self.scene.assertEqual(p.Status(p.read_completion(found).status).name.lower(), rest[0])
+                self.scene.assertEqual(Status(capsules.read_completion(found).status).name.lower(), rest[0])
             elif found and rest:
                 self.scene.assertEqual(found.field("H", 8), int(rest[0]))
             return
         assert self.result is not None
         done, data = await asyncio.wait_for(self.result, PATIENCE_S)
-        self.scene.assertEqual(p.Status(done.status).name.lower(), "success" if status == "ok" else status)
-        self.scene.assertEqual(done.final, "dnr" in rest)
+        self.scene.assertEqual(Status(done.status).name.lower(), "success" if status == "ok" else status)
+        self.scene.assertEqual(done.do_not_retry, "dnr" in rest)
         retry = [int(word.removeprefix("crd")) for word in rest if word.startswith("crd")]
-        self.scene.assertEqual(done.retry, retry[0] if retry else 0)
+        self.scene.assertEqual(done.retry_delay, retry[0] if retry else 0)
         if rest and status == "ok":
             self.scene.assertEqual(data.rstrip(b"\0").decode(), rest[0])
 
@@ -313,7 +330,7 @@
     def __init__(self, scene: Scenario, name: str) -> None:
         super().__init__(scene, name)
         space = NvmeNamespace(1, 1000, "r", "w", "p", VOLUME, 0, block_bytes=scene.box_block)
-        self.front = NvmeFront(NvmeTargetConfig(subsystem="box", namespaces=(space,)), self)
+        self.front = NvmeTarget(NvmeTargetConfig(subsystem="box", namespaces=(space,)), self)
         self.held: dict[str, bytes] = {}
         self.script: Any = None
         self.left: list[str] = []
@@ -351,16 +368,16 @@
 
     async def send(self, *rest: str) -> None:
         if rest[0] == "not_ready":
-            queues = [each for found in self.front.associations.values() for each in found.queues.values()]
+            queues = [each for found in self.front.controllers.values() for each in found.queues.values()]
             for queue, pending in [(each, held) for each in queues for held in each.pending.values()]:
-                queue._finish(pending, p.Status.NOT_READY)
+                queue.complete(pending, Status.NOT_READY)
             return
         verdict = FinalResult.SERVED if rest[0] == "ok" else FinalResult.FAILED
         self.answer(FinalResponse(verdict, "".join(rest[1:]).encode()))
 
     async def close(self, *_: str) -> None:
-        for found in list(self.front.associations.values()):
-            found.end()
+        for found in list(self.front.controllers.values()):
+            found.abort()
 
     async def stop(self) -> None:
         await self.close()
