--- a/shaletiller/config/address.py
+++ b/shaletiller/config/address.py
@@ -10,11 +10,11 @@
 def read_address(text: str, key: str) -> tuple[str, int]:
     """Read an address.
 
-    :param key: under which the address stands, for the error.
+    :param key: of the address, for the error.
     :returns: host and port.
     :raises ConfigError: where the text is not `host:port`.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < PORT_END:
-        raise ConfigError(f"{key}: wants host:port, got {text!r}")
+        raise ConfigError(f"{key}: expected host:port, got {text!r}")
     return host.strip("[]"), int(port)
--- a/shaletiller/config/nvme.py
+++ b/shaletiller/config/nvme.py
@@ -74,7 +74,7 @@
 
 
 class NvmeConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file: the target for hosts, and the storage nodes that are reached over NVMe."""
+    """The complete file: the target for hosts, and the storage nodes that are reached over NVMe."""
 
     target: NvmeTargetConfig = msgspec.field(default=NvmeTargetConfig(), name="front")
     upstreams: tuple[NvmeUpstreamConfig, ...] = msgspec.field(default=(), name="box")
@@ -104,12 +104,12 @@
     sizes += [each.block_bytes for each in nvme.upstreams]
     for at, size in enumerate(sizes):
         if size & (size - 1):
-            raise ConfigError(f"{file_name}: block_bytes: wants a power of two, got {size} (entry {at})")
+            raise ConfigError(f"{file_name}: block_bytes: expected a power of two, got {size} (entry {at})")
 
 
 def _check_unique(values: list[int] | list[str], key: str) -> None:
     if len(set(values)) < len(values):
-        raise ConfigError(f"{key}: the same value stands twice")
+        raise ConfigError(f"{key}: the same value occurs twice")
 
 
 def check_nvme(nvme: NvmeConfig, settings: Settings, memory_mb: float) -> None:
@@ -124,7 +124,7 @@
     allowed_mb = memory_mb * MAX_MEMORY_PART
     if used_mb > allowed_mb:
         raise ConfigError(
-            f"nvme.toml: front.connections: with queue_depth they may hold {used_mb:.0f} MB, "
+            f"nvme.toml: front.connections: with queue_depth they may occupy {used_mb:.0f} MB, "
             f"at most {allowed_mb:.0f} are allowed"
         )
     for at, space in enumerate(target.namespaces):
--- a/shaletiller/config/operator_checks.py
+++ b/shaletiller/config/operator_checks.py
@@ -24,7 +24,7 @@
     for at, member in enumerate(fleet.member):
         _check_unique(member.name, member_names, f"fleet.member[{at}].name")
         if fleet.carrier == "tcp" and not ADDRESS.fullmatch(member.address):
-            raise ValueError(f"fleet.member[{at}].address: wants host:port, got {member.address!r}")
+            raise ValueError(f"fleet.member[{at}].address: expected host:port, got {member.address!r}")
     limit_names = [limit.name for limit in fleet.limit]
     for at, name in enumerate(limit_names):
         _check_unique(name, limit_names, f"fleet.limit[{at}].name")
@@ -36,9 +36,9 @@
     for at, name in enumerate(class_names):
         _check_unique(name, class_names, f"promises.class[{at}].name")
     if replication.on and not file.store.dir:
-        raise ValueError("promises.on: wants a folder for the store, store.dir")
+        raise ValueError("promises.on: needs a directory for the store, store.dir")
     if replication.on and (file.fleet.carrier != "tcp" or not file.fleet.member):
-        raise ValueError('promises.on: wants the members of a fleet and its carrier "tcp"')
+        raise ValueError('promises.on: needs the members of a fleet and its carrier "tcp"')
 
 
 def _check_fleet_options(fleet: FleetPart) -> None:
@@ -51,4 +51,4 @@
 
 def _check_unique(name: str, names: list[str], key: str) -> None:
     if names.count(name) > 1:
-        raise ValueError(f"{key}: {name!r} stands twice")
+        raise ValueError(f"{key}: {name!r} occurs twice")
--- a/shaletiller/config/operator_model.py
+++ b/shaletiller/config/operator_model.py
@@ -18,7 +18,7 @@
 
 
 class Group(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """A group of the file: its values stand in braces."""
+    """A group of the file: its values are in braces."""
 
 
 class MemberRow(Group, frozen=True):
--- a/shaletiller/config/operator_reader.py
+++ b/shaletiller/config/operator_reader.py
@@ -117,7 +117,7 @@
             if item_model is not None:
                 self._append_item(values.setdefault(node.name, []), node, item_model, key)
             elif node.name in values:
-                raise self._node_error(node, key, "stands twice")
+                raise self._node_error(node, key, "occurs twice")
             else:
                 values[node.name] = self._single(node, field_type, key)
         return values
@@ -129,7 +129,7 @@
         self.key_lines.setdefault(key, line)
         self.key_lines[item_key] = line
         if len(node.args) != 1:
-            raise self._node_error(node, key, "wants one name and then its properties")
+            raise self._node_error(node, key, "expected one name and then its properties")
         children = self.group(node.nodes, model, item_key)
         items.append({"name": node.args[0], **node.props, **children})
 
@@ -138,10 +138,10 @@
         self.key_lines[key] = self._line(node)
         if isinstance(field_type, type) and issubclass(field_type, Group):
             if node.args or node.props:
-                raise self._node_error(node, key, "is a group: its values stand in braces")
+                raise self._node_error(node, key, "is a group: its values are in braces")
             return self.group(node.nodes, field_type, key)
         if len(node.args) != 1 or node.props or node.nodes:
-            raise self._node_error(node, key, "wants one value")
+            raise self._node_error(node, key, "expected one value")
         return node.args[0]
 
     def _line(self, node: Any) -> int:
--- a/shaletiller/config/reader.py
+++ b/shaletiller/config/reader.py
@@ -121,10 +121,10 @@
 
 
 def _check_name(name: str) -> str:
-    """Check a gateway's name: it is a part of a file's name, and stands on one line of the log."""
+    """Check a gateway's name: it is a part of a file's name, and is logged on one line."""
     if "/" in name or not name.isprintable() or len(name.encode()) > MAX_NAME_BYTES:
         raise ConfigError(
-            f"EDGE_NAME: wants {MAX_NAME_BYTES} printable bytes at most, no '/', "
+            f"EDGE_NAME: expected at most {MAX_NAME_BYTES} printable bytes, no '/', "
             f"got {name[:MAX_ECHOED_NAME]!r}"
         )
     return name
@@ -134,7 +134,7 @@
     try:
         return value if isinstance(value, int) else int(value, 16)
     except ValueError as error:
-        raise ConfigError(f"seed: wants hex digits, got {value!r}") from error
+        raise ConfigError(f"seed: expected hex digits, got {value!r}") from error
 
 
 def _read_telemetry(env: Mapping[str, str]) -> TelemetryConfig:
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -291,7 +291,7 @@
         logger.info("reload: new settings apply to new requests; classes: %s", names)
 
     def _move_discovery(self, address: tuple[str, int]) -> None:
-        """Watch the endpoint list at a new address, at once: the old agent may answer no further poll."""
+        """Watch the endpoint list at a new address immediately: the old agent may answer no further poll."""
         self.discovery.move(address)  # during the start, too: the watch then begins at the new address
         if self._discovery_watch is not None and not self._discovery_watch.done():
             self._discovery_watch.cancel()
@@ -303,7 +303,7 @@
     async def stop(self) -> None:
         """Shut down gracefully: every accepted request has its response before the platform's SIGKILL.
 
-        New connections are accepted at first and open ones are kept: closed any sooner, they would send
+        New connections are accepted at first and open ones stay open: closed any sooner, they would send
         clients away while no other process takes over.
         """
         self._stopping = True
--- a/shaletiller/net/nvme/admin_commands.py
+++ b/shaletiller/net/nvme/admin_commands.py
@@ -44,7 +44,7 @@
                 result = _set_feature(command, controller, data)
                 self._queue.complete(pending, Status.SUCCESS, result=result)
             case AdminOpcode.ASYNC_EVENT_REQUEST:
-                self._keep_event_request(pending)
+                self._defer_event_request(pending)
             case _:
                 raise CommandError(Status.INVALID_OPCODE)
 
@@ -65,8 +65,8 @@
             return identify.identify_namespace(namespace)
         return identify.namespace_descriptors(namespace)
 
-    def _keep_event_request(self, pending: PendingCommand) -> None:
-        """Keep a request for an event without completing it: this controller reports none."""
+    def _defer_event_request(self, pending: PendingCommand) -> None:
+        """Hold back the completion of a request for events: this controller reports none."""
         if len(self._queue.event_requests) >= identify.MAX_EVENT_REQUESTS:
             raise CommandError(Status.INVALID_FIELD)
         self._queue.event_requests.append(pending.command.command_id)
--- a/shaletiller/net/nvme/commands.py
+++ b/shaletiller/net/nvme/commands.py
@@ -68,7 +68,7 @@
 
 
 class IdentifyTarget(IntEnum):
-    """What Identify asks for (CNS)."""
+    """What Identify returns (CNS)."""
 
     NAMESPACE = 0x00
     CONTROLLER = 0x01
--- a/shaletiller/net/nvme/controller.py
+++ b/shaletiller/net/nvme/controller.py
@@ -21,7 +21,7 @@
     """One host's controller: an admin queue and its I/O queues, by queue id.
 
     `host` is the host's NQN.  `keep_alive_ms` is 0 where the host keeps no timer.  `configuration` is the
-    property CC.  `host_retries` says that the host understands command retry delays (ACRE).
+    property CC.  `host_retries` means that the host understands command retry delays (ACRE).
     """
 
     controller_id: int
@@ -38,7 +38,7 @@
 
     @property
     def status(self) -> int:
-        """The property CSTS; a shutdown that the host notifies is complete at once."""
+        """The property CSTS; a shutdown that the host notifies is complete immediately."""
         shutdown = CSTS_SHUTDOWN_COMPLETE if self.configuration >> 14 & 3 else 0
         return (CSTS_READY if self.enabled else 0) | shutdown
 
--- a/shaletiller/net/nvme/host_queue.py
+++ b/shaletiller/net/nvme/host_queue.py
@@ -32,7 +32,7 @@
 class HostQueue:
     """A queue pair that carries one command at a time.
 
-    `command_sent` says whether the capsule of the present command was handed to the connection: from then on
+    `command_sent` tells whether the capsule of the present command was handed to the connection: from then on
     the controller may act on it, for it need not wait for the data of an R2T to begin.
     """
 
@@ -113,7 +113,7 @@
     async def receive_response(
         self, command_id: int, data: bytes, read_bytes: int
     ) -> tuple[Completion, bytes]:
-        """Receive a command's data and completion, and send the data that R2Ts ask for.
+        """Receive a command's data and completion, and send the data that R2Ts request.
 
         :raises OSError, NvmeUpstreamError, PduError: as in `run`.
         """
@@ -149,7 +149,7 @@
         return pdu
 
     async def _send_data(self, pdu: Pdu, command_id: int, data: bytes) -> None:
-        """Send the part of the data that an R2T asks for, in PDUs that the controller accepts."""
+        """Send the part of the data that an R2T requests, in PDUs that the controller accepts."""
         transfer_tag, start, length = pdu.field("H", 10), pdu.field("I", 12), pdu.field("I", 16)
         end = start + length
         if not length or end > len(data):
--- a/shaletiller/net/nvme/identify.py
+++ b/shaletiller/net/nvme/identify.py
@@ -16,11 +16,11 @@
 SERIAL_NUMBER = b"shaletiller"
 MODEL_NUMBER = b"shaletiller gateway"
 FIRMWARE_REVISION = b"1"
-# CRDT1 to CRDT3, in units of 100 ms.  Empirical: a host chooses among these three, and they cover the range of
-# Retry-After that the scheduler advises.
+# CRDT1 to CRDT3, in units of 100 ms.  Empirical: a host chooses among these three, and they cover
+# the range of Retry-After that the scheduler advises.
 RETRY_DELAYS = (1, 3, 10)
 RETRY_DELAY_UNIT_MS = 100
-MAX_ABORTS = 4  # outstanding Abort commands of an association; all complete at once here
+MAX_ABORTS = 4  # outstanding Abort commands of an association; all complete immediately here
 # Outstanding Asynchronous Event Requests of an association; no event is reported, a host needs one at most.
 MAX_EVENT_REQUESTS = 4
 KEEP_ALIVE_UNITS = 10  # KAS: the keep alive timer counts in steps of 1 s, as 10 times 100 ms
--- a/shaletiller/net/nvme/io_commands.py
+++ b/shaletiller/net/nvme/io_commands.py
@@ -62,7 +62,7 @@
             self._receive_write(pending, namespace, data, size)
 
     def _flush(self, pending: PendingCommand, namespace: NvmeNamespace | None) -> None:
-        """Complete a Flush at once: a Write completes when its storage node has it, nothing is cached."""
+        """Complete a Flush immediately: a Write completes when its storage node has it, nothing is cached."""
         if namespace is None and pending.command.nsid != ALL_NAMESPACES:
             raise CommandError(Status.INVALID_NAMESPACE)
         self._queue.complete(pending, Status.SUCCESS)
@@ -72,7 +72,7 @@
     def _receive_write(
         self, pending: PendingCommand, namespace: NvmeNamespace, data: bytes, size: int
     ) -> None:
-        """Submit a Write whose data is in its capsule, or ask the host for the data."""
+        """Submit a Write whose data is in its capsule, or request the data from the host."""
         if self._target.write_data_bytes + size > MAX_WRITE_DATA_BYTES:
             raise CommandError(Status.INTERRUPTED, do_not_retry=False)
         if pending.command.sgl_type == SglType.IN_CAPSULE:
--- a/shaletiller/net/nvme/pdu.py
+++ b/shaletiller/net/nvme/pdu.py
@@ -185,7 +185,7 @@
 ) -> bytes:
     """H2CData or C2HData.
 
-    :param transfer_tag: of the R2T that an H2CData answers (TTAG); 0 in a C2HData.
+    :param transfer_tag: of the R2T that requested an H2CData (TTAG); 0 in a C2HData.
     :param offset: of the data in the command's data, in bytes.
     """
     header = struct.pack("<HHII", command_id, transfer_tag, offset, len(data))
--- a/shaletiller/net/nvme/pending.py
+++ b/shaletiller/net/nvme/pending.py
@@ -15,7 +15,7 @@
 
     `namespace` is set for a Read or Write that was accepted.  `data` is the write data that was received, and
     `missing_bytes` what an R2T still waits for.  `exchanges` are the client requests of its blocks;
-    `responses` has their final responses by the block's position.  `submitted` says that there is a request
+    `responses` has their final responses by the block's position.  `submitted` means that there is a request
     for each block, `done` that the completion was sent or that none is owed any more.
     """
 
--- a/shaletiller/net/nvme/queue.py
+++ b/shaletiller/net/nvme/queue.py
@@ -23,7 +23,7 @@
 logger = logging.getLogger(__name__)
 
 # How long a connection may take to its Connect command.  Empirical: hosts send it immediately; a longer time
-# keeps the place of a host that may connect.
+# occupies the place of a host that may connect.
 CONNECT_TIMEOUT_S = 5.0
 NOT_CONNECTED = -1  # the queue id before Connect
 NO_FLOW_CONTROL = 0xFFFF  # the SQ head pointer where the host has disabled flow control
@@ -120,7 +120,7 @@
             self.controller.abort()
 
     def _initialize(self, pdu: Pdu) -> None:
-        """Answer the ICReq; digests that the host wishes are declined in the ICResp."""
+        """Respond to the ICReq; digests that the host requests are declined in the ICResp."""
         if pdu.type is not PduType.IC_REQ:
             raise PduError(FatalErrorStatus.SEQUENCE_ERROR, "no ICReq first")
         version, alignment = pdu.field("H", 8), pdu.field("B", 10)
--- a/shaletiller/operator_calls.py
+++ b/shaletiller/operator_calls.py
@@ -55,17 +55,17 @@
         self._replication = replication
 
     def by_name(self) -> dict[str, Call]:
-        """The calls by the first word of an operator's line."""
+        """The calls by the verb of an operator's line."""
         return {
             "READY": self.ready,
             "STATS": self.stats,
             "DISABLE": self.disable,
             "ENABLE": self.enable,
-            "DRAIN": lambda words: self._set_draining(True),
-            "UNDRAIN": lambda words: self._set_draining(False),
+            "DRAIN": lambda arguments: self._set_draining(True),
+            "UNDRAIN": lambda arguments: self._set_draining(False),
         }
 
-    def ready(self, words: list[str]) -> list[str]:
+    def ready(self, arguments: list[str]) -> list[str]:
         """READY: whether this gateway can serve requests.
 
         :raises Refused: where it cannot.
@@ -74,7 +74,7 @@
             raise Refused("no: not ready")
         return ["yes"]
 
-    def stats(self, words: list[str]) -> list[str]:
+    def stats(self, arguments: list[str]) -> list[str]:
         """STATS: counters and gauges as lines `edge.NAME=VALUE`, then `end`."""
         engine, fleet, replication = self._engine, self._fleet, self._replication
         gauges = {
@@ -92,28 +92,28 @@
         classes = [spec.name for spec in engine.settings.classes]
         return ["", *metrics.stats_lines(engine.counters, classes, gauges), "end"]
 
-    def disable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
+    def disable(self, arguments: list[str]) -> list[str] | Awaitable[list[str]]:
         """DISABLE: eject a storage node by hand.
 
-        :raises Refused: where the words do not name a known node.
+        :raises Refused: where the arguments do not name a known node.
         """
-        node = self._known_node(words)
+        node = self._known_node(arguments)
         self._ejections.add(node)
         return self._publish_ejection(node, True)
 
-    def enable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
+    def enable(self, arguments: list[str]) -> list[str] | Awaitable[list[str]]:
         """ENABLE: lift a storage node's manual ejection.
 
-        :raises Refused: where the words do not name a known node.
+        :raises Refused: where the arguments do not name a known node.
         """
-        node = self._known_node(words)
+        node = self._known_node(arguments)
         self._ejections.remove(node)
         return self._publish_ejection(node, False)
 
-    def _known_node(self, words: list[str]) -> str:
-        if len(words) != 1:
+    def _known_node(self, arguments: list[str]) -> str:
+        if len(arguments) != 1:
             raise Refused("wants the id of one storage node")
-        node = words[0]
+        node = arguments[0]
         if node not in self._engine.endpoints and node not in self._ejections.nodes:
             raise Refused(f"no: no storage node {node[:MAX_ECHOED_NODE]} on the list")
         return node
