--- a/tests/gateway/test_operators.py
+++ b/tests/gateway/test_operators.py
@@ -15,9 +15,15 @@
 from tests.support.scenario import Scenario
 
 
-class Replacing(Scenario):
+class ProcessReplacement(Scenario):
+    """A new process takes over from the one that is shutting down."""
+
     async def test_a_second_process_listens_on_the_same_address(self) -> None:
-        # Without SO_REUSEPORT the new process of an upgrade ends at its start with EADDRINUSE.
+        """An upgrade starts the new process while the old one still listens on the address.
+
+        The new one must be able to listen there too, and the old one goes on serving: without SO_REUSEPORT
+        the new process ends at its start with EADDRINUSE.
+        """
         port = self.gateway.front.address[1]
         other = listener.Door(lambda request: None, 8, Clock(), False, lambda *_: False)  # type: ignore[arg-type,return-value]
         other.listen("127.0.0.1", port)
@@ -31,7 +37,10 @@
         """)
 
     async def test_what_waits_in_the_queue_at_the_shut_is_answered(self) -> None:
-        # A listener that is closed resets the connections queued in it: the client sees no answer.
+        """A client has connected, but the gateway has not accepted it yet when it stops to listen.
+
+        The client must still get its response: a listener that is closed resets the connections queued in it.
+        """
         front = self.gateway.front
         listener = front._door._listener
         assert listener is not None
@@ -47,8 +56,11 @@
             self.assertNotEqual(late.connect_ex(front.address), 0)
 
 
-class Door(Scenario):
-    async def test_each_call_gets_one_line_that_says_done_or_error(self) -> None:
+class Calls(Scenario):
+    """The line protocol of the operators' calls."""
+
+    async def test_each_call_gets_one_line_that_begins_with_done_or_error(self) -> None:
+        """An operator sends good calls, an unknown one, and calls on nodes that are not on the list."""
         await self.play("""
             send a1 READY
             expect a1 done yes
@@ -65,6 +77,7 @@
         """)
 
     async def test_an_overlong_line_is_an_error_and_the_gateway_goes_on(self) -> None:
+        """An operator's line exceeds the limit. It is rejected, and the next call is served."""
         await self.play(f"""
             send a1 DISABLE {"n" * 300}
             expect a1 error line too long
@@ -72,8 +85,11 @@
             expect a1 done yes
         """)
 
-    async def test_a_silent_caller_holds_up_no_other(self) -> None:
-        # One task a connection: a caller that never sends its line would otherwise keep the others waiting.
+    async def test_a_silent_caller_does_not_delay_others(self) -> None:
+        """Callers connect and never send their line.
+
+        Another caller must get its response without waiting for them: each connection has a task of its own.
+        """
         assert self.gateway.admin is not None
         silent = [await asyncio.open_connection(*self.gateway.admin.address) for _ in range(3)]
         started = time.monotonic()
@@ -83,8 +99,14 @@
             writer.close()
 
 
-class Figures(Scenario):
-    async def test_stats_counts_answers_by_class_attempts_and_what_is_held(self) -> None:
+class Stats(Scenario):
+    """What STATS reports."""
+
+    async def test_stats_counts_results_by_class_attempts_and_requests_in_flight(self) -> None:
+        """A read is in flight and is then served; a write fails.
+
+        STATS names each result by class, the attempts and the requests in flight.
+        """
         await self.play("""
             send c1 GET 5
             expect n1 GET 5
@@ -123,7 +145,8 @@
             },
         )
 
-    async def test_a_faulty_file_at_sighup_is_counted_as_turned_down(self) -> None:
+    async def test_a_faulty_file_at_sighup_is_counted_as_rejected(self) -> None:
+        """At SIGHUP the configuration file is empty once and correct once. STATS counts one reload each."""
         self.config.write_text("")
         self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
         self.config.write_text(json.dumps(self.told))
@@ -131,8 +154,14 @@
         self.assertEqual(self.gateway.reload_counts, {"applied": 1, "rejected": 1})
 
 
-class ByHand(Scenario):
-    async def test_a_node_out_by_hand_gets_nothing_new_until_it_is_let_in(self) -> None:
+class ManualEjection(Scenario):
+    """Storage nodes that operators eject by DISABLE."""
+
+    async def test_a_manually_ejected_node_gets_no_request_until_it_is_enabled(self) -> None:
+        """An operator disables the only node of a shard, twice.
+
+        It gets no request, also after the endpoint list names it again, until one ENABLE.
+        """
         await self.play("""
             send a1 DISABLE n1
             expect a1 done n1
@@ -158,14 +187,22 @@
         """)
 
     async def test_a_ban_holds_in_the_process_that_follows(self) -> None:
-        # The next process of an upgrade reads the bans at its start, before the list that it remembers.
+        """An operator has disabled a node; then the process is replaced.
+
+        The new process reads the ejections at its start, before the endpoint list that it remembers: the node
+        stays ejected.
+        """
         await self.play("send a1 DISABLE n1\nexpect a1 done n1")
         follower = Gateway(read_config(self.env, self.nvme))
         follower.discovery.start_from_known = lambda: None  # type: ignore[method-assign]
         follower.ejections.reload()
         self.assertEqual(follower.engine.ejected, {"n1"})
 
-    async def test_a_ban_that_the_other_process_lifts_is_lifted_here(self) -> None:
+    async def test_an_ejection_that_the_other_process_lifts_is_lifted_here(self) -> None:
+        """While two processes of one gateway run, the other one gets the operator's ENABLE.
+
+        This one must send requests to the node again.
+        """
         await self.play("send a1 DISABLE n1\nexpect a1 done n1")
         other = Gateway(read_config(self.env, self.nvme))
         other.ejections.reload()
@@ -177,8 +214,15 @@
         """)
 
 
-class Drain(Scenario):
-    async def test_drained_clients_are_sent_away_and_undrained_taken_again(self) -> None:
+class Draining(Scenario):
+    """DRAIN and UNDRAIN."""
+
+    async def test_clients_are_sent_away_while_draining_and_accepted_again_afterwards(self) -> None:
+        """An operator drains the gateway while one client is idle and one request is in flight.
+
+        Both connections end with their responses, new clients get 503, and after UNDRAIN clients are served
+        again.
+        """
         timer = self.gateway.front._door._timer
         assert timer is not None
         timer.cancel()  # the sweep would shut c1, idle, before it asks, one time in ten
@@ -203,8 +247,11 @@
             expect c4 200
         """)
 
-    async def test_a_connection_left_idle_is_closed_once_drained(self) -> None:
-        # A client that keeps its connection and asks nothing would hold this gateway for as long as it likes.
+    async def test_an_idle_connection_is_closed_while_draining(self) -> None:
+        """A client has its response, keeps its connection and sends nothing more when the gateway drains.
+
+        Its connection must be closed: the client could delay the draining for as long as it likes.
+        """
         await self.play("""
             send c1 GET 5
             expect n1 GET 5
@@ -215,8 +262,8 @@
             expect c1 end
         """)
 
-    async def test_a_second_process_hears_peers_on_the_same_address(self) -> None:
-        # Both processes of an upgrade bind the peers' UDP address; without SO_REUSEPORT the new one ends.
+    async def test_a_second_process_receives_datagrams_on_the_same_address(self) -> None:
+        """Both processes of an upgrade bind the peers' UDP address. Without SO_REUSEPORT the new one ends."""
         first, second = Peers((), None, lambda *_: None), Peers((), None, lambda *_: None)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             probe.bind(("127.0.0.1", 0))
@@ -227,12 +274,18 @@
         second.close()
 
 
-class NewSettings(Scenario):
+class Reload(Scenario):
+    """Settings that SIGHUP changes under load."""
+
     def hup(self, **settings: object) -> None:
         self.config.write_text(json.dumps({**self.told, "settings": {**self.settings, **settings}}))
         self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
 
-    async def test_a_class_comes_and_one_goes_while_what_is_held_keeps_its_class(self) -> None:
+    async def test_a_class_is_added_and_removed_while_requests_in_flight_keep_theirs(self) -> None:
+        """Reloads add a request class and remove it again while one of its requests is in flight.
+
+        New requests are accepted by the classes in force; the one in flight keeps its class.
+        """
         read, write = self.settings["classes"]
         await self.play("""
             send c1 GET 5 class=read2
@@ -254,7 +307,8 @@
         """)
         self.assertEqual(self.gateway.reload_counts, {"applied": 2, "rejected": 0})
 
-    async def test_fewer_attempts_hold_for_what_comes_next(self) -> None:
+    async def test_fewer_attempts_apply_to_new_requests(self) -> None:
+        """A reload allows one attempt. A read whose node closes the connection is not retried any more."""
         self.hup(limits={**self.settings["limits"], "max-attempts": 1})
         await self.play("""
             send c1 GET 5
@@ -265,7 +319,11 @@
             expect n1 nothing
         """)
 
-    async def test_a_faulty_file_is_turned_down_whole(self) -> None:
+    async def test_a_faulty_file_is_rejected_completely(self) -> None:
+        """Reloads read files with one faulty or missing value, an empty one and one that is cut off.
+
+        Each is rejected as a whole, and requests are served as before.
+        """
         read, write = self.settings["classes"]
         faulty: list[object] = [
             {**read, "hard-limit-ms": 0},
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -30,7 +30,9 @@
 
 class DeployTest(unittest.TestCase):
     def test_the_build_compiles_the_package(self) -> None:
-        """The file system is read-only at a start: what is not compiled by then is compiled at each start."""
+        """The build compiles every module: the file system is read-only at a start, and what is not compiled
+        by then is compiled at each start.
+        """
         deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
         with tempfile.TemporaryDirectory() as folder:
             shutil.copytree(
@@ -46,6 +48,7 @@
         self.assertEqual(compiled, sources)
 
     def test_the_lists_name_every_source_of_the_gateway(self) -> None:
+        """deploy/balancer.toml names each module that a gateway loads, by itself or by its package."""
         deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
         listed = [ROOT / name for name in deploy["policy"] + deploy["node"]]
         for source in (ROOT / "shaletiller").rglob("*.py"):
@@ -56,8 +59,10 @@
 
 class StartTest(unittest.TestCase):
     def test_a_start_builds_no_tls_and_loads_nothing_that_is_off(self) -> None:
-        """Forty gateways that start at once on one core share it: what each of them loads in vain adds up to
-        seconds before the first of them waits for anything."""
+        """Forty gateways that start at the same time on one core share it.
+
+        What each of them loads without need adds up to seconds before the first of them serves a request.
+        """
         code = (
             "import ssl, sys\n"
             "made = []\n"
@@ -78,6 +83,10 @@
 
 class ProcessTest(unittest.IsolatedAsyncioTestCase):
     async def test_it_gets_ready_and_ends_on_sigterm(self) -> None:
+        """A gateway process starts, reloads a faulty and a good file, and gets SIGTERM.
+
+        It must still accept clients and reload for a while after the signal, and then end with exit code 0.
+        """
         port = free_port()
         row = {"id": "n1", "addr": "127.0.0.1:1", "cell": 0}
         told = {
@@ -118,8 +127,13 @@
                     await process.wait()
 
     async def test_sigterm_answers_all_that_it_holds_and_exits_with_0(self) -> None:
-        """One request waits, one is out at a node that hangs, one comes in parts across the signal, one is
-        half answered, and clients go on sending on every connection that stays open."""
+        """A gateway gets SIGTERM while requests are in flight.
+
+        One request waits in the queue, one is at a node that hangs, one is received in parts across the
+        signal, one has half of its response, and clients go on sending on every connection that stays open.
+        Each must get its response before the process ends with exit code 0, and no request may be forwarded
+        whose response is lost.
+        """
         port, files = free_port(), tempfile.TemporaryDirectory()
         self.addCleanup(files.cleanup)
         came: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
@@ -243,6 +257,9 @@
 
 class PeersTest(unittest.IsolatedAsyncioTestCase):
     async def test_messages_of_256_bytes_go_out_and_longer_ones_do_not(self) -> None:
+        """A gateway sends datagrams of 256 and 257 bytes, one to an unknown peer and one to all, and receives
+        one too long, one that is no text and a good one. Only what fits the limit passes, in both directions.
+        """
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind(("127.0.0.1", 0))
             other.settimeout(3.0)
--- a/tests/gateway/test_readme.py
+++ b/tests/gateway/test_readme.py
@@ -10,6 +10,7 @@
 
 
 def test_example_runs() -> None:
+    """The README's example prints what its last comment states."""
     text = (Path(__file__).parent.parent.parent / "README.md").read_text()
     code = re.search(r"```python\n(.*?)```", text, re.DOTALL)
     assert code is not None
@@ -22,6 +23,7 @@
 
 
 def test_the_table_of_endings_names_tests_that_are_there() -> None:
+    """Each test and test class that docs/endings.md names exists."""
     root = Path(__file__).parent.parent
     text = "".join(path.read_text() for path in root.rglob("test_*.py"))
     known = set(re.findall(r"def (test_\w+)", text)) | set(re.findall(r"class (\w+)\(", text))
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -12,7 +12,9 @@
 from tests.support.scenario import Scenario, Server
 
 
-class Exported(Scenario):
+class Export(Scenario):
+    """A collector that receives what is exported."""
+
     servers = ("n1", "o1")
 
     async def environment(self) -> dict[str, str]:
@@ -32,6 +34,10 @@
         }
 
     async def test_counts_and_spans_reach_the_collector(self) -> None:
+        """A read is retried and served, a write fails.
+
+        The collector receives a span for each request and attempt, the counts by result and the durations.
+        """
         await self.play(
             "send c1 GET 1\nexpect n1 GET 1\nclose n1\nexpect n1 GET 1\nsend n1 200\n"
             "expect c1 200\n"
@@ -78,7 +84,9 @@
         self.assertEqual(sum(point.count for point in points), 2)
 
 
-class Silent(Scenario):
+class SilentCollector(Scenario):
+    """A collector that accepts requests and never responds."""
+
     servers = ("n1", "o1")
 
     async def environment(self) -> dict[str, str]:
@@ -92,6 +100,10 @@
         }
 
     async def test_a_silent_collector_delays_no_request_and_no_stop(self) -> None:
+        """The collector accepts connections and never responds.
+
+        Requests are served as fast as ever, and the stop ends in time.
+        """
         slowest = 0.0
         for number in range(30):
             started = time.monotonic()
@@ -101,6 +113,9 @@
         await asyncio.wait_for(self.gateway.telemetry.stop(), 5.0)
 
 
-class Off(Scenario):
-    async def test_nothing_is_loaded_where_it_is_not_wanted(self) -> None:
+class NoTelemetry(Scenario):
+    """A gateway without an OTLP endpoint."""
+
+    async def test_telemetry_is_off_without_an_endpoint(self) -> None:
+        """Without an OTLP endpoint the gateway has no exporter."""
         self.assertIsNone(self.gateway.telemetry)
--- a/tests/settings/test_config.py
+++ b/tests/settings/test_config.py
@@ -58,7 +58,8 @@
     return config
 
 
-def test_all_is_read(tmp_path: Path) -> None:
+def test_a_complete_file_is_read(tmp_path: Path) -> None:
+    """A complete file is read; EDGE_LISTEN wins over it, and a missing NVMe file leaves NVMe off."""
     found = read_config(env(tmp_path, GOOD) | {"EDGE_LISTEN": "127.0.0.9:1"}, tmp_path / "none.toml")
     assert (found.name, found.listen, found.discovery) == ("n3", ("127.0.0.9", 1), ("127.0.0.1", 8500))
     assert (found.seed, found.peers, found.known.version) == (0x8C1F30D27A5BE964, (("127.0.0.1", 7946),), 41)
@@ -67,7 +68,8 @@
     assert found.client_sockets + found.upstream_sockets < 1024
 
 
-def test_the_nvme_front_is_off_on_the_platform(tmp_path: Path) -> None:
+def test_nvme_is_off_in_the_deploy_file(tmp_path: Path) -> None:
+    """The deploy/nvme.toml of the repository offers no target and names no storage node."""
     found = read_config(env(tmp_path, GOOD))
     assert (found.nvme.target.listen, found.nvme.upstreams) == ("", ())
 
@@ -102,6 +104,7 @@
     ],
 )
 def test_a_faulty_key_is_named(tmp_path: Path, path: str, value: Any, key: str) -> None:
+    """One value of a good file is faulty. The error begins with its key."""
     with pytest.raises(ConfigError) as caught:
         read_config(env(tmp_path, changed(path, value)), tmp_path / "none.toml")
     assert str(caught.value).removeprefix("EDGE_CONFIG: ").startswith(key), caught.value
@@ -123,6 +126,7 @@
     ],
 )
 def test_a_faulty_nvme_key_is_named(tmp_path: Path, old: str, new: str, key: str) -> None:
+    """One line of the NVMe file is faulty. The error begins with the file's name and names the key."""
     path = tmp_path / "nvme.toml"
     path.write_text(NVME.replace(old, new))
     with pytest.raises(ConfigError) as caught:
@@ -132,6 +136,7 @@
 
 
 def test_an_nvme_namespace_may_give_its_commands_minutes(tmp_path: Path) -> None:
+    """Timeouts of minutes and a day are accepted."""
     path = tmp_path / "nvme.toml"
     path.write_text(NVME + "read_timeout_ms = 228552\nwrite_timeout_ms = 86400000\n")
     space = read_config(env(tmp_path, GOOD), path).nvme.target.namespaces[0]
@@ -139,13 +144,15 @@
 
 
 def test_what_may_be_absent_may_be_null(tmp_path: Path) -> None:
+    """The platform writes null for what a site does not have."""
     bare = GOOD | {"peer_listen": None, "peers": None, "peers_all": None, "known": None}
     found = read_config(env(tmp_path, bare), tmp_path / "none.toml")
     assert (found.peer_listen, found.peers, found.peers_all, found.known.servers) == (None, (), None, ())
 
 
 @pytest.mark.parametrize("name", ["carrasco-campus", "bronze.1", "silver 2", "Köln_3"])
-def test_names_that_other_sites_have_are_taken(tmp_path: Path, name: str) -> None:
+def test_names_of_other_sites_are_accepted(tmp_path: Path, name: str) -> None:
+    """Names with dots, blanks and letters beyond ASCII are accepted."""
     assert read_config(env(tmp_path, GOOD | {"name": name}), tmp_path / "none.toml").name == name
 
 
@@ -161,6 +168,10 @@
     ],
 )
 def test_a_malformed_file_is_one_line_and_a_code(tmp_path: Path, raw: str) -> None:
+    """A gateway starts with a malformed file.
+
+    It ends with exit code 2 and one line that names the key, without a traceback.
+    """
     done = subprocess.run(
         [sys.executable, "-m", "shaletiller"],
         env=env(tmp_path, raw),
@@ -176,5 +187,6 @@
 
 
 def test_otlp_variables_are_checked(tmp_path: Path) -> None:
+    """A sampling ratio above 1 is rejected with the name of its variable."""
     with pytest.raises(ConfigError, match="OTEL_TRACES_SAMPLER_ARG"):
         read_config(env(tmp_path, GOOD) | {"OTEL_TRACES_SAMPLER_ARG": "2"}, tmp_path / "none.toml")
