--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -10,6 +10,7 @@
 
 from shaletiller.clock import Clock, Timer
 from shaletiller.config import Config, ConfigError, read_address
+from shaletiller.config.operator_model import FleetPart
 from shaletiller.core.engine import Engine
 from shaletiller.core.manual_ejection import ManualEjections
 from shaletiller.fleet.coordinator import FleetCoordinator
@@ -18,7 +19,6 @@
 from shaletiller.messages.events import Event
 from shaletiller.net.links import Links
 from shaletiller.net.peers import PeerEndpoint
-from shaletiller.operator_file import FleetPart
 from shaletiller.replication.messages import MARK as REPLICATION_MARK
 
 logger = logging.getLogger(__name__)
--- a/shaletiller/net/replication.py
+++ b/shaletiller/net/replication.py
@@ -14,6 +14,7 @@
 
 from shaletiller.clock import Clock, Timer
 from shaletiller.config import ServerList
+from shaletiller.config.operator_model import OperatorFile
 from shaletiller.core.engine import Engine
 from shaletiller.core.manual_ejection import ManualEjections
 from shaletiller.core.model import ClientCall, Exchange, FinalResponse
@@ -25,7 +26,6 @@
 from shaletiller.fleet.membership import MemberState
 from shaletiller.fleet.quotas import NO_ALLOWANCE, Allowance, from_wire, to_wire
 from shaletiller.net.fleet import FleetAgent
-from shaletiller.operator_file import OperatorFile
 from shaletiller.replication.core import Keep, ReplicationNode, Send
 from shaletiller.replication.groups import Groups
 from shaletiller.replication.messages import Codec
--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -12,7 +12,8 @@
 import pytest
 
 from shaletiller.clock import SettableClock
-from shaletiller.config import ConfigError, read_config
+from shaletiller.config import ConfigError, OperatorFileError, read_config
+from shaletiller.config.operator_reader import read_operator_file
 from shaletiller.core.engine import Engine
 from shaletiller.core.interfaces import EngineServices, NoServices
 from shaletiller.core.route import Endpoint
@@ -32,7 +33,6 @@
 )
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.net.links import FRAME_HEADER, MAX_QUEUED_MESSAGES, Link, Links
-from shaletiller.operator_file import OperatorFileError, read
 from shaletiller.settings.model import PlanSpec
 from tests.core.test_engine import CALL, ScriptedUpstream
 from tests.support.scheduler_host import ScriptedGateway, entry, settings
@@ -81,7 +81,7 @@
     capacity for more.
     """
     warming = entry(started_ms=1.0)
-    host = ScriptedGateway(warming, gateways=100, position=50, warm_up_units=40.0)
+    host = ScriptedGateway(warming, gateways=100, gateway_index=50, warm_up_units=40.0)
     host.run_to(100)
     host.request("r1", units=8)
     assert not host.sent()
@@ -339,12 +339,12 @@
 def test_the_operator_file_configures_the_fleet(tmp_path: Path) -> None:
     path = tmp_path / "operator.kdl"
     path.write_text(GOOD)
-    fleet = read(path).fleet
+    fleet = read_operator_file(path).fleet
     assert fleet.on and [each.name for each in fleet.member] == ["g0", "g1"]
     timing = fleet.options(2).lease_timing
     assert timing is not None and (timing.term_ms, fleet.limit[0].policy) == (4_000.0, "available")
     path.write_text("")
-    assert not read(path).fleet.on
+    assert not read_operator_file(path).fleet.on
 
 
 @pytest.mark.parametrize(
@@ -352,13 +352,13 @@
     [
         ("term-ms 4000", 'term-ms "x"', "line 7: fleet.term-ms: Expected"),
         ("term-ms 4000", "term-ms 100", "line 7: fleet.term-ms: wants at least two leases"),
-        ("term-ms 4000", "term-ms 1 2", "line 7: fleet.term-ms: wants one value"),
-        ("term-ms 4000", "term-ms 4000\n    term-ms 1", "line 8: fleet.term-ms: stands twice"),
+        ("term-ms 4000", "term-ms 1 2", "line 7: fleet.term-ms: expected one value"),
+        ("term-ms 4000", "term-ms 4000\n    term-ms 1", "line 8: fleet.term-ms: occurs twice"),
         ('"available"', '"maybe"', "line 6: fleet.limit[0].policy: Invalid"),
         ("zone=", "zne=", "line 4: fleet.member[0]: Object contains unknown field `zne`"),
         ("name ", "nme ", "line 3: fleet.nme: unknown key"),
-        ('"g1"', '"g0"', "fleet.member[0].name: 'g0' stands twice"),
-        ('"127.0.0.1:7101"', '"here"', "line 5: fleet.member[1].address: wants host:port"),
+        ('"g1"', '"g0"', "fleet.member[0].name: 'g0' occurs twice"),
+        ('"127.0.0.1:7101"', '"here"', "line 5: fleet.member[1].address: expected host:port"),
         ("fleet {", "fleet 1 {", "line 2: fleet: is a group"),
         ("}", "", "line 2"),
     ],
@@ -373,7 +373,7 @@
     path = tmp_path / "operator.kdl"
     path.write_text(GOOD.replace(old, new, 1))
     with pytest.raises(OperatorFileError) as error:
-        read(path)
+        read_operator_file(path)
     assert "operator.kdl: " in str(error.value) and message in str(error.value)
 
 
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import contextlib
 import logging
 from collections.abc import Iterator
 
@@ -11,51 +10,48 @@
 from shaletiller import log
 
 
-@contextlib.contextmanager
-def configured() -> Iterator[None]:
-    """Logging as a gateway configures it; the test runner's handlers are hidden and put back."""
-    handlers, level = logging.root.handlers, logging.root.level
-    logging.root.handlers = []
-    log.configure_logging()
-    try:
-        yield
-    finally:
-        logging.root.handlers = handlers
-        logging.root.setLevel(level)
-        logging.getLogger(log.PROGRAM).setLevel(logging.NOTSET)
+@pytest.fixture
+def _logging_restored() -> Iterator[None]:
+    """Whatever a test does to the configuration of logging is undone."""
+    handlers, level = logging.root.handlers[:], logging.root.level
+    yield
+    logging.root.handlers[:], logging.root.level = handlers, level
+    logging.getLogger(log.PROGRAM).setLevel(logging.NOTSET)
 
 
+@pytest.mark.usefixtures("_logging_restored")
 def test_a_flood_is_cut_and_counted(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """More lines come in one second than may be written; a second later one more line comes."""
+    log.configure_logging()
     now = [1000.0]
     monkeypatch.setattr("shaletiller.log.time.monotonic", lambda: now[0])
     logger = logging.getLogger("shaletiller.core.engine")
-    with configured():
-        for number in range(log.MAX_LINES_PER_SECOND + 5):
-            logger.info("line %d", number)
-        now[0] += 1.0
-        logger.info("later")
+    for number in range(log.MAX_LINES_PER_SECOND + 5):
+        logger.info("line %d", number)
+    now[0] += 1.0
+    logger.info("later")
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == log.MAX_LINES_PER_SECOND + 2
     assert lines[0] == "shaletiller: line 0"
     assert lines[-2:] == ["shaletiller: 5 log lines dropped", "shaletiller: later"]
 
 
+@pytest.mark.usefixtures("_logging_restored")
 def test_what_libraries_log_is_one_line_and_keeps_to_the_rate(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A library logs an exception with its traceback more often than may be written."""
+    log.configure_logging()
     monkeypatch.setattr("shaletiller.log.time.monotonic", lambda: 1000.0)
-    with configured():
-        for _ in range(log.MAX_LINES_PER_SECOND + 9):
-            try:
-                raise ValueError("odd")
-            except ValueError:
-                logging.getLogger("aiohttp.server").exception("Error handling request")
+    for _ in range(log.MAX_LINES_PER_SECOND + 9):
+        try:
+            raise ValueError("odd")
+        except ValueError:
+            logging.getLogger("aiohttp.server").exception("Error handling request")
     lines = capsys.readouterr().err.splitlines()
     line = "shaletiller: aiohttp.server: Error handling request (ValueError('odd'))"
     assert lines == [line] * log.MAX_LINES_PER_SECOND
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -25,6 +25,8 @@
 
 # ==== PROGRAM: the only section that names what the program calls its parts ================================
 from shaletiller import adapter, config, gateway
+from shaletiller.config.errors import OperatorFileError
+from shaletiller.config.operator_reader import read_operator_file as read_operator
 from shaletiller.core import manual_ejection, metrics
 from shaletiller.core.model import ClientCall, FinalResult
 from shaletiller.fleet import codec
@@ -36,8 +38,6 @@
 from shaletiller.messages.endpoints import EndpointState, UpdateKind
 from shaletiller.net import discovery, links, peers
 from shaletiller.net import replication as port
-from shaletiller.operator_file import OperatorFileError
-from shaletiller.operator_file import read as read_operator
 from shaletiller.replication import acceptor, groups, messages, rows
 from shaletiller.replication.rows import Row, describe, pack, read_row, read_says
 from shaletiller.settings import decoder
