--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -27,7 +27,7 @@
     from shaletiller.net.fleet import FleetAgent
     from shaletiller.net.nvme.server import NvmeFront
     from shaletiller.net.nvme.upstream import NvmeUpstreamClient
-    from shaletiller.net.replication import ReplicationAgent
+    from shaletiller.net.replication.agent import ReplicationAgent
     from shaletiller.telemetry.otlp import Otlp
 
 logger = logging.getLogger(__name__)
@@ -127,12 +127,19 @@
         operator = self.config.operator
         if operator is None or self.fleet is None or not operator.promises.on:
             return None
-        from shaletiller.net.replication import ReplicationAgent
-
-        port = ReplicationAgent(operator, self.fleet, self.engine, self._clock, self.config.name, self.bans)
-        port.listed = self._listed
-        port.drained = self.front.drain
-        self.discovery.news = port.news
+        from shaletiller.net.replication.agent import ReplicationAgent
+
+        port = ReplicationAgent(
+            operator,
+            self.fleet,
+            self.engine,
+            self._clock,
+            self.config.name,
+            self.bans,
+            self.front,
+            self._listed,
+        )
+        self.discovery.news = port.endpoint_lists.update
         return port
 
     def _listed(self, kept: ServerList) -> None:
@@ -178,7 +185,7 @@
 
     async def _kept(self, word: Awaitable[None], first: str) -> list[str]:
         """An operator's word that holds here: done when most of its copies have it."""
-        from shaletiller.net.replication import NotReplicatedError
+        from shaletiller.replication.errors import NotReplicatedError
 
         try:
             await word
@@ -193,7 +200,11 @@
         self.bans.add(node)
         if self.fleet is not None:
             self.fleet.ban(node, True)
-        return [node] if self.promises is None else self._kept(self.promises.ban(node), node)
+        return (
+            [node]
+            if self.promises is None
+            else self._kept(self.promises.commands.replicate_ejection(node), node)
+        )
 
     def _enable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
         node = self._node(words)
@@ -202,11 +213,17 @@
         self.bans.remove(node)
         if self.fleet is not None:
             self.fleet.ban(node, False)
-        return [node] if self.promises is None else self._kept(self.promises.ban(node), node)
+        return (
+            [node]
+            if self.promises is None
+            else self._kept(self.promises.commands.replicate_ejection(node), node)
+        )
 
     def _drain(self, drained: bool) -> list[str] | Awaitable[list[str]]:
         self.front.drain(drained)
-        return [] if self.promises is None else self._kept(self.promises.drain(drained), "")
+        return (
+            [] if self.promises is None else self._kept(self.promises.commands.replicate_drain(drained), "")
+        )
 
     async def _look_at_bans(self) -> None:
         while True:
--- a/shaletiller/lab/crash_cut.py
+++ b/shaletiller/lab/crash_cut.py
@@ -20,15 +20,17 @@
 from pathlib import Path
 
 from shaletiller.lab.guarantees import Guarantee, Outcome
-from shaletiller.store.files import Files
-from shaletiller.store.record_format import HEADER_BYTES, DamagedStoreError
-from shaletiller.store.segment_store import LOCK, Contents, Store
+from shaletiller.store.errors import DamagedStoreError
+from shaletiller.store.file_system import FileSystem
+from shaletiller.store.record_format import HEADER_BYTES
+from shaletiller.store.recovery import LOCK_FILE, RecoveredContents
+from shaletiller.store.segment_store import SegmentStore
 
 Held = dict[tuple[int, bytes], bytes]
 SEGMENT_BYTES = 600
 
 
-def held(found: Contents | Store) -> Held:
+def held(found: RecoveredContents | SegmentStore) -> Held:
     return {at: record.value for at, record in found.index.items()}
 
 
@@ -46,7 +48,7 @@
 def write(folder: Path, seed: int, commits: int = 60) -> Written:
     """A store with all that can be in one: snapshot, segments, keys that were replaced and dropped."""
     draw, written = random.Random(f"cut {seed}"), Written(folder)
-    store = Store(folder, segment_bytes=SEGMENT_BYTES)
+    store = SegmentStore(folder, segment_bytes=SEGMENT_BYTES)
     for number in range(commits):
         rows: list[tuple[int, bytes, bytes | None]] = []
         for _ in range(draw.randint(1, 3)):
@@ -83,7 +85,7 @@
 
 
 def _files(folder: Path) -> Iterator[Path]:
-    return (path for path in sorted(folder.iterdir()) if path.name != LOCK)
+    return (path for path in sorted(folder.iterdir()) if path.name != LOCK_FILE)
 
 
 def cuts(written: Written, scratch: Path, tried: Tried, step: int = 1) -> None:
@@ -94,7 +96,7 @@
             folder = _copy(written, scratch)
             (folder / path.name).write_bytes(data[:size])
             try:
-                found = held(Contents(folder, Files()))
+                found = held(RecoveredContents(folder, FileSystem()))
             except DamagedStoreError as error:
                 if path.name == written.last:
                     tried.lost.append(f"{path.name} cut at {size}: turned down: {error}")
@@ -112,10 +114,10 @@
             tried.torn += size > HEADER_BYTES
             # Opened for good, it goes on from there.
             if size % 7 == 0:
-                store = Store(folder)
+                store = SegmentStore(folder)
                 store.commit([(1, b"after", b"more")])
                 store.close()
-                if Contents(folder, Files()).index[1, b"after"].value != b"more":
+                if RecoveredContents(folder, FileSystem()).index[1, b"after"].value != b"more":
                     tried.lost.append(f"{path.name} cut at {size}: a commit afterwards is lost")
 
 
@@ -138,7 +140,7 @@
             spoilt[at] ^= 1 << draw.randrange(8)
             (folder / path.name).write_bytes(bytes(spoilt))
             try:
-                Contents(folder, Files())
+                RecoveredContents(folder, FileSystem())
             except DamagedStoreError as error:
                 if error.path != path.name:
                     tried.unnamed.append(f"{path.name} byte {at}: {error} named")
@@ -150,7 +152,7 @@
     """The machine stopped before this call."""
 
 
-class _Stopping(Files):
+class _Stopping(FileSystem):
     """Stops before the call of this number that changes anything; with `half`, a write goes half through."""
 
     def __init__(self, calls: int, half: bool) -> None:
@@ -161,9 +163,9 @@
         if self.left < 0:
             raise _Stopped
 
-    def append(self, path: Path) -> int:
+    def open_append(self, path: Path) -> int:
         self._call()
-        return super().append(path)
+        return super().open_append(path)
 
     def write(self, file: int, data: bytes) -> None:
         if self.left == 0 and self._half:
@@ -183,9 +185,9 @@
         self._call()
         super().remove(path)
 
-    def sync_folder(self, folder: Path) -> None:
+    def sync_directory(self, folder: Path) -> None:
         self._call()
-        super().sync_folder(folder)
+        super().sync_directory(folder)
 
 
 def stops(written: Written, scratch: Path, tried: Tried) -> None:
@@ -195,7 +197,7 @@
         for half in (False, True):
             tried.stops += 1
             folder = _copy(written, scratch)
-            store = Store(folder, segment_bytes=SEGMENT_BYTES)
+            store = SegmentStore(folder, segment_bytes=SEGMENT_BYTES)
             must = held(store)
             store._files = _Stopping(number, half)
             try:
@@ -206,10 +208,10 @@
                 done = True
             except _Stopped:
                 pass
-            store._files = Files()
+            store._files = FileSystem()
             store.close()
             try:
-                again = Store(folder)
+                again = SegmentStore(folder)
             except DamagedStoreError as error:
                 tried.lost.append(f"compaction stopped at call {number}: {error}")
                 continue
--- a/shaletiller/lab/replication_benchmark.py
+++ b/shaletiller/lab/replication_benchmark.py
@@ -17,9 +17,10 @@
 from shaletiller.lab.load_generator import Asked, Load, Stream
 from shaletiller.lab.replication_scenarios import filled, rig
 from shaletiller.lab.storage_nodes import now_ms
-from shaletiller.replication.rows import REGISTER, Outcome, Row, pack
-from shaletiller.store.files import Files
-from shaletiller.store.segment_store import Contents, Store
+from shaletiller.replication.records import REGISTER, Ballot, Row, WriteOutcome, pack
+from shaletiller.store.file_system import FileSystem
+from shaletiller.store.recovery import RecoveredContents
+from shaletiller.store.segment_store import SegmentStore
 from shaletiller.store.writer import StoreWriter
 
 GATEWAYS = 5
@@ -143,13 +144,13 @@
     count, until = 0, time.monotonic() + seconds
     value = b"x" * 200
     if not together:
-        store = Store(folder)
+        store = SegmentStore(folder)
         while time.monotonic() < until:
             store.commit([(1, f"k{count % 1000}".encode(), value)])
             count += 1
         store.close()
         return count / seconds
-    keeper = StoreWriter(Store(folder))
+    keeper = StoreWriter(SegmentStore(folder))
     keeper.start()
     loop = asyncio.get_running_loop()
 
@@ -157,7 +158,7 @@
         nonlocal count
         while time.monotonic() < until:
             lasts: asyncio.Future[bool] = loop.create_future()
-            keeper.keep([(1, f"k{number} {count % 20}".encode(), value)], lasts.set_result)
+            keeper.submit([(1, f"k{number} {count % 20}".encode(), value)], lasts.set_result)
             await lasts
             count += 1
 
@@ -169,9 +170,9 @@
 def recovery(folder: Path, records: int) -> dict[str, float]:
     """How long a store of so many outcomes takes to open, from the log and from a snapshot."""
     shutil.rmtree(folder, ignore_errors=True)
-    store = Store(folder)
-    body = pack(Outcome(True, b"x" * 100, 1, 2))
-    row = pack(Row((2, 1, 9), (2, 1, 9), 1, body, 99))
+    store = SegmentStore(folder)
+    body = pack(WriteOutcome(True, b"x" * 100, 1, 2))
+    row = pack(Row(Ballot(2, 1, 9), Ballot(2, 1, 9), 1, body, 99))
     for first in range(0, records, 5_000):
         store.commit(
             [
@@ -182,13 +183,13 @@
     size = store.log_bytes
     store.close()
     began = time.monotonic()
-    Contents(folder, Files())
+    RecoveredContents(folder, FileSystem())
     from_log_s = time.monotonic() - began
-    store = Store(folder)
+    store = SegmentStore(folder)
     store.compact()
     store.close()
     began = time.monotonic()
-    found = Contents(folder, Files())
+    found = RecoveredContents(folder, FileSystem())
     assert len(found.index) == records
     return {"records": records, "bytes": size, "log_s": from_log_s, "snapshot_s": time.monotonic() - began}
 
--- a/shaletiller/lab/replication_simulation.py
+++ b/shaletiller/lab/replication_simulation.py
@@ -20,10 +20,10 @@
 import xxhash
 
 from shaletiller.lab.virtual_network import Clocked, Link
-from shaletiller.replication.core import Keep, ReplicationNode, Send
-from shaletiller.replication.groups import Groups
-from shaletiller.replication.proposer import Done
-from shaletiller.replication.writes import Writes
+from shaletiller.replication.effects import OperationResult, PersistRecords, SendMessage
+from shaletiller.replication.groups import ReplicaGroups
+from shaletiller.replication.node import ReplicationNode
+from shaletiller.replication.writes import ReplicatedWrites
 
 EPOCH_MS = 1_764_000_000_000.0
 TICK_MS = 5.0
@@ -58,7 +58,7 @@
         self.sync_ms = 1.0
         self.full = False
         self._mail: list[Callable[[], None]] = []
-        self._waiting: list[Keep] = []
+        self._waiting: list[PersistRecords] = []
         self._syncing = False
         self._told: dict[int, Told] = {}
         self._out: set[int] = set()
@@ -74,7 +74,7 @@
         kept = [(kind, key, value) for (kind, key), value in self.disk.items()]
         now_ms = self.clock()
         self.promises = self.world.make(self.number, self.world.groups, kept, now_ms)
-        self.writes = Writes(self.promises, int(now_ms), KEEP_MS)
+        self.writes = ReplicatedWrites(self.promises, int(now_ms), KEEP_MS)
         self._tick(self.incarnations)
 
     def kill(self, wipe: bool) -> None:
@@ -142,21 +142,21 @@
     def _effects(self) -> None:
         promises, incarnation = self.promises, self.incarnations
         for effect in promises.take_effects():
-            if isinstance(effect, Send):
-                self.world.carry(self.number, effect.member, effect.message)
-            elif isinstance(effect, Keep):
+            if isinstance(effect, SendMessage):
+                self.world.carry(self.number, effect.recipient, effect.message)
+            elif isinstance(effect, PersistRecords):
                 self._keep(effect, incarnation)
-            elif isinstance(effect, Done):
-                self.writes.done(effect, self.clock())
+            elif isinstance(effect, OperationResult):
+                self.writes.operation_finished(effect, self.clock())
         for decision in self.writes.take_decisions():
-            if decision.what == "go":
+            if decision.verdict == "forward":
                 self._go(decision.number, incarnation)
             else:
-                self._tell(decision.number, decision.what, decision.body)
+                self._tell(decision.number, decision.verdict.value, decision.body)
         if promises.effects:
             self._effects()
 
-    def _keep(self, keep: Keep, incarnation: int) -> None:
+    def _keep(self, keep: PersistRecords, incarnation: int) -> None:
         self._waiting.append(keep)
         if not self._syncing:
             self._sync(incarnation)
@@ -168,12 +168,12 @@
         wait_ms = self.sync_ms * self.world.random.uniform(0.2, 1.0)
         self.world.time.at(self.world.time.now_ms + wait_ms, lambda: self._synced(batch, incarnation))
 
-    def _synced(self, batch: list[Keep], incarnation: int) -> None:
+    def _synced(self, batch: list[PersistRecords], incarnation: int) -> None:
         if incarnation != self.incarnations:
             return  # killed meanwhile: none of it lasts
-        failed = self.full and any(keep.rows for keep in batch)
+        failed = self.full and any(keep.updates for keep in batch)
         for keep in batch:
-            for kind, key, value in () if failed else keep.rows:
+            for kind, key, value in () if failed else keep.updates:
                 if value is None:
                     self.disk.pop((kind, key), None)
                 else:
@@ -184,7 +184,9 @@
         for keep in batch:
             self._run(
                 lambda keep=keep: (  # type: ignore[misc]
-                    self.promises.lost(keep.token) if failed else self.promises.kept(keep.token, self.clock())
+                    self.promises.persist_failed(keep.token)
+                    if failed
+                    else self.promises.persisted(keep.token, self.clock())
                 )
             )
 
@@ -234,7 +236,7 @@
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
-        self.groups = Groups(self.zones or ("",) * self.members)
+        self.groups = ReplicaGroups(self.zones or ("",) * self.members)
         self.links = {(a, b): Link() for a in range(self.members) for b in range(self.members) if a != b}
         self.gateways = [Gateway(self, n, self.random.uniform(-200, 200)) for n in range(self.members)]
 
@@ -413,7 +415,7 @@
     world.time.run(END_MS)
     judge(world, seen)
     for gateway in world.gateways:
-        if gateway.promises is None or not gateway.promises.filled:
+        if gateway.promises is None or not gateway.promises.fully_synced:
             seen.broken.append(f"gateway {gateway.number} is not filled long after all trouble")
     if seen.refused_at_end:
         seen.broken.append(f"{seen.refused_at_end} writes refused long after all trouble")
--- a/shaletiller/lab/state_space_explorer.py
+++ b/shaletiller/lab/state_space_explorer.py
@@ -24,15 +24,22 @@
 import msgspec
 import xxhash
 
-from shaletiller.replication.core import Keep, ReplicationNode, Send
-from shaletiller.replication.groups import Groups
-from shaletiller.replication.messages import Accept, Join, Page, Prepare, Reply
-from shaletiller.replication.proposer import Done, Expect, Held
-from shaletiller.replication.rows import META, pack
+from shaletiller.replication.effects import CommitPosition, OperationResult, PersistRecords, SendMessage
+from shaletiller.replication.groups import ReplicaGroups
+from shaletiller.replication.messages import (
+    Accept,
+    Prepare,
+    Reply,
+    StateTransferPage,
+    StateTransferRequest,
+)
+from shaletiller.replication.node import ReplicationNode
+from shaletiller.replication.proposer import Precondition
+from shaletiller.replication.records import META, pack
 
 BEGIN_MS, END_MS = 1_000_000.0, 9e12
 TICK_MS = 100.0  # longer than any wait of the protocol: each tick is one time-out
-GROUPS = Groups(("", "", ""))
+GROUPS = ReplicaGroups(("", "", ""))
 Choice = tuple[Any, ...]
 
 
@@ -86,7 +93,7 @@
 
     nodes: list[Any]
     disks: list[dict[tuple[int, bytes], bytes]]
-    down: list[list[Keep]]  # on their way to each disk, in order
+    down: list[list[PersistRecords]]  # on their way to each disk, in order
     mail: Counter[bytes]  # sender, receiver, message: pickled
     asked: list[Asked]
     clock: list[float]
@@ -103,7 +110,7 @@
     """One world's rules.  `make` builds a member; tests put in ones with a guard taken out."""
 
     def __init__(
-        self, bounds: Bounds, script: Script, make: Any = ReplicationNode, groups: Groups = GROUPS
+        self, bounds: Bounds, script: Script, make: Any = ReplicationNode, groups: ReplicaGroups = GROUPS
     ) -> None:
         self.bounds, self.script, self._make, self._groups = bounds, script, make, groups
 
@@ -124,7 +131,9 @@
             self._start(state, member)
         for member, key, outcome in self.script.asks:
             ask = Asked(member, key, f"claim of {member}".encode(), outcome)
-            ask.op = state.nodes[member].ask(key, Expect.FREE, ask.claim, END_MS, END_MS, state.clock[member])
+            ask.op = state.nodes[member].propose(
+                key, Precondition.FREE, ask.claim, END_MS, END_MS, state.clock[member]
+            )
             state.asked.append(ask)
             self._effects(state, member)
         return state
@@ -134,7 +143,7 @@
         state.clock[member] += 10.0 * state.starts
         kept = [(kind, key, value) for (kind, key), value in state.disks[member].items()]
         node = self._make(member, self._groups, kept, state.clock[member])
-        node.repair._compare_ms = END_MS  # no comparisons: repair is not what is tried here
+        node.anti_entropy._compared_ms = END_MS  # no comparisons: repair is not what is tried here
         state.nodes[member] = node
         state.down[member] = []
         node.tick(state.clock[member], ())
@@ -161,7 +170,9 @@
                 yield "kill", member
             if spent["wiped"] < bounds.wiped:
                 yield "wipe", member
-            if spent["ticks"] < bounds.ticks and (state.nodes[member].busy or not state.nodes[member].filled):
+            if spent["ticks"] < bounds.ticks and (
+                state.nodes[member].busy or not state.nodes[member].fully_synced
+            ):
                 yield "tick", member
 
     def apply(self, state: State, choice: Choice) -> None:
@@ -169,7 +180,7 @@
         if verb == "sync":
             keep = state.down[what].pop(0)
             self._write(state, what, keep)
-            state.nodes[what].kept(keep.token, state.clock[what])
+            state.nodes[what].persisted(keep.token, state.clock[what])
             self._effects(state, what)
         elif verb == "return":
             state.away = None
@@ -200,8 +211,8 @@
                 state.nodes[member].receive(sender, message, state.clock[member])
                 self._effects(state, member)
 
-    def _write(self, state: State, member: int, keep: Keep) -> None:
-        for kind, key, value in keep.rows:
+    def _write(self, state: State, member: int, keep: PersistRecords) -> None:
+        for kind, key, value in keep.updates:
             if value is None:
                 state.disks[member].pop((kind, key), None)
             else:
@@ -209,37 +220,44 @@
 
     def _effects(self, state: State, member: int) -> None:
         for effect in state.nodes[member].take_effects():
-            if isinstance(effect, Send) and state.away in (member, effect.member):
+            if isinstance(effect, SendMessage) and state.away in (member, effect.recipient):
                 continue
-            if isinstance(effect, Send):
-                state.mail[pickle.dumps((member, effect.member, effect.message))] += 1
-            elif isinstance(effect, Keep):
+            if isinstance(effect, SendMessage):
+                state.mail[pickle.dumps((member, effect.recipient, effect.message))] += 1
+            elif isinstance(effect, PersistRecords):
                 state.down[member].append(effect)
             else:
                 self._done(state, member, effect)
         # Where nobody is killed no one can tell when exactly a row lasts, and a barrier that changes nothing
         # lasts with what is before it: orders that come to the same are tried once.
-        while state.down[member] and not (self.bounds.killed and state.down[member][0].rows):
+        while state.down[member] and not (self.bounds.killed and state.down[member][0].updates):
             keep = state.down[member].pop(0)
             self._write(state, member, keep)
-            state.nodes[member].kept(keep.token, state.clock[member])
+            state.nodes[member].persisted(keep.token, state.clock[member])
             self._effects(state, member)
 
-    def _done(self, state: State, member: int, done: Done) -> None:
-        ask = next((ask for ask in state.asked if ask.member == member and ask.op == done.op), None)
+    def _done(self, state: State, member: int, done: OperationResult) -> None:
+        ask = next((ask for ask in state.asked if ask.member == member and ask.op == done.operation), None)
         if ask is None:
             return
         if ask.told == "":
-            ask.told = "kept" if done.kept else "unknown" if done.unknown else "found"
+            ask.told = "kept" if done.committed else "unknown" if done.indeterminate else "found"
             ask.found = done.value
-            if done.kept and ask.outcome:
-                held: Held | None = done.held
-                ask.op = state.nodes[member].ask(
-                    ask.key, Expect.THIS, ask.outcome, END_MS, END_MS, state.clock[member], ask.claim, held
+            if done.committed and ask.outcome:
+                position: CommitPosition | None = done.position
+                ask.op = state.nodes[member].propose(
+                    ask.key,
+                    Precondition.EQUALS,
+                    ask.outcome,
+                    END_MS,
+                    END_MS,
+                    state.clock[member],
+                    ask.claim,
+                    position,
                 )
                 self._effects(state, member)
         elif ask.told == "kept" and ask.outcome:
-            ask.told = "made" if done.kept else "unmade"
+            ask.told = "made" if done.committed else "unmade"
 
     # ---- what must hold
 
@@ -288,16 +306,20 @@
         None where there is no majority."""
         state.mail.clear()
         state.away = None
-        reader = max(range(3), key=lambda n: (not state.nodes[n].filled, n))
+        reader = max(range(3), key=lambda n: (not state.nodes[n].fully_synced, n))
         state.asked = []
         node = state.nodes[reader]
-        op = node.ask(key, Expect.NEVER, b"", END_MS, END_MS, state.clock[reader])
+        op = node.propose(key, Precondition.READ_ONLY, b"", END_MS, END_MS, state.clock[reader])
         for _ in range(60):
             for effect in node.effects:
-                if isinstance(effect, Done) and effect.op == op:
+                if isinstance(effect, OperationResult) and effect.operation == op:
                     return effect.value
             for member in range(3):
-                found = [e for e in state.nodes[member].effects if isinstance(e, Done) and e.op == op]
+                found = [
+                    e
+                    for e in state.nodes[member].effects
+                    if isinstance(e, OperationResult) and e.operation == op
+                ]
                 if member == reader and found:
                     return found[0].value
                 self._effects(state, member)
@@ -319,9 +341,10 @@
     def apply_quiet(self, state: State, member: int, reader: int, op: int) -> None:
         keep = state.down[member].pop(0)
         self._write(state, member, keep)
-        state.nodes[member].kept(keep.token, state.clock[member])
+        state.nodes[member].persisted(keep.token, state.clock[member])
         if not (
-            member == reader and any(isinstance(e, Done) and e.op == op for e in state.nodes[member].effects)
+            member == reader
+            and any(isinstance(e, OperationResult) and e.operation == op for e in state.nodes[member].effects)
         ):
             self._effects(state, member)
 
@@ -337,12 +360,13 @@
     for raw in list(state.mail):
         sender, member, message = pickle.loads(raw)
         node = state.nodes[member]
-        waits = [filling.nonce for filling in node.repair._filling.values()]
+        waits = [progress.nonce for progress in node.state_transfer._progress.values()]
         over = state.spent["late"] >= bounds.late and _gone_on(state, sender, message)
         over = over or (isinstance(message, Reply) and message.nonce not in node.proposer._nonces)
-        over = over or (isinstance(message, Page) and message.nonce not in waits)
+        over = over or (isinstance(message, StateTransferPage) and message.nonce not in waits)
         over = over or (
-            isinstance(message, Join) and message.incarnation < node.acceptor.incarnations[sender]
+            isinstance(message, StateTransferRequest)
+            and message.incarnation < node.acceptor.incarnations[sender]
         )
         if over:
             del state.mail[raw]
@@ -367,26 +391,27 @@
                         op.ballot,
                         op.step,
                         op.incarnations,
-                        op.writing,
-                        op.keeps,
-                        op.seen,
-                        op.tries,
-                        op.asked_ms,
-                        op.began_ms,
-                        op.rest_until_ms,
+                        op.proposed,
+                        op.proposes_own_value,
+                        op.highest_round,
+                        op.retries,
+                        op.sent_ms,
+                        op.started_ms,
+                        op.backoff_until_ms,
                         sorted(
-                            (n, r.how, r.incarnation, msgspec.structs.astuple(r.row))
+                            (n, r.status, r.incarnation, msgspec.structs.astuple(r.row))
                             for n, r in op.replies.items()
                         ),
                     )
-                    for op in node.proposer.ops.values()
+                    for op in node.proposer.operations.values()
                 ),
                 sorted(
-                    (n, f.after, f.incarnation, f.nonce, f.asked_ms) for n, f in node.repair._filling.items()
+                    (n, f.after, f.incarnation, f.nonce, f.requested_ms)
+                    for n, f in node.state_transfer._progress.items()
                 ),
                 sorted(state.disks[member].items()),
-                [(keep.rows, repr(node._after.get(keep.token))) for keep in state.down[member]],
-                sorted(node._dirty),
+                [(keep.updates, repr(node._after_persist.get(keep.token))) for keep in state.down[member]],
+                sorted(node._unpersisted),
                 state.clock[member],
             )
         )
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -16,7 +16,7 @@
 from shaletiller.net.links import Links
 from shaletiller.net.peers import Peers
 from shaletiller.operator_file import FleetPart
-from shaletiller.replication.messages import MARK
+from shaletiller.replication.messages import FRAME_PREFIX
 
 logger = logging.getLogger(__name__)
 
@@ -106,7 +106,7 @@
             logger.warning(f"fleet: tick broke: {error!r}")
 
     def receive(self, data: bytes) -> None:
-        if data[:1] == MARK:
+        if data[:1] == FRAME_PREFIX:
             if self.heard_promises is not None:
                 self.heard_promises(data)
             return
--- /dev/null
+++ b/shaletiller/net/replication/commands.py
@@ -0,0 +1,119 @@
+"""Replicated operator commands: ejections of storage nodes, and the drain of this gateway."""
+
+from __future__ import annotations
+
+import logging
+from typing import Protocol
+
+from shaletiller.clock import Clock
+from shaletiller.core.manual_ejection import ManualEjections
+from shaletiller.fleet.codec import HealthRecord
+from shaletiller.fleet.coordinator import FleetCoordinator
+from shaletiller.fleet.health_gossip import LONGEST_MS, Kind
+from shaletiller.net.replication.port import RECORD_RETENTION_MS, ReplicationPort
+from shaletiller.replication.errors import NotReplicatedError
+from shaletiller.replication.proposer import Precondition
+from shaletiller.replication.records import OperatorCommand, decode_value, pack
+
+logger = logging.getLogger(__name__)
+
+# Prefixes of register keys: a format of the stores.
+EJECTION_PREFIX, DRAIN_PREFIX = "ban:", "drain:"
+COMMAND_TIMEOUT_MS = 2_000.0  # an operator waits for the answer; a majority that is up answers within
+RECOVERY_TIMEOUT_MS = 30_000.0  # nobody waits for it at a start
+
+
+class DrainSwitch(Protocol):
+    """Drains the gateway's listeners."""
+
+    def drain(self, drained: bool) -> None:
+        """Report the gateway as draining, or no longer."""
+
+
+class ReplicatedCommands:
+    """Commits operator commands to the replicas, and applies at a start what they hold."""
+
+    def __init__(
+        self,
+        port: ReplicationPort,
+        coordinator: FleetCoordinator,
+        ejections: ManualEjections,
+        drain_switch: DrainSwitch,
+        clock: Clock,
+        gateway: str,
+    ) -> None:
+        """Replicate the commands given at the gateway of this name."""
+        self._port, self._coordinator, self._ejections = port, coordinator, ejections
+        self._drain_switch, self._clock, self._gateway = drain_switch, clock, gateway
+
+    # ---- commands given here
+
+    async def replicate_ejection(self, node: str) -> None:
+        """Commit the ejection of a storage node, or its end, which is in effect here already.
+
+        :raises NotReplicatedError: if no majority of the replicas has it in time.
+        """
+        record = self._coordinator.fleet.verdicts.ban_of(node)
+        if record is not None:
+            await self._commit(f"{EJECTION_PREFIX}{node}", record.value > 0, record.stamp)
+
+    async def replicate_drain(self, drained: bool) -> None:
+        """Commit the drain of this gateway, or its end, which is in effect already.
+
+        :raises NotReplicatedError: if no majority of the replicas has it in time.
+        """
+        stamp = self._coordinator.fleet.clock.now(self._clock.now_ms())
+        await self._commit(f"{DRAIN_PREFIX}{self._gateway}", drained, stamp)
+
+    async def _commit(self, key: str, in_effect: bool, stamp: int) -> None:
+        expires_ms = int(self._clock.now_ms() + RECORD_RETENTION_MS)
+        command = OperatorCommand(in_effect, stamp, self._port.node.member, expires_ms)
+        result = await self._port.propose(key, Precondition.OLDER_STAMP, pack(command), COMMAND_TIMEOUT_MS)
+        if not result.committed and result.indeterminate:
+            raise NotReplicatedError
+
+    # ---- commands found at a start
+
+    def local_ejections(self) -> dict[str, OperatorCommand]:
+        """Return the ejection commands, by storage node, of which this gateway holds a replica."""
+        commands = {}
+        for key, row in self._port.node.acceptor.rows.items():
+            command = decode_value(row.value) if key.startswith(EJECTION_PREFIX) else None
+            if isinstance(command, OperatorCommand):
+                commands[key.removeprefix(EJECTION_PREFIX)] = command
+        return commands
+
+    def apply_local_ejections(self) -> None:
+        """Apply the local replicas of ejection commands, with the stamps they were given.
+
+        They take precedence over what the process before this one left in its file.
+        """
+        now_ms = self._clock.now_ms()
+        for node, command in self.local_ejections().items():
+            if not command.in_effect and node in self._ejections.held:
+                self._ejections.remove(node)
+            expires_ms = int(min(command.expires_ms, now_ms + LONGEST_MS / 2))
+            self._coordinator.restore(
+                HealthRecord(
+                    node,
+                    int(Kind.BAN),
+                    command.issuer,
+                    0,
+                    command.stamp,
+                    expires_ms,
+                    int(command.in_effect),
+                )
+            )
+
+    def publish_unreplicated_ejections(self) -> None:
+        """Gossip the ejections that only this gateway's file has."""
+        for node in sorted(self._ejections.held - self.local_ejections().keys()):
+            self._coordinator.ban(node, True, self._clock.now_ms())
+
+    async def apply_drain(self) -> None:
+        """Apply the drain of this gateway as the replicas have it."""
+        key = f"{DRAIN_PREFIX}{self._gateway}"
+        result = await self._port.propose(key, Precondition.READ_ONLY, b"", RECOVERY_TIMEOUT_MS)
+        command = decode_value(result.value)
+        if isinstance(command, OperatorCommand):
+            self._drain_switch.drain(command.in_effect)
--- /dev/null
+++ b/shaletiller/net/replication/lease_tables.py
@@ -0,0 +1,112 @@
+"""Storage of lease tables on the replicas, so that a granter's successor need not wait out its leases.
+
+Implements `shaletiller.fleet.leases.Table`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Coroutine
+from dataclasses import dataclass
+from typing import Any
+
+from shaletiller.clock import Clock
+from shaletiller.fleet.core import Fleet
+from shaletiller.fleet.quotas import NOTHING, Amount, from_wire, to_wire
+from shaletiller.net.replication.port import ReplicationPort
+from shaletiller.replication.effects import CommitPosition, OperationResult
+from shaletiller.replication.proposer import Precondition
+from shaletiller.replication.records import LeaseTable, decode_value, pack
+
+LEASE_PREFIX = "lease:"  # of register keys: a format of the stores
+WRITE_TIMEOUT_MS = 400.0  # within a lease's term; a table that is not committed by then backs no grant
+RETENTION_MS = 600_000.0  # longer than any pledge
+
+
+@dataclass(slots=True, frozen=True)
+class _CommittedTable:
+    value: bytes = b""
+    position: CommitPosition | None = None
+
+
+class LeaseTableStorage:
+    """The lease tables of the limits that this gateway grants."""
+
+    def __init__(
+        self,
+        port: ReplicationPort,
+        member: Fleet,
+        clock: Clock,
+        spawn: Callable[[Coroutine[Any, Any, None]], object],
+    ) -> None:
+        """Store the tables of this member of the fleet.
+
+        :param spawn: runs a coroutine in the background.
+        """
+        self._port, self._member, self._clock, self._spawn = port, member, clock, spawn
+        self._tables: dict[str, _CommittedTable] = {}  # by limit: what this gateway committed last
+        self._number = 0
+
+    def take_over(self, limit: str) -> None:
+        """Begin to write the table of a limit in this granter's name; its leases are notified."""
+        self._spawn(self._take_over(limit))
+
+    def write(self, limit: str, leased: Amount) -> None:
+        """Begin to write all that this granter has leased of a limit; its leases are notified."""
+        self._spawn(self._write(limit, *to_wire(leased)))
+
+    async def _take_over(self, limit: str) -> None:
+        key = f"{LEASE_PREFIX}{limit}"
+        found = await self._port.propose(key, Precondition.READ_ONLY, b"", WRITE_TIMEOUT_MS)
+        if found.indeterminate or not await self._replace(limit, key, found):
+            self._member.leases.kept(limit, False, self._clock.now_ms())
+
+    async def _replace(self, limit: str, key: str, found: OperationResult) -> bool:
+        """Replace the table of the granter before, with the same amounts.
+
+        :returns: whether it is committed.
+        """
+        stored = decode_value(found.value)
+        before = stored if isinstance(stored, LeaseTable) else None
+        value = (
+            self._encode(before.rate, before.burst, before.recorded_ms)
+            if before is not None
+            else self._encode(0, 0, 0)
+        )
+        precondition = Precondition.EQUALS if found.value else Precondition.FREE
+        result = await self._port.propose(
+            key, precondition, value, WRITE_TIMEOUT_MS, found.value, retention_ms=RETENTION_MS
+        )
+        if not result.committed:
+            return False
+        self._tables[limit] = _CommittedTable(value, result.position)
+        self._member.leases.stands(
+            limit,
+            (before.granter, before.incarnation) if before is not None else None,
+            from_wire(before.rate, before.burst) if before is not None else NOTHING,
+            before.recorded_ms if before is not None else 0.0,
+            self._clock.now_ms(),
+        )
+        return True
+
+    async def _write(self, limit: str, rate: int, burst: int) -> None:
+        before = self._tables.pop(limit, _CommittedTable())
+        value = self._encode(rate, burst, int(self._clock.now_ms()))
+        result = await self._port.propose(
+            f"{LEASE_PREFIX}{limit}",
+            Precondition.EQUALS,
+            value,
+            WRITE_TIMEOUT_MS,
+            before.value,
+            before.position,
+            RETENTION_MS,
+        )
+        if result.committed:
+            self._tables[limit] = _CommittedTable(value, result.position)
+        self._member.leases.kept(limit, result.committed, self._clock.now_ms())
+
+    def _encode(self, rate: int, burst: int, recorded_ms: int) -> bytes:
+        self._number += 1
+        table = LeaseTable(
+            self._port.node.member, self._member.incarnation, self._number, recorded_ms, rate, burst
+        )
+        return pack(table)
--- /dev/null
+++ b/shaletiller/net/replication/storage.py
@@ -0,0 +1,63 @@
+"""Opening the store of a gateway: its lock, and what happens to a damaged one."""
+
+from __future__ import annotations
+
+import logging
+from pathlib import Path
+
+from shaletiller.clock import Clock
+from shaletiller.operator_file import StorePart
+from shaletiller.store.errors import DamagedStoreError, StoreLockedError
+from shaletiller.store.file_system import FaultInjectingFileSystem, FileSystem
+from shaletiller.store.segment_store import SegmentStore
+
+logger = logging.getLogger(__name__)
+
+BYTES_PER_MB = 1 << 20
+
+
+class StoreOpener:
+    """Opens the store that the operators' file names."""
+
+    def __init__(self, settings: StorePart, clock: Clock) -> None:
+        """Open stores by these settings; nothing is opened yet."""
+        self._settings, self._clock = settings, clock
+        self._directory = Path(settings.dir)
+        self._files = FaultInjectingFileSystem(Path(settings.drill)) if settings.drill else FileSystem()
+        self.found_damaged = False
+
+    def open(self) -> SegmentStore | None:
+        """Open the store; a damaged one is moved aside, and an empty one filled from the replicas.
+
+        :returns: None while another process has it open, or where the disk does not allow it.
+        """
+        try:
+            store = self._open_or_replace()
+        except (StoreLockedError, OSError) as error:
+            logger.warning(
+                "store: cannot be opened: %s; until it is, this gateway neither votes nor replicates", error
+            )
+            return None
+        if store.torn_bytes:
+            logger.warning(
+                "store: %d bytes behind the last complete record of %s discarded",
+                store.torn_bytes,
+                store.torn_file,
+            )
+        return store
+
+    def _open_or_replace(self) -> SegmentStore:
+        try:
+            return self._open()
+        except DamagedStoreError as error:
+            self.found_damaged = True
+            aside = self._directory.with_name(f"{self._directory.name}.damaged-{int(self._clock.now_ms())}")
+            self._directory.rename(aside)
+            logger.error(
+                "store: damaged: %s; moved to %s, and recovered from the replicas", error, aside.name
+            )
+            return self._open()
+
+    def _open(self) -> SegmentStore:
+        segment_bytes = int(self._settings.segment_mb * BYTES_PER_MB)
+        return SegmentStore(self._directory, self._files, segment_bytes)
--- /dev/null
+++ b/shaletiller/net/replication/writes.py
@@ -0,0 +1,122 @@
+"""Replicated client writes: between the engine's requests and their intents and outcomes on the replicas."""
+
+from __future__ import annotations
+
+import logging
+from functools import partial
+
+import xxhash
+
+from shaletiller.clock import Clock
+from shaletiller.core.engine import Engine
+from shaletiller.core.model import ClientCall, Exchange, FinalResponse, FinalResult
+from shaletiller.net.replication.port import PortListener, ReplicationPort
+from shaletiller.replication.effects import OperationResult
+from shaletiller.replication.records import MAX_KEY_CHARS
+from shaletiller.replication.writes import (
+    NO_MAJORITY_RETRY_AFTER_MS,
+    ReplicatedWrites,
+    WriteDecision,
+    WriteVerdict,
+)
+
+logger = logging.getLogger(__name__)
+
+_FINAL_RESULTS = {
+    WriteVerdict.SERVED: FinalResult.SERVED,
+    WriteVerdict.FAILED: FinalResult.FAILED,
+    WriteVerdict.REJECTED: FinalResult.REFUSED,
+}
+
+
+class WriteReplicator(PortListener):
+    """Delays the writes of replicated classes until their intent is committed, and their answers likewise."""
+
+    def __init__(
+        self,
+        port: ReplicationPort,
+        writes: ReplicatedWrites,
+        engine: Engine,
+        clock: Clock,
+        services: frozenset[str],
+    ) -> None:
+        """Replicate the writes of these classes."""
+        self._port, self._writes, self._engine, self._clock = port, writes, engine, clock
+        self._services = services
+        self._exchanges: dict[int, Exchange] = {}
+        self._number = 0
+        port.subscribe(self)
+
+    def intercept(self, exchange: Exchange) -> bool:
+        """Take over a request whose write is replicated; it is admitted once its intent is committed.
+
+        :returns: False for any other request, which the engine admits itself.
+        """
+        call = exchange.call
+        if call.service not in self._services or not call.write:
+            return False
+        key = register_key(call)
+        if not self._port.group_has_majority(key):
+            self._writes.counts["no_majority"] += 1
+            self._engine.relay(
+                exchange, FinalResponse(FinalResult.REFUSED, retry_after_ms=NO_MAJORITY_RETRY_AFTER_MS)
+            )
+            return True
+        self._number += 1
+        number = self._number
+        self._exchanges[number] = exchange
+        exchange.keeps = partial(self._answered, number)
+        request = f"{call.method} {call.target}\n".encode() + call.body
+        request_hash = xxhash.xxh3_64_intdigest(request)
+        now_ms = self._clock.now_ms()
+        self._port.run(lambda: self._writes.begin(number, key, request_hash, exchange.deadline_ms, now_ms))
+        return True
+
+    def _answered(self, number: int, answer: FinalResponse | None) -> None:
+        """Handle the engine's answer to a replicated write; None where its client has disconnected."""
+        exchange = self._exchanges[number]
+        if answer is not None and answer.verdict is FinalResult.SERVED:
+            verdict = WriteVerdict.SERVED
+        else:
+            self._exchanges.pop(number, None)
+            # A rejection may be safe for other reasons than that nothing ran: what is proven is recorded.
+            verdict = WriteVerdict.REJECTED if exchange.harmless else WriteVerdict.FAILED
+        body = answer.body if answer is not None else b""
+        self._port.run(lambda: self._writes.end(number, verdict, body, self._clock.now_ms()))
+
+    def operation_finished(self, result: OperationResult, now_ms: float) -> bool:
+        """Handle the result of an operation; see `PortListener`."""
+        return self._writes.operation_finished(result, now_ms)
+
+    def effects_carried_out(self) -> None:
+        """Act on the decisions that the effects have led to."""
+        for decision in self._writes.take_decisions():
+            self._decided(decision)
+
+    def _decided(self, decision: WriteDecision) -> None:
+        exchange = self._exchanges.get(decision.number)
+        if exchange is None:
+            return
+        if decision.verdict is WriteVerdict.FORWARD:
+            remaining_ms = exchange.deadline_ms - self._clock.now_ms()
+            if remaining_ms > 0:
+                self._engine.admit(exchange, remaining_ms)
+            return  # past its deadline the engine answers it, and the claim is released
+        self._exchanges.pop(decision.number, None)
+        if decision.reason:
+            logger.warning(
+                "request %s: replicated write %s: %s", exchange.call.id, decision.verdict, decision.reason
+            )
+        retry_after_ms = min(decision.retry_after_ms, NO_MAJORITY_RETRY_AFTER_MS)
+        answer = FinalResponse(_FINAL_RESULTS[decision.verdict], decision.body, retry_after_ms)
+        self._engine.relay(exchange, answer, settled=True)
+
+
+def register_key(call: ClientCall) -> str:
+    """Return the key that the attempts of one write share.
+
+    That is its class, its tenant's volume, and its idempotency key, or else its own id; hashed where that is
+    too long for a key.
+    """
+    key = f"w:{call.service}:{call.volume}:{call.idempotency_key or call.id}"
+    return key if len(key) <= MAX_KEY_CHARS else f"w:{xxhash.xxh3_128_hexdigest(key.encode())}"
--- a/shaletiller/replication/acceptor.py
+++ b/shaletiller/replication/acceptor.py
@@ -1,211 +1,270 @@
-"""One gateway's copies: a register for each key, and who may vote on it.
+"""The acceptor: the replicas one gateway holds, a register for each key, and whether it may vote on them.
 
 Each register is one of CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018): a value
-is made when a majority of the key's group has taken it under one ballot and step.  The first round of a key
-is fast (Lamport, "Fast Paxos", 2006): any gateway may write to a free register without asking first, and its
-value is made when all of the group have taken it.
-
-A store that is lost with its machine must not vote as if it were the one before.  Each store has a life, a
-number that grows; every question names the lives of the whole group, and a gateway that knows others answers
-STALE.  A new store votes on a key only once every other member of the key's group has noted its life and
-then given it all that they share (repair.py).  So a promise that was given by a life that is over counts no
-more, and what it had acknowledged is either with the others, who are asked, or was never made.
+is committed when a majority of the key's group has accepted it under one ballot and step.  The first round of
+a key is a fast round (Lamport, "Fast Paxos", 2006): any gateway may write to a free register without a
+prepare phase, and its value is committed when all of the group have accepted it.
+
+A store that is lost with its machine must not vote as if it were the store before.  Each store therefore has
+an incarnation, a number that grows; every request names the incarnations of the whole group, and an acceptor
+that knows others replies STALE_INCARNATION (fencing).  A new store votes on a key only once every other
+member of the key's group has noted its incarnation and then transferred all the rows they share
+(state_transfer.py).  A promise of a past incarnation no longer counts, and what that incarnation had
+acknowledged is either with the others, who are queried, or was never committed.
 """
 
 from __future__ import annotations
 
 import heapq
+from collections.abc import Iterable
 
 import msgspec
 import xxhash
 
-from shaletiller.replication.groups import Groups
-from shaletiller.replication.messages import BUCKETS, NO, OK, STALE, UNREADY, Accept, Prepare, Reply
-from shaletiller.replication.rows import FAST, META, NONE, REGISTER, Row, pack, read_row
+from shaletiller.replication.groups import ReplicaGroups
+from shaletiller.replication.messages import DIGEST_BUCKETS, Accept, Prepare, Reply, ReplyStatus
+from shaletiller.replication.records import (
+    FAST_BALLOT,
+    META,
+    NO_BALLOT,
+    REGISTER,
+    RecordUpdate,
+    Row,
+    decode_row,
+    pack,
+)
 
-LIFE, LIVES, SYNCED = b"life", b"lives", b"synced"
-EMPTY = Row()
-StoreRow = tuple[int, bytes, bytes | None]
+# Keys of the META records: a format of the store.
+INCARNATION_KEY, INCARNATIONS_KEY, SYNCED_KEY = b"life", b"lives", b"synced"
+EMPTY_ROW = Row()
+MAX_EXPIRED_AT_ONCE = 500  # empirical: bounds the pause of one tick against the delay of a mass expiry
 
 
-def bucket_of(key: str) -> int:
-    return xxhash.xxh3_64_intdigest(key.encode()) % BUCKETS
+def digest_bucket(key: str) -> int:
+    """Return the anti-entropy bucket of a key; the same at every member and in every version."""
+    return xxhash.xxh3_64_intdigest(key.encode()) % DIGEST_BUCKETS
 
 
-def _sum(key: str, row: Row) -> int:
-    return xxhash.xxh3_64_intdigest(f"{row.rank} {key}".encode()) if row.ballot != NONE else 0
+def row_digest(key: str, row: Row) -> int:
+    """Hash the version of a row; 0 where nothing has been accepted.  The hashed text is a wire format."""
+    if row.ballot == NO_BALLOT:
+        return 0
+    return xxhash.xxh3_64_intdigest(f"({tuple(row.ballot)}, {row.step}) {key}".encode())
 
 
 class Acceptor:
-    """Free of time and I/O: each call gives the reply, and the rows that must last before it is sent."""
+    """One gateway's registers.  A call returns the reply, and the updates to persist before it is sent."""
 
-    def __init__(self, me: int, groups: Groups) -> None:
-        self.me, self.groups = me, groups
-        self.members = len(groups.zones)
+    def __init__(self, member: int, groups: ReplicaGroups) -> None:
+        """Start without a store.
+
+        :param member: number of this member in the fleet.
+        :param groups: the replica groups of the fleet.
+        """
+        self.member, self.groups = member, groups
+        self.member_count = len(groups.zones)
         self.incarnation = 0
-        self.incarnations = [0] * self.members
-        self.synced: set[int] = set()  # the members that have given this life all that they share with it
+        self.incarnations = [0] * self.member_count
+        self.synced: set[int] = set()  # members that have transferred all shared rows to this incarnation
         self.rows: dict[str, Row] = {}
-        self.news = False  # lives have changed that the store does not hold yet
-        self.superseded = False  # the fleet knows a later life of this member: this store is an old copy
-        self._ends: list[tuple[int, str]] = []
-        self.buckets: dict[int, set[str]] = {}
-        self.sums: dict[int, list[int]] = {n: [0] * BUCKETS for n in range(self.members) if n != me}
+        self.metadata_changed = False  # the store does not have the newest incarnations yet
+        self.superseded = False  # the fleet knows a later incarnation: this store is an old copy
+        self._expirations: list[tuple[int, str]] = []
+        self.bucket_keys: dict[int, set[str]] = {}
+        self.digests: dict[int, list[int]] = {
+            other: [0] * DIGEST_BUCKETS for other in range(self.member_count) if other != member
+        }
 
     # ---- the store
 
-    def load(self, kept: list[tuple[int, bytes, bytes]]) -> None:
-        """What the store held at the start.  msgspec's errors where a row cannot be read."""
-        for kind, key, value in kept:
+    def load(self, records: Iterable[tuple[int, bytes, bytes]]) -> None:
+        """Load the records (kind, key, value) of the store at the start.
+
+        :raises msgspec.MsgspecError: for a record that cannot be decoded.
+        """
+        for kind, key, value in records:
             if kind == REGISTER:
-                self._set(key.decode(), read_row(value))
-            elif kind == META and key == LIFE:
-                self.incarnation = msgspec.msgpack.decode(value, type=int)
-            elif kind == META and key == LIVES:
-                known = msgspec.msgpack.decode(value, type=list[int])
-                self.incarnations[: len(known)] = known[: self.members]
-            elif kind == META and key == SYNCED:
-                self.synced = set(msgspec.msgpack.decode(value, type=list[int]))
-        self.incarnations[self.me] = max(self.incarnation, self.incarnations[self.me])
-        self.superseded = self.incarnations[self.me] > self.incarnation > 0
-
-    def born(self, incarnation: int) -> list[StoreRow]:
-        """The store is new: its life begins."""
+                self._set_row(key.decode(), decode_row(value))
+            elif kind == META:
+                self._load_metadata(key, value)
+        self.incarnations[self.member] = max(self.incarnation, self.incarnations[self.member])
+        self.superseded = self.incarnations[self.member] > self.incarnation > 0
+
+    def _load_metadata(self, key: bytes, value: bytes) -> None:
+        if key == INCARNATION_KEY:
+            self.incarnation = msgspec.msgpack.decode(value, type=int)
+        elif key == INCARNATIONS_KEY:
+            known = msgspec.msgpack.decode(value, type=list[int])
+            self.incarnations[: len(known)] = known[: self.member_count]
+        elif key == SYNCED_KEY:
+            self.synced = set(msgspec.msgpack.decode(value, type=list[int]))
+
+    def start_incarnation(self, incarnation: int) -> list[RecordUpdate]:
+        """Begin an incarnation on a new store.
+
+        :returns: the metadata to persist.
+        """
         self.incarnation, self.synced = incarnation, set()
-        self.incarnations[self.me] = incarnation
+        self.incarnations[self.member] = incarnation
         self.superseded = False
-        return self.meta()
+        return self.metadata_updates()
 
-    def meta(self) -> list[StoreRow]:
-        self.news = False
+    def metadata_updates(self) -> list[RecordUpdate]:
+        """Return the metadata to persist."""
+        self.metadata_changed = False
         return [
-            (META, LIFE, pack(self.incarnation)),
-            (META, LIVES, pack(self.incarnations)),
-            (META, SYNCED, pack(sorted(self.synced))),
+            RecordUpdate(META, INCARNATION_KEY, pack(self.incarnation)),
+            RecordUpdate(META, INCARNATIONS_KEY, pack(self.incarnations)),
+            RecordUpdate(META, SYNCED_KEY, pack(sorted(self.synced))),
         ]
 
-    def know(self, incarnations: dict[int, int]) -> bool:
-        """Lives that others told of; True where one is news.
+    def observe_incarnations(self, incarnations: dict[int, int]) -> bool:
+        """Note the incarnations, by member, that another member knows.
+
+        To believe an incarnation before its own member has requested a transfer only fences its predecessor
+        earlier.
 
-        To believe a life before its own member has asked to join only fences its predecessor the sooner."""
-        news = False
+        :returns: whether one of them is new.
+        """
+        changed = False
         for member, incarnation in incarnations.items():
             if incarnation > self.incarnations[member]:
                 self.incarnations[member] = incarnation
-                news = self.news = True
-        self.superseded = self.incarnations[self.me] > self.incarnation
-        return news
+                changed = self.metadata_changed = True
+        self.superseded = self.incarnations[self.member] > self.incarnation
+        return changed
 
-    def lives_of(self, key: str) -> tuple[int, ...]:
-        return tuple(self.incarnations[member] for member in self.groups.of(key))
+    def incarnations_of(self, key: str) -> tuple[int, ...]:
+        """Return the incarnations of the members of a key's group, in its order."""
+        return tuple(self.incarnations[member] for member in self.groups.members_of(key))
 
-    def ready(self, key: str) -> bool:
-        """Whether this gateway votes on a key."""
+    def may_vote(self, key: str) -> bool:
+        """Return whether this member votes on a key: its replica of it is known to be complete."""
         return not self.superseded and all(
-            member == self.me or member in self.synced for member in self.groups.of(key)
+            member == self.member or member in self.synced for member in self.groups.members_of(key)
         )
 
     # ---- rows
 
     def row(self, key: str, now_ms: float) -> Row:
-        """What holds of a key now: an expired row counts for nothing."""
-        found = self.rows.get(key, EMPTY)
-        return found if found.until > now_ms else EMPTY
+        """Return the row of a key; an expired row is an empty one."""
+        row = self.rows.get(key, EMPTY_ROW)
+        return row if row.expires_ms > now_ms else EMPTY_ROW
 
-    def _set(self, key: str, row: Row) -> None:
+    def _set_row(self, key: str, row: Row) -> None:
         before = self.rows.get(key)
         self.rows[key] = row
-        bucket = bucket_of(key)
+        bucket = digest_bucket(key)
         if before is None:
-            self.buckets.setdefault(bucket, set()).add(key)
-        if before is None or before.until != row.until:
-            heapq.heappush(self._ends, (row.until, key))
-        self._count(key, bucket, _sum(key, before) if before is not None else 0, _sum(key, row))
+            self.bucket_keys.setdefault(bucket, set()).add(key)
+        if before is None or before.expires_ms != row.expires_ms:
+            heapq.heappush(self._expirations, (row.expires_ms, key))
+        old_digest = row_digest(key, before) if before is not None else 0
+        self._update_digests(key, bucket, old_digest, row_digest(key, row))
 
-    def _count(self, key: str, bucket: int, before: int, after: int) -> None:
+    def _update_digests(self, key: str, bucket: int, before: int, after: int) -> None:
         if before != after:
-            for member in self.groups.of(key):
-                if member != self.me:
-                    self.sums[member][bucket] ^= before ^ after
-
-    def expire(self, now_ms: float, most: int = 500) -> list[StoreRow]:
-        """Drop what has ended; what the store is to drop."""
-        gone: list[StoreRow] = []
-        while self._ends and self._ends[0][0] <= now_ms and len(gone) < most:
-            _, key = heapq.heappop(self._ends)
+            for member in self.groups.members_of(key):
+                if member != self.member:
+                    self.digests[member][bucket] ^= before ^ after
+
+    def expire(self, now_ms: float) -> list[RecordUpdate]:
+        """Drop expired rows, at most `MAX_EXPIRED_AT_ONCE`.
+
+        :returns: the deletions to persist.
+        """
+        deletions: list[RecordUpdate] = []
+        heap = self._expirations
+        while heap and heap[0][0] <= now_ms and len(deletions) < MAX_EXPIRED_AT_ONCE:
+            _, key = heapq.heappop(heap)
             row = self.rows.get(key)
-            if row is None or row.until > now_ms:
+            if row is None or row.expires_ms > now_ms:
                 continue
-            bucket = bucket_of(key)
-            self._count(key, bucket, _sum(key, row), 0)
+            bucket = digest_bucket(key)
+            self._update_digests(key, bucket, row_digest(key, row), 0)
             del self.rows[key]
-            self.buckets[bucket].discard(key)
-            gone.append((REGISTER, key.encode(), None))
-        return gone
+            self.bucket_keys[bucket].discard(key)
+            deletions.append(RecordUpdate(REGISTER, key.encode(), None))
+        return deletions
 
-    def learn(self, key: str, told: Row, now_ms: float, filling: bool = False) -> list[StoreRow]:
-        """A row of another gateway: as if what it took had come here, late, and so had what it promised.
+    def merge(self, key: str, received: Row, now_ms: float, recovering: bool = False) -> list[RecordUpdate]:
+        """Merge the row of another member, as if what it accepted and promised had arrived here, late.
 
-        `filling`: this store is a new one and does not vote yet.  Then what others took counts whatever they
-        have promised since: the store before this one may have taken it with them, and made it so."""
+        :param recovering: this store is new and does not vote yet.  What others accepted then counts whatever
+            they have promised since: the store before this one may have accepted it too, and so committed it.
+        :returns: the updates to persist.
+        """
         row = self.row(key, now_ms)
-        if self.me not in self.groups.of(key) or told.until <= now_ms:
+        if self.member not in self.groups.members_of(key) or received.expires_ms <= now_ms:
             return []
-        new = row
-        takes = filling or told.ballot >= row.promised
-        if told.ballot != NONE and takes and told.rank > row.rank:
-            promised, until = max(told.ballot, row.promised), max(told.until, row.until)
-            new = Row(promised, told.ballot, told.step, told.value, until)
-        if told.promised > new.promised:
-            new = Row(told.promised, new.ballot, new.step, new.value, max(told.until, new.until))
-        return self._change(key, row, new)
-
-    def _change(self, key: str, row: Row, new: Row) -> list[StoreRow]:
+        merged = row
+        acceptable = recovering or received.ballot >= row.promised
+        if received.ballot != NO_BALLOT and acceptable and received.version > row.version:
+            promised = max(received.ballot, row.promised)
+            expires_ms = max(received.expires_ms, row.expires_ms)
+            merged = Row(promised, received.ballot, received.step, received.value, expires_ms)
+        if received.promised > merged.promised:
+            expires_ms = max(received.expires_ms, merged.expires_ms)
+            merged = Row(received.promised, merged.ballot, merged.step, merged.value, expires_ms)
+        return self._replace_row(key, row, merged)
+
+    def _replace_row(self, key: str, row: Row, new: Row) -> list[RecordUpdate]:
         if new == row:
             return []
-        self._set(key, new)
-        return [(REGISTER, key.encode(), pack(new))]
+        self._set_row(key, new)
+        return [RecordUpdate(REGISTER, key.encode(), pack(new))]
 
-    # ---- questions
+    # ---- requests
 
-    def _answer(self, ask: Prepare | Accept, how: int, row: Row) -> Reply:
-        return Reply(ask.nonce, how, self.incarnation, row, self.lives_of(ask.key))
+    def _reply(self, request: Prepare | Accept, status: ReplyStatus, row: Row) -> Reply:
+        return Reply(request.nonce, status, self.incarnation, row, self.incarnations_of(request.key))
 
-    def _turned_down(self, ask: Prepare | Accept) -> Reply | None:
-        if self.me not in self.groups.of(ask.key) or not self.ready(ask.key):
-            return self._answer(ask, UNREADY, EMPTY)
-        if ask.incarnations != self.lives_of(ask.key):
-            return self._answer(ask, STALE, EMPTY)
+    def _fence(self, request: Prepare | Accept) -> Reply | None:
+        """Refuse a request that this member may not vote on, or that names other incarnations."""
+        if self.member not in self.groups.members_of(request.key) or not self.may_vote(request.key):
+            return self._reply(request, ReplyStatus.RECOVERING, EMPTY_ROW)
+        if request.incarnations != self.incarnations_of(request.key):
+            return self._reply(request, ReplyStatus.STALE_INCARNATION, EMPTY_ROW)
         return None
 
-    def prepare(self, ask: Prepare, now_ms: float) -> tuple[Reply, list[StoreRow]]:
-        no = self._turned_down(ask)
-        if no is not None:
-            return no, []
-        row = self.row(ask.key, now_ms)
-        if ask.ballot < row.promised or ask.until <= now_ms:
-            return self._answer(ask, NO, row), []
-        new = Row(ask.ballot, row.ballot, row.step, row.value, max(row.until, ask.until))
-        return self._answer(ask, OK, new), self._change(ask.key, row, new)
-
-    def accept(self, ask: Accept, now_ms: float) -> tuple[Reply, list[StoreRow]]:
-        no = self._turned_down(ask)
-        if no is not None:
-            return no, []
-        row = self.row(ask.key, now_ms)
-        new = Row(ask.ballot, ask.ballot, ask.step, ask.value, ask.until)
-        if ask.until <= now_ms or ask.ballot < row.promised or not self._fits(ask, row):
-            return self._answer(ask, NO, row), []
-        if row.rank == new.rank:  # it came before
-            return self._answer(ask, OK, row), []
-        return self._answer(ask, OK, new), self._change(ask.key, row, new)
+    def prepare(self, request: Prepare, now_ms: float) -> tuple[Reply, list[RecordUpdate]]:
+        """Handle phase 1.
+
+        :returns: the reply, and the updates to persist before it is sent.
+        """
+        fenced = self._fence(request)
+        if fenced is not None:
+            return fenced, []
+        row = self.row(request.key, now_ms)
+        if request.ballot < row.promised or request.expires_ms <= now_ms:
+            return self._reply(request, ReplyStatus.REJECTED, row), []
+        expires_ms = max(row.expires_ms, request.expires_ms)
+        new = Row(request.ballot, row.ballot, row.step, row.value, expires_ms)
+        return self._reply(request, ReplyStatus.OK, new), self._replace_row(request.key, row, new)
+
+    def accept(self, request: Accept, now_ms: float) -> tuple[Reply, list[RecordUpdate]]:
+        """Handle phase 2.
+
+        :returns: the reply, and the updates to persist before it is sent.
+        """
+        fenced = self._fence(request)
+        if fenced is not None:
+            return fenced, []
+        row = self.row(request.key, now_ms)
+        expired = request.expires_ms <= now_ms
+        if expired or request.ballot < row.promised or not self._may_replace(request, row):
+            return self._reply(request, ReplyStatus.REJECTED, row), []
+        new = Row(request.ballot, request.ballot, request.step, request.value, request.expires_ms)
+        if row.version == new.version:  # a duplicate
+            return self._reply(request, ReplyStatus.OK, row), []
+        return self._reply(request, ReplyStatus.OK, new), self._replace_row(request.key, row, new)
 
     @staticmethod
-    def _fits(ask: Accept, row: Row) -> bool:
-        """Whether a value may stand in a row whose promise allows it."""
-        rank = ask.ballot, ask.step
-        if rank == row.rank:
-            return ask.value == row.value
-        if ask.ballot == FAST and ask.step == 0:
-            return row.ballot == NONE  # the first that came stands
-        return rank > row.rank
+    def _may_replace(request: Accept, row: Row) -> bool:
+        """Return whether the value may be accepted into a row whose promise allows its ballot."""
+        version = request.ballot, request.step
+        if version == row.version:
+            return request.value == row.value
+        if request.ballot == FAST_BALLOT and request.step == 0:
+            return row.ballot == NO_BALLOT  # in the fast round the first value to arrive is accepted
+        return version > row.version
--- a/shaletiller/replication/messages.py
+++ b/shaletiller/replication/messages.py
@@ -1,158 +1,197 @@
-"""Messages between the gateways that keep copies of each other's promises.
+"""Messages between the replicas, and their frames.
 
-    frame = "P" and then the MessagePack of [version, fleet, sender, message]
+    frame = "P" followed by the MessagePack array [version, fleet, sender, message]
 
-The "P" tells them from the fleet's own envelopes on the same links.  All of them may be lost, doubled, late
-and out of order: what a gateway does with one depends on nothing that came before it but its own rows.  What
-cannot be read is counted and dropped.
+The prefix tells them from the envelopes of gossip on the same links.  Messages may be lost, duplicated,
+delayed and reordered: what a replica does with one depends on its own rows only.  A frame that cannot be
+decoded is dropped and counted by reason.
+
+Messages are encoded as arrays: the order of their fields and their tags are the wire format and may not
+change.
 """
 
 from __future__ import annotations
 
 from collections import Counter
+from enum import IntEnum
 from typing import Annotated, Any
 
 import msgspec
 
-from shaletiller.fleet.codec import Member, Whole
-from shaletiller.replication.rows import Ballot, Key, Row, Step, Value
+from shaletiller.replication.records import Ballot, Key, MemberNumber, Row, Step, UnsignedInt, Value
+
+PROTOCOL_VERSION = 1
+FRAME_PREFIX = b"P"
+MAX_MESSAGE_BYTES = 60_000  # of rows in one message: well below the frame limit of a link
+DIGEST_BUCKETS = 256
+
+NONCE_BITS = 20
+
+Incarnations = tuple[
+    UnsignedInt, ...
+]  # of the members of the key's group, in its order, as the sender knows them
+
 
-VERSION = 1
-MARK = b"P"
-MOST_FRAME = 60_000  # of rows in one message, less than a link's frame
-BUCKETS = 256
+def first_nonce(process_start_ms: int) -> int:
+    """Return the nonce a process starts from, so that replies to an earlier process match none of its own.
 
-Lives = tuple[Whole, ...]  # of the key's group, in its order, as the sender knows them
+    A process uses fewer than 2**20 nonces in each millisecond that it runs.
+    """
+    return process_start_ms << NONCE_BITS
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, gc=False, tag_field="k"):
-    """One message; `nonce` names the question in its answer."""
+    """Base of the messages; a `nonce` matches a reply to its request."""
 
     def __deepcopy__(self, memo: Any) -> Message:
-        return self  # frozen
+        """Return the same object: it is immutable."""
+        return self
 
 
 class Prepare(Message, tag=1, frozen=True):
-    """Take nothing below this ballot any more, and say what you took last."""
+    """Phase 1: promise to accept nothing below this ballot, and reply with the row accepted last."""
 
-    nonce: Whole
+    nonce: UnsignedInt
     key: Key
     ballot: Ballot
-    until: Whole
-    incarnations: Lives
+    expires_ms: UnsignedInt
+    incarnations: Incarnations
 
 
 class Accept(Message, tag=2, frozen=True):
-    """Take this value under this ballot and step."""
+    """Phase 2: accept this value under this ballot and step."""
 
-    nonce: Whole
+    nonce: UnsignedInt
     key: Key
     ballot: Ballot
     step: Step
     value: Value
-    until: Whole
-    incarnations: Lives
+    expires_ms: UnsignedInt
+    incarnations: Incarnations
 
 
-OK, NO, STALE, UNREADY = range(4)
+class ReplyStatus(IntEnum):
+    """The result of a request at an acceptor."""
+
+    OK = 0  # done, and persisted
+    REJECTED = 1  # a higher ballot is promised, or another value accepted
+    STALE_INCARNATION = 2  # the sender knows other incarnations of the group than this acceptor
+    RECOVERING = 3  # this acceptor has lost its store and does not vote on this key yet
 
 
 class Reply(Message, tag=3, frozen=True):
-    """OK: done, and it lasts.  NO: a higher ballot stands.  STALE: the lives are others.  UNREADY: this
-    gateway has lost its copies and does not vote on this key yet."""
+    """The reply of an acceptor to Prepare and Accept."""
 
-    nonce: Whole
-    how: Annotated[int, msgspec.Meta(ge=0, le=3)]
-    incarnation: Whole
+    nonce: UnsignedInt
+    status: ReplyStatus
+    incarnation: UnsignedInt
     row: Row
-    incarnations: Lives
+    incarnations: Incarnations
 
 
-class Join(Message, tag=4, frozen=True):
-    """My store is new and has this life: take note of it, and give me the rows that we share, after a key."""
+class StateTransferRequest(Message, tag=4, frozen=True):
+    """From a member with a new store: note its incarnation, and send a page of shared rows after a key."""
 
-    nonce: Whole
-    incarnation: Whole
+    nonce: UnsignedInt
+    incarnation: UnsignedInt
     after: str
 
 
-class Page(Message, tag=5, frozen=True):
-    """Rows for one who joins; `after` is the last key of the page, "" where there is no more.  `taken` is
-    whether the life was believed: not where a newer one of that member is known."""
+class StateTransferPage(Message, tag=5, frozen=True):
+    """Rows for a member with a new store.
+
+    `after` is the last key of the page, "" on the last page.  `accepted` is False where the sender knows a
+    newer incarnation of the requester.  `known_incarnations` are those of all members, as the sender knows
+    them.
+    """
 
-    nonce: Whole
-    incarnation: Whole
-    taken: bool
-    table: tuple[Whole, ...]
+    nonce: UnsignedInt
+    incarnation: UnsignedInt
+    accepted: bool
+    known_incarnations: tuple[UnsignedInt, ...]
     rows: tuple[tuple[Key, Row], ...]
     after: str
 
 
-class Compare(Message, tag=6, frozen=True):
-    """A sum over what we share, by bucket of the keys' hash."""
+class BucketDigests(Message, tag=6, frozen=True):
+    """Anti-entropy: a digest of the shared rows for each bucket of the keys' hash."""
 
-    sums: Annotated[tuple[int, ...], msgspec.Meta(min_length=BUCKETS, max_length=BUCKETS)]
+    digests: Annotated[tuple[int, ...], msgspec.Meta(min_length=DIGEST_BUCKETS, max_length=DIGEST_BUCKETS)]
 
 
-class Keys(Message, tag=7, frozen=True):
-    """What I have in a bucket where we differ: key, ballot, step."""
+class BucketVersions(Message, tag=7, frozen=True):
+    """Anti-entropy: key, ballot and step of each shared row in a bucket whose digests differ."""
 
-    bucket: Annotated[int, msgspec.Meta(ge=0, lt=BUCKETS)]
-    rows: tuple[tuple[Key, Ballot, Step], ...]
+    bucket: Annotated[int, msgspec.Meta(ge=0, lt=DIGEST_BUCKETS)]
+    versions: tuple[tuple[Key, Ballot, Step], ...]
 
 
-class Pull(Message, tag=8, frozen=True):
-    """Give me these."""
+class RowRequest(Message, tag=8, frozen=True):
+    """Anti-entropy: send the rows of these keys."""
 
     keys: tuple[Key, ...]
 
 
-class Rows(Message, tag=9, frozen=True):
-    """Rows that you lack, or have older."""
+class RowTransfer(Message, tag=9, frozen=True):
+    """Anti-entropy: rows that the recipient lacks, or has in an older version."""
 
     rows: tuple[tuple[Key, Row], ...]
 
 
-Any_ = Prepare | Accept | Reply | Join | Page | Compare | Keys | Pull | Rows
+AntiEntropyMessage = BucketDigests | BucketVersions | RowRequest | RowTransfer
+AnyMessage = Prepare | Accept | Reply | StateTransferRequest | StateTransferPage | AntiEntropyMessage
 
 
 class _Frame(msgspec.Struct, array_like=True, frozen=True, gc=False):
     version: int
-    group: Whole
-    sender: Member
+    fleet: UnsignedInt
+    sender: MemberNumber
     message: msgspec.Raw
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_FRAME = msgspec.msgpack.Decoder(_Frame)
-_MESSAGE = msgspec.msgpack.Decoder(Any_)
+_FRAME_DECODER = msgspec.msgpack.Decoder(_Frame)
+_MESSAGE_DECODER = msgspec.msgpack.Decoder(AnyMessage)
 
 
 class Codec:
-    """Writes one member's frames and reads those of the others."""
+    """Encodes the frames of one member and decodes those of the others."""
+
+    def __init__(self, fleet: int, member: int, members: int) -> None:
+        """Configure the codec.
 
-    def __init__(self, group: int, me: int, members: int) -> None:
-        self._group, self._me, self._members = group, me, members
+        :param fleet: hash of the fleet's name and members.
+        :param member: number of this member.
+        :param members: how many members the fleet has.
+        """
+        self._fleet, self._member, self._members = fleet, member, members
         self.dropped: Counter[str] = Counter()
 
-    def write(self, message: Any_) -> bytes:
+    def write(self, message: AnyMessage) -> bytes:
+        """Encode a message as a frame."""
         raw = msgspec.Raw(_ENCODER.encode(message))
-        return MARK + _ENCODER.encode(_Frame(VERSION, self._group, self._me, raw))
+        return FRAME_PREFIX + _ENCODER.encode(_Frame(PROTOCOL_VERSION, self._fleet, self._member, raw))
 
-    def read(self, data: bytes) -> tuple[int, Any_] | None:
-        """Sender and message; None, and counted by reason, where it is not to be believed."""
+    def read(self, data: bytes) -> tuple[int, AnyMessage] | None:
+        """Decode a frame.
+
+        :returns: the sender and the message; None where the frame is invalid, which is counted in `dropped`.
+        """
         try:
-            frame = _FRAME.decode(data[len(MARK) :])
-            if frame.version != VERSION:
-                return self._drop("version")
-            if frame.group != self._group:
-                return self._drop("group")
-            if frame.sender >= self._members or frame.sender == self._me:
-                return self._drop("sender")
-            return frame.sender, _MESSAGE.decode(frame.message)
+            frame = _FRAME_DECODER.decode(data[len(FRAME_PREFIX) :])
+            reason = self._drop_reason(frame)
+            if reason is None:
+                return frame.sender, _MESSAGE_DECODER.decode(frame.message)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-            return self._drop("malformed")
+            reason = "malformed"
+        self.dropped[reason] += 1
+        return None
 
-    def _drop(self, why: str) -> tuple[int, Any_] | None:
-        self.dropped[why] += 1
+    def _drop_reason(self, frame: _Frame) -> str | None:
+        if frame.version != PROTOCOL_VERSION:
+            return "version"
+        if frame.fleet != self._fleet:
+            return "group"
+        if frame.sender >= self._members or frame.sender == self._member:
+            return "sender"
         return None
--- /dev/null
+++ b/shaletiller/replication/node.py
@@ -0,0 +1,257 @@
+"""One gateway's replication node: acceptor, proposer, state transfer and anti-entropy.
+
+`ReplicationNode` reads no clock, socket or file.  It is given what arrived, what has been persisted and the
+time, and its effects are data, see effects.py.  A reply of its acceptor is sent only once the rows it rests
+on are persisted.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from shaletiller.replication.acceptor import Acceptor
+from shaletiller.replication.anti_entropy import AntiEntropy
+from shaletiller.replication.effects import CommitPosition, Effect, PersistRecords, SendMessage
+from shaletiller.replication.groups import ReplicaGroups
+from shaletiller.replication.messages import (
+    Accept,
+    AnyMessage,
+    Prepare,
+    Reply,
+    StateTransferPage,
+    StateTransferRequest,
+)
+from shaletiller.replication.proposer import Operation, Precondition, Proposer
+from shaletiller.replication.records import REGISTER, RecordUpdate, pack
+from shaletiller.replication.state_transfer import StateTransfer
+from shaletiller.replication.transfer_budget import DEFAULT_BYTES_PER_SECOND, TransferBudget
+
+
+@dataclass(slots=True, frozen=True)
+class _PeerTransferred:
+    """After persisting: this member has transferred all the rows it shares with this one."""
+
+    member: int
+
+
+_AfterPersist = SendMessage | _PeerTransferred
+
+
+class ReplicationNode:
+    """Times are milliseconds of the Unix epoch.
+
+    Expirations are compared with the clocks of all members, which must be within a second of each other.
+    """
+
+    def __init__(
+        self,
+        member: int,
+        groups: ReplicaGroups,
+        stored: list[tuple[int, bytes, bytes]] | None,
+        now_ms: float,
+        bytes_per_second: float = DEFAULT_BYTES_PER_SECOND,
+    ) -> None:
+        """Start a node.
+
+        :param member: number of this member in the fleet.
+        :param stored: the records of the store; None while it is not open: the node then only proposes.
+        :param bytes_per_second: bound on what state transfer and anti-entropy send.
+        """
+        self.member, self.groups = member, groups
+        self.acceptor = Acceptor(member, groups)
+        process = int(now_ms)
+        self.proposer = Proposer(self.acceptor, process)
+        self.budget = TransferBudget(bytes_per_second)
+        self.state_transfer = StateTransfer(self.acceptor, process, self.budget)
+        self.anti_entropy = AntiEntropy(self.acceptor, self.budget)
+        self.effects: list[Effect] = []
+        # Members known to be down: a fast round, which needs the whole group, is not tried then.
+        self.unreachable: frozenset[int] = frozenset()
+        self._after_persist: dict[int, _AfterPersist] = {}  # by token
+        self._persisting: dict[int, tuple[str, ...]] = {}  # by token: the registers in it
+        self._unpersisted: set[str] = set()  # registers whose newest row failed to persist
+        self._token = 0
+        self._operations = 0
+        if stored is not None:
+            self.open(stored, now_ms)
+
+    def open(self, stored: Iterable[tuple[int, bytes, bytes]], now_ms: float) -> None:
+        """Load the store: from now on this node is an acceptor.
+
+        :raises msgspec.MsgspecError: for a record that cannot be decoded.
+        """
+        self.acceptor.load(stored)
+        if self.acceptor.incarnation == 0:
+            self._persist(self.acceptor.start_incarnation(int(now_ms)))
+
+    # ---- operations
+
+    def propose(
+        self,
+        key: str,
+        precondition: Precondition,
+        value: bytes,
+        expires_ms: float,
+        deadline_ms: float,
+        now_ms: float,
+        expected: bytes = b"",
+        position: CommitPosition | None = None,
+        fast: bool = True,
+    ) -> int:
+        """Start an operation; its result is one of the effects.
+
+        :param expires_ms: when the register expires, if the value is committed.
+        :param expected: the bytes that `Precondition.EQUALS` compares with.
+        :param position: where this gateway committed the value that the register holds.
+        :returns: the number of the operation.
+        """
+        self._operations += 1
+        operation = Operation(
+            self._operations, key, precondition, value, int(expires_ms), deadline_ms, expected
+        )
+        fast = fast and self.unreachable.isdisjoint(self.groups.members_of(key))
+        self.proposer.start(operation, now_ms, position, fast)
+        self._flush(now_ms)
+        return self._operations
+
+    @property
+    def busy(self) -> bool:
+        """Whether operations are under way."""
+        return bool(self.proposer.operations)
+
+    @property
+    def fully_synced(self) -> bool:
+        """Whether this node votes on all keys of its groups."""
+        acceptor = self.acceptor
+        return len(acceptor.synced) == acceptor.member_count - 1 and not acceptor.superseded
+
+    @property
+    def rows_received(self) -> int:
+        """How many rows state transfer and anti-entropy have brought."""
+        return self.state_transfer.rows_received + self.anti_entropy.rows_received
+
+    # ---- events
+
+    def receive(self, sender: int, message: AnyMessage, now_ms: float) -> None:
+        """Handle a message of another member."""
+        self._dispatch(sender, message, now_ms)
+        self._flush(now_ms)
+
+    def persisted(self, token: int, now_ms: float) -> None:
+        """Handle that the updates of a `PersistRecords` are durable."""
+        self._persisting.pop(token, None)
+        after = self._after_persist.pop(token, None)
+        if isinstance(after, _PeerTransferred):
+            if after.member not in self.acceptor.synced:
+                self.acceptor.synced.add(after.member)
+                self._persist(self.acceptor.metadata_updates())
+        elif after is not None:
+            self._send(after, now_ms)
+        self._flush(now_ms)
+
+    def persist_failed(self, token: int) -> None:
+        """Handle that the updates of a `PersistRecords` are not durable.
+
+        Nothing is sent that rests on them or on what is being persisted after them; before anything else is
+        sent they are persisted again.  State transfers begin again: pages before this one may be missing.
+        """
+        self._after_persist.clear()
+        self._unpersisted.update(self._persisting.pop(token, ()))
+        self.state_transfer.restart()
+        self.acceptor.metadata_changed = True
+
+    def tick(self, now_ms: float, alive: tuple[int, ...]) -> None:
+        """Handle the passing of time.
+
+        To be called every few milliseconds while operations are under way, else a few times per second.
+
+        :param alive: the members that can be reached.
+        """
+        self.proposer.tick(now_ms)
+        if self.acceptor.incarnation:
+            self.budget.refill(now_ms)
+            if not self.acceptor.superseded:
+                self.state_transfer.tick(now_ms)
+                self.anti_entropy.tick(now_ms, alive)
+        expired = self.acceptor.expire(now_ms)
+        if expired:
+            self._persist(expired)
+        self._flush(now_ms)
+
+    def take_effects(self) -> list[Effect]:
+        """Return the effects since the last call."""
+        effects, self.effects = self.effects, []
+        return effects
+
+    # ---- internals
+
+    def _persist(self, updates: list[RecordUpdate], after: _AfterPersist | None = None) -> None:
+        if self._unpersisted:
+            updates = [*map(self._current_update, sorted(self._unpersisted)), *updates]
+            self._unpersisted.clear()
+        if self.acceptor.metadata_changed:
+            updates = [*self.acceptor.metadata_updates(), *updates]
+        self._token += 1
+        keys = tuple(update.key.decode() for update in updates if update.kind == REGISTER)
+        if keys:
+            self._persisting[self._token] = keys
+        if after is not None:
+            self._after_persist[self._token] = after
+        self.effects.append(PersistRecords(self._token, tuple(updates)))
+
+    def _current_update(self, key: str) -> RecordUpdate:
+        row = self.acceptor.rows.get(key)
+        return RecordUpdate(REGISTER, key.encode(), pack(row) if row else None)
+
+    def _send(self, send: SendMessage, now_ms: float) -> None:
+        if send.recipient == self.member:
+            self._dispatch(self.member, send.message, now_ms)
+        else:
+            self.effects.append(send)
+
+    def _dispatch(self, sender: int, message: AnyMessage, now_ms: float) -> None:
+        match message:
+            case Reply():
+                self.proposer.receive(sender, message, now_ms)
+            # A reply without updates may rest on rows that are still being persisted: it waits for them too.
+            case Prepare():
+                reply, updates = self.acceptor.prepare(message, now_ms)
+                self._persist(updates, SendMessage(sender, reply))
+            case Accept():
+                reply, updates = self.acceptor.accept(message, now_ms)
+                self._persist(updates, SendMessage(sender, reply))
+            case StateTransferRequest():
+                page = self.state_transfer.page_for(sender, message, now_ms)
+                self._persist([], SendMessage(sender, page))
+            case StateTransferPage():
+                self._receive_page(sender, message, now_ms)
+            case _:
+                updates = self.anti_entropy.receive(sender, message, now_ms)
+                if updates:
+                    self._persist(updates)
+
+    def _receive_page(self, sender: int, page: StateTransferPage, now_ms: float) -> None:
+        updates, complete = self.state_transfer.receive_page(sender, page, now_ms)
+        if updates or complete:
+            self._persist(updates, _PeerTransferred(sender) if complete else None)
+        acceptor = self.acceptor
+        if acceptor.superseded and not acceptor.synced:
+            # A new store that has never voted, on a machine whose clock is behind: it takes a later
+            # incarnation.
+            self.state_transfer.restart()
+            self._persist(acceptor.start_incarnation(acceptor.incarnations[self.member] + 1))
+
+    def _flush(self, now_ms: float) -> None:
+        """Turn what the parts have gathered into effects; messages to this member are handled immediately."""
+        while self.proposer.outbox or self.state_transfer.outbox or self.anti_entropy.outbox:
+            requests, self.proposer.outbox = self.proposer.outbox, []
+            for request in requests:
+                self._send(request, now_ms)
+            self.effects += self.state_transfer.outbox
+            self.effects += self.anti_entropy.outbox
+            self.state_transfer.outbox, self.anti_entropy.outbox = [], []
+        if self.acceptor.metadata_changed:
+            self._persist([])
+        self.effects += self.proposer.results
+        self.proposer.results = []
--- a/shaletiller/replication/proposer.py
+++ b/shaletiller/replication/proposer.py
@@ -1,268 +1,349 @@
-"""One gateway's questions to the groups: compare and set, each on one key, in one round where all goes well.
+"""The proposer: compare-and-set on one key at a time, in one round trip where all goes well.
 
-An `Op` says what it expects to find and what it writes then.  It is kept when a majority of the group has it
-(in the fast round: all of it); else it says what it found, which is then sure to be made as well.
+An `Operation` states a precondition and the value to write when it holds.  It is committed when a majority of
+the key's group has accepted the value (in the fast round: all of the group); otherwise its result is the
+value that it found, which is then certain to be committed as well.
 
-Rounds: fast (only on a key that is expected to be free), else prepare and accept under a ballot above all
-that were seen.  One who has kept a value may write the next under the same ballot, a step on, in one round,
-as long as no other has asked under a higher one: that is how an intent becomes an outcome, and how one who
-was cut off is fenced.
+Rounds: fast (only where the key is expected to be free), else prepare and accept under a ballot above all
+that were seen.  Whoever has committed a value may write the next one under the same ballot and the next step,
+in one round, as long as no other proposer has prepared a higher ballot: that is how an intent becomes an
+outcome, and how a proposer that was partitioned away is fenced.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
 
 import xxhash
 
-from shaletiller.replication.acceptor import EMPTY, Acceptor
-from shaletiller.replication.messages import NO, OK, STALE, UNREADY, Accept, Prepare, Reply
-from shaletiller.replication.rows import FAST, NONE, Ballot, Row, Word, read_says
-
-FAST_MS = 40.0  # how long the fast round waits for the last of the group
-AGAIN_MS = 80.0  # a question without an answer is asked again
-LEAST_REST_MS, MOST_REST_MS = 4.0, 60.0  # between two rounds under higher ballots: full jitter
-GRACE_MS = 10.0  # after a no, the rest of the group may still make a majority
-LOOK_MS = 30.0  # before a group that does not vote yet is asked again
-
-
-class Expect(Enum):
-    """What must stand in the register for the value to be written."""
+from shaletiller.replication.acceptor import EMPTY_ROW, Acceptor
+from shaletiller.replication.effects import CommitPosition, OperationResult, SendMessage
+from shaletiller.replication.messages import Accept, Prepare, Reply, ReplyStatus, first_nonce
+from shaletiller.replication.records import (
+    FAST_BALLOT,
+    NO_BALLOT,
+    Ballot,
+    OperatorCommand,
+    Row,
+    decode_value,
+)
+
+# The times are empirical, for replicas a few milliseconds apart whose stores sync in about ten.
+FAST_ROUND_TIMEOUT_MS = 40.0  # a slow replica delays a write by this much against a second round
+RETRANSMIT_MS = 80.0  # a lost request delays an operation by this much against duplicates to a slow store
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 4.0, 60.0  # competing proposers: latency against repeated collisions
+REJECTION_GRACE_MS = 10.0  # after a rejection the rest of the group may still make a majority
+RECOVERING_RETRY_MS = 30.0  # before a group that does not vote yet is asked again
+MAX_BACKOFF_DOUBLINGS = 8  # bounds the power; MAX_BACKOFF_MS is reached before
+
+
+class Precondition(Enum):
+    """What the register must hold for the value to be written."""
 
     FREE = "free"
-    THIS = "this"  # the bytes of `expected`
-    OLDER = "older"  # nothing, or a Word with a lower stamp
-    ANYTHING = "anything"
-    NEVER = "never"  # read only
-
+    EQUALS = "equals"  # the bytes of `Operation.expected`
+    OLDER_STAMP = "older stamp"  # nothing, or an operator command with a lower stamp
+    ANY = "any"
+    READ_ONLY = "read only"  # never written
 
-@dataclass(slots=True, frozen=True)
-class Held:
-    """Under what a kept value stands: the next may follow a step on."""
 
-    ballot: Ballot
-    step: int
-    incarnations: tuple[int, ...]
+class Phase(StrEnum):
+    """Where an operation stands; a string, so that operations can be sorted."""
 
-
-@dataclass(slots=True, frozen=True)
-class Done:
-    """How an op ended.  `kept`: its value is made.  Else `value` is what is made instead, b"" where the key
-    is free; or, with `unknown`, nothing could be made certain in time, and its own value may yet be made."""
-
-    op: int
-    kept: bool
-    value: bytes = b""
-    held: Held | None = None
-    unknown: bool = False
+    NEW = ""
+    FAST = "fast"
+    PREPARE = "prepare"
+    ACCEPT = "accept"
+    BACKOFF = "backoff"
 
 
 @dataclass(slots=True)
-class Op:
-    """A question under way."""
+class Operation:
+    """A compare-and-set under way; times are milliseconds of the Unix epoch."""
 
     number: int
     key: str
-    expect: Expect
+    precondition: Precondition
     value: bytes
-    until: int
+    expires_ms: int  # of the register, if the value is committed
     deadline_ms: float
     expected: bytes = b""
-    phase: str = ""
+    phase: Phase = Phase.NEW
     nonce: int = 0
-    ballot: Ballot = NONE
+    ballot: Ballot = NO_BALLOT
     step: int = 0
     incarnations: tuple[int, ...] = ()
-    writing: bytes = b""
-    writing_until: int = 0
-    keeps: bool = False  # whether what is being written is its own value
+    proposed: bytes = b""
+    proposed_expires_ms: int = 0
+    proposes_own_value: bool = False  # else it completes the round of another proposer
     replies: dict[int, Reply] = field(default_factory=dict)
-    seen: int = 0  # the highest round seen
-    tries: int = 0
-    began_ms: float = 0.0
-    asked_ms: float = 0.0
-    rest_until_ms: float = 0.0
+    highest_round: int = 0
+    retries: int = 0
+    started_ms: float = 0.0
+    sent_ms: float = 0.0
+    backoff_until_ms: float = 0.0
+
+    def propose_own_value(self) -> None:
+        """Propose the value of the operation itself."""
+        self.proposed, self.proposed_expires_ms, self.proposes_own_value = self.value, self.expires_ms, True
+
+    def count(self, *statuses: ReplyStatus) -> int:
+        """Count the replies of the current phase with these statuses."""
+        return sum(reply.status in statuses for reply in self.replies.values())
 
 
 class Proposer:
-    """Ops under way.  `out` gathers what is to be sent, `done` how ops ended; the caller empties both."""
+    """The operations under way at one gateway.  The caller empties `outbox` and `results` after each call."""
 
     def __init__(self, acceptor: Acceptor, process: int) -> None:
-        """`process` tells this process from those of the same gateway before it: its start, in milliseconds
-        of the Unix epoch."""
-        self.me, self.groups, self._acceptor = acceptor.me, acceptor.groups, acceptor
-        self.ops: dict[int, Op] = {}
-        self._nonces: dict[int, int] = {}
-        self._nonce = process << 20  # an answer to the process before this one answers nothing here
-        self.out: list[tuple[int, Prepare | Accept]] = []
-        self.done: list[Done] = []
+        """Start without operations.
+
+        :param process: start of this process in milliseconds of the Unix epoch, which tells it from earlier
+            processes of the same gateway.
+        """
+        self.member, self.groups, self._acceptor = acceptor.member, acceptor.groups, acceptor
+        self.operations: dict[int, Operation] = {}
+        self._nonces: dict[int, int] = {}  # operation by the nonce of its current phase
+        self._nonce = first_nonce(process)
+        self.outbox: list[SendMessage] = []
+        self.results: list[OperationResult] = []
         self.rounds = 0
 
-    def start(self, op: Op, now_ms: float, held: Held | None = None, fast: bool = True) -> None:
-        """`held`: what stands there was written under it, and the value follows a step on."""
-        self.ops[op.number] = op
-        op.began_ms = now_ms
-        if held is not None:
-            op.ballot, op.step, op.incarnations = held.ballot, held.step + 1, held.incarnations
-            op.writing, op.writing_until, op.keeps = op.value, op.until, True
-            self._ask(op, "accept", now_ms)
-        elif fast and op.expect is Expect.FREE:
-            op.ballot, op.step, op.incarnations = FAST, 0, self._acceptor.lives_of(op.key)
-            op.writing, op.writing_until, op.keeps = op.value, op.until, True
-            self._ask(op, "fast", now_ms)
+    def start(
+        self,
+        operation: Operation,
+        now_ms: float,
+        position: CommitPosition | None = None,
+        fast: bool = True,
+    ) -> None:
+        """Start an operation.
+
+        :param position: where this gateway committed the value that the register holds; the new value follows
+            at the next step.
+        :param fast: whether a fast round may be tried.
+        """
+        self.operations[operation.number] = operation
+        operation.started_ms = now_ms
+        if position is not None:
+            operation.ballot, operation.step = position.ballot, position.step + 1
+            operation.incarnations = position.incarnations
+            operation.propose_own_value()
+            self._begin_phase(operation, Phase.ACCEPT, now_ms)
+        elif fast and operation.precondition is Precondition.FREE:
+            operation.ballot, operation.step = FAST_BALLOT, 0
+            operation.incarnations = self._acceptor.incarnations_of(operation.key)
+            operation.propose_own_value()
+            self._begin_phase(operation, Phase.FAST, now_ms)
         else:
-            self._prepare(op, now_ms)
+            self._begin_prepare(operation, now_ms)
 
-    def _ask(self, op: Op, phase: str, now_ms: float) -> None:
-        self._nonces.pop(op.nonce, None)
+    def _begin_phase(self, operation: Operation, phase: Phase, now_ms: float) -> None:
+        self._nonces.pop(operation.nonce, None)
         self._nonce += 1
         self.rounds += 1
-        op.phase, op.nonce, op.replies, op.asked_ms = phase, self._nonce, {}, now_ms
-        self._nonces[op.nonce] = op.number
-        self._send(op, self.groups.of(op.key))
-
-    def _send(self, op: Op, to: tuple[int, ...] | list[int]) -> None:
-        ask: Prepare | Accept
-        if op.phase == "prepare":
-            ask = Prepare(op.nonce, op.key, op.ballot, op.until, op.incarnations)
+        operation.phase, operation.nonce = phase, self._nonce
+        operation.replies, operation.sent_ms = {}, now_ms
+        self._nonces[operation.nonce] = operation.number
+        self._send(operation, self.groups.members_of(operation.key))
+
+    def _send(self, operation: Operation, recipients: Iterable[int]) -> None:
+        request: Prepare | Accept
+        if operation.phase is Phase.PREPARE:
+            request = Prepare(
+                operation.nonce,
+                operation.key,
+                operation.ballot,
+                operation.expires_ms,
+                operation.incarnations,
+            )
         else:
-            ask = Accept(op.nonce, op.key, op.ballot, op.step, op.writing, op.writing_until, op.incarnations)
-        self.out += [(member, ask) for member in to]
-
-    def _prepare(self, op: Op, now_ms: float) -> None:
-        op.seen = max(op.seen, op.ballot[0], FAST[0]) + 1
-        # Two ops of one process on one key may come to the same round: the nonce tells their ballots apart.
-        op.ballot, op.step = (op.seen, self.me, self._nonce + 1), 0
-        op.incarnations = self._acceptor.lives_of(op.key)
-        self._ask(op, "prepare", now_ms)
-
-    def _rest(self, op: Op, now_ms: float, wait_ms: float | None = None) -> None:
-        """Another is at it too, or the group cannot answer yet: come back after a while."""
-        op.tries += 1
-        self._nonces.pop(op.nonce, None)
+            request = Accept(
+                operation.nonce,
+                operation.key,
+                operation.ballot,
+                operation.step,
+                operation.proposed,
+                operation.proposed_expires_ms,
+                operation.incarnations,
+            )
+        self.outbox += [SendMessage(member, request) for member in recipients]
+
+    def _begin_prepare(self, operation: Operation, now_ms: float) -> None:
+        operation.highest_round = max(operation.highest_round, operation.ballot.round, FAST_BALLOT.round) + 1
+        # Two operations of one process on one key may reach the same round: the nonce keeps their ballots
+        # apart.
+        operation.ballot = Ballot(operation.highest_round, self.member, self._nonce + 1)
+        operation.step = 0
+        operation.incarnations = self._acceptor.incarnations_of(operation.key)
+        self._begin_phase(operation, Phase.PREPARE, now_ms)
+
+    def _back_off(self, operation: Operation, now_ms: float, wait_ms: float | None = None) -> None:
+        """Wait before the next prepare: another proposer competes, or the group cannot answer yet.
+
+        Exponential backoff with full jitter, unless `wait_ms` is given.
+        """
+        operation.retries += 1
+        self._nonces.pop(operation.nonce, None)
         if wait_ms is None:
-            # Drawn from the op itself: a run is the same for the same course of events.
-            draw = xxhash.xxh3_64_intdigest(f"{self.me} {op.number} {op.tries}".encode()) / 2.0**64
-            wait_ms = LEAST_REST_MS + draw * min(MOST_REST_MS, LEAST_REST_MS * 2 ** min(op.tries, 8))
-        op.phase, op.rest_until_ms = "rest", now_ms + wait_ms
-
-    def _end(self, op: Op, done: Done) -> None:
-        del self.ops[op.number]
-        self._nonces.pop(op.nonce, None)
-        self.done.append(done)
+            # Derived from the operation: a simulation repeats exactly for the same events.
+            seed = f"{self.member} {operation.number} {operation.retries}".encode()
+            jitter = xxhash.xxh3_64_intdigest(seed) / 2.0**64
+            longest_ms = MIN_BACKOFF_MS * 2 ** min(operation.retries, MAX_BACKOFF_DOUBLINGS)
+            wait_ms = MIN_BACKOFF_MS + jitter * min(MAX_BACKOFF_MS, longest_ms)
+        operation.phase, operation.backoff_until_ms = Phase.BACKOFF, now_ms + wait_ms
+
+    def _finish(self, operation: Operation, result: OperationResult) -> None:
+        del self.operations[operation.number]
+        self._nonces.pop(operation.nonce, None)
+        self.results.append(result)
 
     def tick(self, now_ms: float) -> None:
-        """To be called every few milliseconds while there are ops."""
-        for op in list(self.ops.values()):
-            if now_ms >= op.deadline_ms:
-                self._end(op, Done(op.number, False, unknown=True))
-            elif op.phase == "rest":
-                if now_ms >= op.rest_until_ms:
-                    self._prepare(op, now_ms)
-            elif op.phase == "fast" and now_ms - op.began_ms >= FAST_MS:
-                self._prepare(op, now_ms)
-            elif now_ms - op.asked_ms >= GRACE_MS and any(each.how != OK for each in op.replies.values()):
-                refused = any(each.how == NO for each in op.replies.values())
-                self._rest(op, now_ms, None if refused else LOOK_MS)
-            elif now_ms - op.asked_ms >= AGAIN_MS:
-                op.asked_ms = now_ms
-                self._send(op, [n for n in self.groups.of(op.key) if n not in op.replies])
-
-    # ---- answers
-
-    def take(self, sender: int, reply: Reply, now_ms: float) -> None:
-        """An answer; one to a question that is over, or of another life of its sender, counts for nothing."""
-        op = self.ops.get(self._nonces.get(reply.nonce, -1))
-        if op is None or sender not in (group := self.groups.of(op.key)):
+        """Handle timeouts; to be called every few milliseconds while there are operations."""
+        for operation in list(self.operations.values()):
+            self._check_timeouts(operation, now_ms)
+
+    def _check_timeouts(self, operation: Operation, now_ms: float) -> None:
+        waited_ms = now_ms - operation.sent_ms
+        if now_ms >= operation.deadline_ms:
+            self._finish(operation, OperationResult(operation.number, False, indeterminate=True))
+        elif operation.phase is Phase.BACKOFF:
+            if now_ms >= operation.backoff_until_ms:
+                self._begin_prepare(operation, now_ms)
+        elif operation.phase is Phase.FAST and now_ms - operation.started_ms >= FAST_ROUND_TIMEOUT_MS:
+            self._begin_prepare(operation, now_ms)
+        elif waited_ms >= REJECTION_GRACE_MS and operation.count(ReplyStatus.OK) < len(operation.replies):
+            rejected = operation.count(ReplyStatus.REJECTED) > 0
+            self._back_off(operation, now_ms, None if rejected else RECOVERING_RETRY_MS)
+        elif waited_ms >= RETRANSMIT_MS:
+            operation.sent_ms = now_ms
+            group = self.groups.members_of(operation.key)
+            self._send(operation, [member for member in group if member not in operation.replies])
+
+    # ---- replies
+
+    def receive(self, sender: int, reply: Reply, now_ms: float) -> None:
+        """Handle a reply; one to a finished phase, or of another incarnation of its sender, is ignored."""
+        operation = self.operations.get(self._nonces.get(reply.nonce, -1))
+        if operation is None:
+            return
+        group = self.groups.members_of(operation.key)
+        if sender not in group:
             return
-        if reply.how in (STALE, UNREADY):
+        if reply.status in (ReplyStatus.STALE_INCARNATION, ReplyStatus.RECOVERING):
             if len(reply.incarnations) == len(group):
-                self._acceptor.know(dict(zip(group, reply.incarnations, strict=True)))
-            if self._acceptor.lives_of(op.key) != op.incarnations:
-                self._prepare(op, now_ms)
+                known = dict(zip(group, reply.incarnations, strict=True))
+                self._acceptor.observe_incarnations(known)
+            if self._acceptor.incarnations_of(operation.key) != operation.incarnations:
+                self._begin_prepare(operation, now_ms)
                 return
-            # Where it is this gateway that knows more, the other hears of it from the one concerned.
-            op.replies[sender] = reply
-        elif reply.incarnation == op.incarnations[group.index(sender)]:
-            op.replies[sender] = reply
-        self._count(op, now_ms)
-
-    def _count(self, op: Op, now_ms: float) -> None:
-        replies = op.replies.values()
-        agreed = sum(reply.how == OK for reply in replies)
-        noes = [reply for reply in replies if reply.how == NO]
-        for reply in noes:
-            op.seen = max(op.seen, reply.row.promised[0], reply.row.ballot[0])
-        made = self._made(op)
-        if made is not None:
-            self._end(op, Done(op.number, False, made))
+            # Where this gateway knows the newer incarnation, the sender learns it from the member concerned.
+            operation.replies[sender] = reply
+        elif reply.incarnation == operation.incarnations[group.index(sender)]:
+            operation.replies[sender] = reply
+        self._evaluate(operation, now_ms)
+
+    def _evaluate(self, operation: Operation, now_ms: float) -> None:
+        for reply in operation.replies.values():
+            if reply.status is ReplyStatus.REJECTED:
+                seen = reply.row.promised.round, reply.row.ballot.round
+                operation.highest_round = max(operation.highest_round, *seen)
+        committed = self._committed_value(operation)
+        if committed is not None:
+            self._finish(operation, OperationResult(operation.number, False, committed))
             return
-        wanted = self.groups.copies if op.phase == "fast" else self.groups.majority
-        if agreed >= wanted:
-            if op.phase == "prepare":
-                self._prepared(op, now_ms)
-            else:
-                held = Held(op.ballot, op.step, op.incarnations) if op.keeps else None
-                self._end(op, Done(op.number, op.keeps, op.writing, held))
-        elif len(replies) - agreed > self.groups.copies - wanted:  # it cannot come to that any more
-            mute = sum(reply.how in (UNREADY, STALE) for reply in replies)
-            if mute > self.groups.copies - self.groups.majority:
-                self._rest(op, now_ms, LOOK_MS)
-            elif op.phase == "fast" or (op.phase == "accept" and op.tries == 0):
-                op.tries += 1
-                self._prepare(op, now_ms)
-            else:
-                self._rest(op, now_ms)
-
-    def _made(self, op: Op) -> bytes | None:
-        """What the answers alone show to be made, where that is all the op has to know: a majority has taken
-        it under one ballot and step (of the fast round's first: all of the group).  So a repeat of a settled
-        key takes one round and no sync."""
-        if op.expect not in (Expect.FREE, Expect.NEVER) or op.phase not in ("fast", "prepare"):
+        agreed = operation.count(ReplyStatus.OK)
+        quorum = self.groups.replicas if operation.phase is Phase.FAST else self.groups.majority
+        if agreed >= quorum:
+            self._quorum_reached(operation, now_ms)
+        elif len(operation.replies) - agreed > self.groups.replicas - quorum:
+            self._quorum_missed(operation, now_ms)
+
+    def _quorum_reached(self, operation: Operation, now_ms: float) -> None:
+        if operation.phase is Phase.PREPARE:
+            self._choose_value(operation, now_ms)
+            return
+        own = operation.proposes_own_value
+        position = CommitPosition(operation.ballot, operation.step, operation.incarnations) if own else None
+        self._finish(operation, OperationResult(operation.number, own, operation.proposed, position))
+
+    def _quorum_missed(self, operation: Operation, now_ms: float) -> None:
+        """Go on after so many refusals that the phase cannot reach its quorum any more."""
+        not_voting = operation.count(ReplyStatus.RECOVERING, ReplyStatus.STALE_INCARNATION)
+        if not_voting > self.groups.replicas - self.groups.majority:
+            self._back_off(operation, now_ms, RECOVERING_RETRY_MS)
+        elif operation.phase is Phase.FAST or (operation.phase is Phase.ACCEPT and operation.retries == 0):
+            operation.retries += 1
+            self._begin_prepare(operation, now_ms)
+        else:
+            self._back_off(operation, now_ms)
+
+    def _committed_value(self, operation: Operation) -> bytes | None:
+        """Return the value that the replies alone prove to be committed, where the operation needs no more.
+
+        That is one which a majority has accepted under one ballot and step (in the fast round: all of the
+        group).  A repeat of a settled key thus takes one round and no sync.
+        """
+        if operation.precondition not in (Precondition.FREE, Precondition.READ_ONLY):
+            return None
+        if operation.phase not in (Phase.FAST, Phase.PREPARE):
             return None
-        rows = [reply.row for reply in op.replies.values() if reply.how in (OK, NO)]
+        voted = (ReplyStatus.OK, ReplyStatus.REJECTED)
+        rows = [reply.row for reply in operation.replies.values() if reply.status in voted]
         for row in rows:
-            wanted = self.groups.copies if row.rank == (FAST, 0) else self.groups.majority
-            if row.value not in (b"", op.value) and wanted <= sum(
-                other.rank == row.rank and other.value == row.value for other in rows
+            quorum = self.groups.replicas if row.version == (FAST_BALLOT, 0) else self.groups.majority
+            if row.value not in (b"", operation.value) and quorum <= sum(
+                other.version == row.version and other.value == row.value for other in rows
             ):
                 return row.value
         return None
 
-    def _prepared(self, op: Op, now_ms: float) -> None:
-        """A majority takes nothing older: what may have been made is the newest among them."""
-        rows = [reply.row for reply in op.replies.values() if reply.how == OK]
-        current = standing(rows)
-        value = current.value if current.until > now_ms else b""
-        op.keeps = value == op.value != b"" or self._expects(op, value)
-        if op.keeps:
-            op.writing, op.writing_until = op.value, op.until
+    def _choose_value(self, operation: Operation, now_ms: float) -> None:
+        """Choose what to propose once phase 1 has its quorum: what may have been committed wins."""
+        rows = [reply.row for reply in operation.replies.values() if reply.status is ReplyStatus.OK]
+        current = possibly_committed(rows)
+        value = current.value if current.expires_ms > now_ms else b""
+        if value == operation.value != b"" or self._precondition_holds(operation, value):
+            operation.propose_own_value()
         elif value == b"":
-            self._end(op, Done(op.number, False))
+            self._finish(operation, OperationResult(operation.number, False))
             return
         else:
-            op.writing, op.writing_until = value, current.until
-        self._ask(op, "accept", now_ms)
+            operation.proposed, operation.proposed_expires_ms = value, current.expires_ms
+            operation.proposes_own_value = False
+        self._begin_phase(operation, Phase.ACCEPT, now_ms)
 
     @staticmethod
-    def _expects(op: Op, value: bytes) -> bool:
-        if op.expect is Expect.OLDER:
-            new, old = read_says(op.value), read_says(value)
-            return not isinstance(old, Word) or (isinstance(new, Word) and new.stamp > old.stamp)
-        return (
-            op.expect is Expect.ANYTHING
-            or (op.expect is Expect.FREE and value == b"")
-            or (op.expect is Expect.THIS and value == op.expected)
-        )
-
-
-def standing(rows: list[Row]) -> Row:
-    """Of the rows of a majority, the value that may have been made; none where nothing can have been.
-
-    Under a later ballot that is the newest.  In the fast round a first value is made by all of the group, so
-    that one which any of these has not, or has otherwise, was not made."""
-    best = max(rows, key=lambda row: row.rank, default=EMPTY)
-    if best.rank == (FAST, 0) and any(row.value != best.value or row.rank != best.rank for row in rows):
-        return EMPTY
-    return best
+    def _precondition_holds(operation: Operation, value: bytes) -> bool:
+        match operation.precondition:
+            case Precondition.OLDER_STAMP:
+                return _is_newer_command(operation.value, value)
+            case Precondition.FREE:
+                return value == b""
+            case Precondition.EQUALS:
+                return value == operation.expected
+            case Precondition.ANY:
+                return True
+            case Precondition.READ_ONLY:
+                return False
+
+
+def _is_newer_command(value: bytes, current: bytes) -> bool:
+    new, old = decode_value(value), decode_value(current)
+    if not isinstance(old, OperatorCommand):
+        return True
+    return isinstance(new, OperatorCommand) and new.stamp > old.stamp
+
+
+def possibly_committed(rows: list[Row]) -> Row:
+    """Return, of the rows of a majority, the one whose value may have been committed, or an empty row.
+
+    Under a classic ballot that is the newest.  In the fast round a value is committed only by all of the
+    group: one that any of these rows lacks, or has otherwise, was not committed.
+    """
+    newest = max(rows, key=lambda row: row.version, default=EMPTY_ROW)
+    if newest.version != (FAST_BALLOT, 0):
+        return newest
+    agreed = all(row.value == newest.value and row.version == newest.version for row in rows)
+    return newest if agreed else EMPTY_ROW
--- /dev/null
+++ b/shaletiller/replication/records.py
@@ -0,0 +1,208 @@
+"""The stored records: the row of a register, the values a register holds, and their MessagePack form.
+
+The structures are encoded as arrays: their fields are positional, and the values carry a numeric tag.
+Neither the order of the fields nor a tag may change, since stores outlive the process that wrote them and
+gateways of two versions exchange rows during an upgrade.
+"""
+
+from __future__ import annotations
+
+from typing import Annotated, Any, NamedTuple
+
+import msgspec
+
+# Kinds of record in a store: the row of a register, and what the gateway stores about itself.
+REGISTER, META = 1, 2
+
+MAX_KEY_CHARS = 400
+
+UnsignedInt = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
+MemberNumber = Annotated[int, msgspec.Meta(ge=0, lt=1 << 16)]
+Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_KEY_CHARS)]
+Step = Annotated[int, msgspec.Meta(ge=0, lt=1 << 31)]
+Value = Annotated[bytes, msgspec.Meta(max_length=1 << 17)]
+
+
+class Ballot(NamedTuple):
+    """A ballot, ordered by round, then member, then number.
+
+    `number` is used once by its member across all of its processes, so that no two operations ever share a
+    ballot.
+    """
+
+    round: UnsignedInt
+    member: MemberNumber
+    number: UnsignedInt
+
+
+NO_BALLOT = Ballot(0, 0, 0)  # nothing promised or accepted yet
+FAST_BALLOT = Ballot(1, 0, 0)  # the fast round: any gateway may use it without a prepare phase
+
+
+class RecordUpdate(NamedTuple):
+    """One change to the store; a `value` of None deletes the key."""
+
+    kind: int
+    key: bytes
+    value: bytes | None
+
+
+class Row(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """The state of one register at one acceptor.
+
+    `promised` is the ballot below which the acceptor accepts nothing; `ballot` and `step` are those under
+    which it accepted `value`.  An empty value means that the register is free.  The row expires at
+    `expires_ms` (milliseconds of the Unix epoch) on all replicas alike.
+    """
+
+    promised: Ballot = NO_BALLOT
+    ballot: Ballot = NO_BALLOT
+    step: Step = 0
+    value: Value = b""
+    expires_ms: UnsignedInt = 0
+
+    @property
+    def version(self) -> tuple[Ballot, int]:
+        """The order of accepted values: the ballot, then the step under it."""
+        return self.ballot, self.step
+
+    def __deepcopy__(self, memo: Any) -> Row:
+        """Return the same object: it is immutable."""
+        return self
+
+
+class RegisterValue(msgspec.Struct, array_like=True, frozen=True, gc=False, tag_field="k"):
+    """Base of what a register can hold."""
+
+
+class WriteIntent(RegisterValue, tag=1, frozen=True):
+    """Gateway `owner`, in this incarnation of its process, is about to forward a write: it may have run.
+
+    `request_hash` identifies the request, `recorded_ms` is when the intent was written, and by `deadline_ms`
+    the owner has answered its client.
+    """
+
+    owner: MemberNumber
+    incarnation: UnsignedInt
+    number: UnsignedInt
+    request_hash: int
+    recorded_ms: UnsignedInt
+    deadline_ms: UnsignedInt
+
+
+class WriteOutcome(RegisterValue, tag=2, frozen=True):
+    """The final answer to a write: served with `body`, or failed."""
+
+    served: bool
+    body: bytes
+    request_hash: int
+    recorded_ms: UnsignedInt
+
+
+class OperatorCommand(RegisterValue, tag=3, frozen=True):
+    """An operator's ejection of a storage node, or drain of a gateway: `in_effect`, or lifted.
+
+    `issuer` is the gateway that received the command, `stamp` its hybrid logical clock at that time.
+    """
+
+    in_effect: bool
+    stamp: UnsignedInt
+    issuer: MemberNumber
+    expires_ms: UnsignedInt
+
+
+class CachedEndpointList(RegisterValue, tag=4, frozen=True):
+    """The endpoint list of a gateway as of `recorded_ms`, in the JSON of the discovery protocol."""
+
+    recorded_ms: UnsignedInt
+    json: bytes
+
+
+class LeaseTable(RegisterValue, tag=5, frozen=True):
+    """What the granter of a limit has leased in total, as of its table number `number`.
+
+    `rate` is in thousandths of a unit per second and `burst` in thousandths of a unit; `recorded_ms` is by
+    the granter's clock.
+    """
+
+    granter: MemberNumber
+    incarnation: UnsignedInt
+    number: UnsignedInt
+    recorded_ms: UnsignedInt
+    rate: UnsignedInt
+    burst: UnsignedInt
+
+
+StoredValue = WriteIntent | WriteOutcome | OperatorCommand | CachedEndpointList | LeaseTable
+
+# Names in the output of `store show`: a fixed format of the command line.
+_SHOWN_KINDS = {REGISTER: "register", META: "meta"}
+_SHOWN_VALUES: dict[type[RegisterValue], str] = {
+    WriteIntent: "intent",
+    WriteOutcome: "outcome",
+    OperatorCommand: "word",
+    CachedEndpointList: "listed",
+    LeaseTable: "leased",
+}
+_ENCODER = msgspec.msgpack.Encoder()
+_VALUE_DECODER = msgspec.msgpack.Decoder(StoredValue)
+_ROW_DECODER = msgspec.msgpack.Decoder(Row)
+
+
+def pack(record: Any) -> bytes:
+    """Encode a row, a value, or what a gateway stores about itself, as MessagePack."""
+    return _ENCODER.encode(record)
+
+
+def decode_value(value: bytes) -> StoredValue | None:
+    """Decode the value of a register; None where it is empty or written by a later version."""
+    try:
+        return _VALUE_DECODER.decode(value) if value else None
+    except (msgspec.MsgspecError, UnicodeDecodeError):
+        return None
+
+
+def decode_row(data: bytes) -> Row:
+    """Decode a row.
+
+    :raises msgspec.MsgspecError: for bytes that are not a row.
+    """
+    return _ROW_DECODER.decode(data)
+
+
+def describe(kind: int, key: bytes, value: bytes) -> dict[str, Any]:
+    """Describe a record of a store for an operator; the keys are those of `store show --json`."""
+    shown: dict[str, Any] = {
+        "kind": _SHOWN_KINDS.get(kind, kind),
+        "key": key.decode("utf-8", "replace"),
+    }
+    if kind != REGISTER:
+        return {**shown, "bytes": len(value)}
+    try:
+        row = decode_row(value)
+    except (msgspec.MsgspecError, UnicodeDecodeError):
+        return {**shown, "unreadable": len(value)}
+    stored = decode_value(row.value)
+    return {
+        **shown,
+        "promised": row.promised,
+        "ballot": row.ballot,
+        "step": row.step,
+        "until": row.expires_ms,
+        "says": _SHOWN_VALUES[type(stored)] if stored is not None else "free",
+        **_describe_value(stored),
+    }
+
+
+def _describe_value(stored: StoredValue | None) -> dict[str, Any]:
+    match stored:
+        case WriteIntent():
+            return {"owner": stored.owner, "at": stored.recorded_ms}
+        case WriteOutcome():
+            return {"served": stored.served, "bytes": len(stored.body), "at": stored.recorded_ms}
+        case OperatorCommand():
+            return {"out": stored.in_effect, "by": stored.issuer}
+        case CachedEndpointList():
+            return {"bytes": len(stored.json), "at": stored.recorded_ms}
+        case _:
+            return {}
--- a/shaletiller/replication/writes.py
+++ b/shaletiller/replication/writes.py
@@ -1,194 +1,244 @@
-"""Writes that must not run twice: an intent is made before one goes out, and its outcome before it is told.
-
-    claim ── kept ──► GO ── served ──► outcome made ──► TELL it
-      │ found                └ nothing ran ──► the key is free again (beside the answer)
-      │                      └ else ──► "failed" is written down (beside the answer)
-      ├ an outcome ──► TELL it, no node is asked
-      ├ an intent whose gateway may still answer ──► REFUSE: come back
-      ├ an intent whose gateway has not ──► FAIL: it may have run
-      └ nothing certain in time ──► REFUSE: nothing was sent
-
-A refusal says that nothing was sent for this request; a failure promises nothing.  Free of time and I/O:
-calls give decisions, which are data.
+"""Replicated writes: an intent is committed before a write is forwarded, its outcome before it is answered.
+
+    claim -- committed --> FORWARD -- served --> outcome committed --> answer SERVED
+      |                       |-- nothing ran --> the key is freed again (after the answer)
+      |                       `-- otherwise ----> a failed outcome is written (after the answer)
+      |-- found an outcome --> answer with it, no node is called
+      |-- found an intent whose gateway may still answer --> REJECTED: retry later
+      |-- found an intent whose gateway has not answered --> FAILED: it may have run
+      `-- indeterminate --> REJECTED: nothing was forwarded
+
+A rejection says that nothing was forwarded for this request; a failure leaves it open.  Free of time
+and I/O: decisions are data.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Literal
+from enum import Enum, StrEnum, auto
 
-from shaletiller.replication.core import ReplicationNode
-from shaletiller.replication.proposer import Done, Expect, Held
-from shaletiller.replication.rows import Intent, Outcome, pack, read_says
+from shaletiller.replication.effects import CommitPosition, OperationResult
+from shaletiller.replication.node import ReplicationNode
+from shaletiller.replication.proposer import Precondition
+from shaletiller.replication.records import WriteIntent, WriteOutcome, decode_value, pack
 
-CLAIM_MS = 400.0  # beyond which nothing is sent
-CLAIM_PART = 0.4  # and no more of the request's time than this
-BESIDE_MS = 30_000.0  # how long what goes on beside the answers is tried
-MARGIN_MS = 2_000.0  # how much longer than promised a record stays: clocks differ
-LEAST_COME_BACK_MS = 20.0
-NO_MAJORITY_MS = 500.0  # when to come back to a group that has none
+# A claim that takes longer leaves too little of the request's time for the write itself.
+MAX_CLAIM_MS, MAX_CLAIM_PART = 400.0, 0.4
+CLEANUP_MS = (
+    30_000.0  # how long a record that no client waits for is tried; afterwards the key reads "failed"
+)
+CLOCK_MARGIN_MS = 2_000.0  # records outlive their retention by this much, since clocks differ by a second
+MIN_RETRY_AFTER_MS = 20.0  # empirical: an immediate retry would find the same intent
+NO_MAJORITY_RETRY_AFTER_MS = 500.0  # empirical: load of retries against delay once the majority is back
 
-What = Literal["go", "served", "failed", "refused"]
+
+class WriteVerdict(StrEnum):
+    """What becomes of a write, or what has become of it."""
+
+    FORWARD = "forward"
+    SERVED = "served"
+    FAILED = "failed"  # it may have run
+    REJECTED = "refused"  # nothing was forwarded, or nothing ran
+
+
+class _Phase(Enum):
+    CLAIMING = auto()
+    FORWARDED = auto()
+    RECORDING = auto()
 
 
 @dataclass(slots=True, frozen=True)
-class Decision:
-    """For the write of this number: GO to the nodes, or the answer to its client."""
+class WriteDecision:
+    """For the write of this number: forward it to the nodes, or the answer to its client."""
 
     number: int
-    what: What
+    verdict: WriteVerdict
     body: bytes = b""
     retry_after_ms: float = 0.0
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(slots=True)
 class _Write:
     number: int
     key: str
-    mark: int
-    ends_ms: float
-    phase: Literal["claim", "out", "settle"] = "claim"
-    op: int = 0  # the one that it waits for
-    held: Held | None = None
+    request_hash: int
+    deadline_ms: float
+    phase: _Phase = _Phase.CLAIMING
+    operation: int = 0  # the one it waits for
+    position: CommitPosition | None = None
     intent: bytes = b""
     body: bytes = b""
 
 
-class Writes:
-    """A gateway's writes under way.  `keep_ms` is how long an outcome is promised to be known."""
+class ReplicatedWrites:
+    """The replicated writes under way at one gateway."""
+
+    def __init__(self, node: ReplicationNode, process: int, retention_ms: float) -> None:
+        """Start without writes.
 
-    def __init__(self, promises: ReplicationNode, process: int, keep_ms: float) -> None:
-        self._promises, self._process, self._keep_ms = promises, process, keep_ms
+        :param process: start of this process in milliseconds of the Unix epoch: its incarnation.
+        :param retention_ms: how long an outcome is guaranteed to be known.
+        """
+        self._node, self._process, self._retention_ms = node, process, retention_ms
         self._writes: dict[int, _Write] = {}
-        self._ops: dict[int, int] = {}  # by op: the write that waits for it
-        self.decisions: list[Decision] = []
+        self._waiting: dict[int, int] = {}  # write by the operation it waits for
+        self.decisions: list[WriteDecision] = []
+        # The keys are those of the operators' STATS.
         self.counts = dict.fromkeys(
             ("claimed", "made", "repeated", "in_progress", "may_have_run", "no_majority", "unmade"), 0
         )
 
     @property
     def under_way(self) -> int:
+        """How many writes wait for their claim, their answer or their record."""
         return len(self._writes)
 
-    def _until(self, now_ms: float) -> float:
-        return now_ms + self._keep_ms + MARGIN_MS
-
-    # ---- from the gateway
+    def take_decisions(self) -> list[WriteDecision]:
+        """Return the decisions since the last call."""
+        decisions, self.decisions = self.decisions, []
+        return decisions
+
+    # ---- from the request path
+
+    def begin(self, number: int, key: str, request_hash: int, deadline_ms: float, now_ms: float) -> None:
+        """Claim the key of a write that is to be forwarded.
+
+        :param request_hash: tells a retry of the same request from another request under the same key.
+        :param deadline_ms: when its client must be answered.
+        """
+        member = self._node.member
+        intent = pack(WriteIntent(member, self._process, number, request_hash, int(now_ms), int(deadline_ms)))
+        write = _Write(number, key, request_hash, deadline_ms, intent=intent)
+        self._writes[number] = write
+        claim_by_ms = now_ms + min(MAX_CLAIM_MS, MAX_CLAIM_PART * (deadline_ms - now_ms))
+        expires_ms = self._expires_ms(now_ms)
+        self._wait(
+            write,
+            self._node.propose(key, Precondition.FREE, intent, expires_ms, claim_by_ms, now_ms),
+        )
 
-    def begin(self, number: int, key: str, mark: int, deadline_ms: float, now_ms: float) -> None:
-        """A write wants to go out; `mark` is a hash of what it asks, `deadline_ms` when it must be
-        answered."""
-        intent = pack(Intent(self._promises.me, self._process, number, mark, int(now_ms), int(deadline_ms)))
-        write = self._writes[number] = _Write(number, key, mark, deadline_ms, intent=intent)
-        last_ms = now_ms + min(CLAIM_MS, CLAIM_PART * (deadline_ms - now_ms))
-        self._wait(write, self._promises.ask(key, Expect.FREE, intent, self._until(now_ms), last_ms, now_ms))
+    def end(self, number: int, verdict: WriteVerdict, body: bytes, now_ms: float) -> None:
+        """Record what has become of a write.
 
-    def end(self, number: int, what: What, body: bytes, now_ms: float) -> None:
-        """What has become of a write that went out: `served` with the node's answer, which is told to the
-        client once it is made; `refused`, nothing ran; `failed`, it may have run.  The latter two have been
-        told already."""
+        :param verdict: SERVED with the node's answer, which the client gets once it is committed; REJECTED:
+            nothing ran; FAILED: it may have run.  The latter two have been answered already.
+        """
         write = self._writes.get(number)
-        if write is None or write.phase == "settle":
+        if write is None or write.phase is _Phase.RECORDING:
             return
-        if write.phase == "claim":  # answered before it went out: what was asked for may still be made
+        if write.phase is _Phase.CLAIMING:  # answered before it was forwarded; the claim may yet be committed
             self._drop(write)
-            self._free(write, now_ms)
-        elif what == "served":
-            write.phase, write.body = "settle", body
-            value = pack(Outcome(True, body, write.mark, int(now_ms)))
-            self._wait(write, self._put(write, value, write.ends_ms, now_ms))
+            self._release(write, now_ms)
+        elif verdict == WriteVerdict.SERVED:
+            write.phase, write.body = _Phase.RECORDING, body
+            value = pack(WriteOutcome(True, body, write.request_hash, int(now_ms)))
+            self._wait(write, self._replace_intent(write, value, write.deadline_ms, now_ms))
         else:
             self._drop(write)
-            value = b"" if what == "refused" else pack(Outcome(False, b"", write.mark, int(now_ms)))
-            self._put(write, value, now_ms + BESIDE_MS, now_ms)
-
-    def _put(self, write: _Write, value: bytes, deadline_ms: float, now_ms: float) -> int:
-        """In the place of the intent, a step on where nobody has asked since."""
-        held, write.held = write.held, None  # for one write only: two under one step would be two values
-        return self._promises.ask(
-            write.key, Expect.THIS, value, self._until(now_ms), deadline_ms, now_ms, write.intent, held
-        )
+            value = b""
+            if verdict != WriteVerdict.REJECTED:
+                value = pack(WriteOutcome(False, b"", write.request_hash, int(now_ms)))
+            self._replace_intent(write, value, now_ms + CLEANUP_MS, now_ms)
+
+    def _replace_intent(self, write: _Write, value: bytes, deadline_ms: float, now_ms: float) -> int:
+        # The position is used once: two values under one ballot and step would break the register.
+        position, write.position = write.position, None
+        return self._propose_over_intent(write, value, deadline_ms, now_ms, position)
 
-    def _free(self, write: _Write, now_ms: float) -> None:
-        """Nothing was sent: if the intent is made after all, it is taken back."""
-        self._promises.ask(
+    def _release(self, write: _Write, now_ms: float) -> None:
+        """Free the key of a write that was not forwarded, should its intent be committed after all."""
+        self._propose_over_intent(write, b"", now_ms + CLEANUP_MS, now_ms, write.position)
+
+    def _propose_over_intent(
+        self,
+        write: _Write,
+        value: bytes,
+        deadline_ms: float,
+        now_ms: float,
+        position: CommitPosition | None,
+    ) -> int:
+        return self._node.propose(
             write.key,
-            Expect.THIS,
-            b"",
-            self._until(now_ms),
-            now_ms + BESIDE_MS,
+            Precondition.EQUALS,
+            value,
+            self._expires_ms(now_ms),
+            deadline_ms,
             now_ms,
             write.intent,
-            write.held,
+            position,
         )
 
-    def _wait(self, write: _Write, op: int) -> None:
-        write.op = op
-        self._ops[op] = write.number
+    def _expires_ms(self, now_ms: float) -> float:
+        return now_ms + self._retention_ms + CLOCK_MARGIN_MS
+
+    def _wait(self, write: _Write, operation: int) -> None:
+        write.operation = operation
+        self._waiting[operation] = write.number
 
     def _drop(self, write: _Write) -> None:
         self._writes.pop(write.number, None)
-        self._ops.pop(write.op, None)
+        self._waiting.pop(write.operation, None)
 
-    # ---- from the copies
+    # ---- from the replicas
 
-    def done(self, done: Done, now_ms: float) -> bool:
-        """An op has ended; False where it is none of a write that waits."""
-        number = self._ops.pop(done.op, None)
+    def operation_finished(self, result: OperationResult, now_ms: float) -> bool:
+        """Handle the result of an operation.
+
+        :returns: whether a write was waiting for it.
+        """
+        number = self._waiting.pop(result.operation, None)
         write = self._writes.get(number) if number is not None else None
         if write is None:
             return False
-        if write.phase == "settle":
+        if write.phase is _Phase.RECORDING:
             self._writes.pop(write.number)
-            # What could not be made is not told: a repeat would not get the same.
-            self._count("made" if done.kept else "unmade")
-            self._decide(write, "served" if done.kept else "failed", write.body if done.kept else b"")
-        elif done.kept:
-            write.phase, write.held = "out", done.held
+            self._decide_recorded(write, result)
+        elif result.committed:
+            write.phase, write.position = _Phase.FORWARDED, result.position
             self._count("claimed")
-            self._decide(write, "go")
+            self._decide(write, WriteVerdict.FORWARD)
         else:
             self._writes.pop(write.number)
-            self._found(write, done, now_ms)
+            self._decide_found(write, result, now_ms)
         return True
 
-    def _found(self, write: _Write, done: Done, now_ms: float) -> None:
-        says = read_says(done.value)
-        if done.unknown or says is None:
-            self._free(write, now_ms)
+    def _decide_recorded(self, write: _Write, result: OperationResult) -> None:
+        if result.committed:
+            self._count("made")
+            self._decide(write, WriteVerdict.SERVED, write.body)
+        else:  # a client that got the answer might get another one to its retry
+            self._count("unmade")
+            self._decide(write, WriteVerdict.FAILED)
+
+    def _decide_found(self, write: _Write, result: OperationResult, now_ms: float) -> None:
+        found = decode_value(result.value)
+        if result.indeterminate or found is None:
+            self._release(write, now_ms)
             self._count("no_majority")
-            self._decide(write, "refused", retry_after_ms=NO_MAJORITY_MS, why="no majority of its copies")
-        elif isinstance(says, Intent | Outcome) and says.mark != write.mark:
-            self._decide(write, "failed", why="its key was used for another request")
-        elif isinstance(says, Outcome):
-            self._count("repeated" if says.served else "may_have_run")
-            self._decide(write, "served" if says.served else "failed", says.body)
-        elif isinstance(says, Intent) and now_ms < says.ends:
+            self._reject(write, NO_MAJORITY_RETRY_AFTER_MS, "no majority of its replicas")
+        elif isinstance(found, WriteIntent | WriteOutcome) and found.request_hash != write.request_hash:
+            reason = "its idempotency key was used for another request"
+            self._decide(write, WriteVerdict.FAILED, reason=reason)
+        elif isinstance(found, WriteOutcome):
+            self._count("repeated" if found.served else "may_have_run")
+            verdict = WriteVerdict.SERVED if found.served else WriteVerdict.FAILED
+            self._decide(write, verdict, found.body)
+        elif isinstance(found, WriteIntent) and now_ms < found.deadline_ms:
             self._count("in_progress")
-            self._decide(
-                write,
-                "refused",
-                retry_after_ms=max(LEAST_COME_BACK_MS, says.ends - now_ms),
-                why="another request of its key is under way",
-            )
+            retry_after_ms = max(MIN_RETRY_AFTER_MS, found.deadline_ms - now_ms)
+            self._reject(write, retry_after_ms, "another request with its idempotency key is in progress")
         else:
             self._count("may_have_run")
-            self._decide(write, "failed", why="it may have run before")
+            reason = "an earlier attempt may have run"
+            self._decide(write, WriteVerdict.FAILED, reason=reason)
 
     def _count(self, name: str) -> None:
         self.counts[name] += 1
 
-    def _decide(
-        self,
-        write: _Write,
-        what: What,
-        body: bytes = b"",
-        retry_after_ms: float = 0.0,
-        why: str = "",
-    ) -> None:
-        self.decisions.append(Decision(write.number, what, body, retry_after_ms, why))
-
-    def take_decisions(self) -> list[Decision]:
-        found, self.decisions = self.decisions, []
-        return found
+    def _reject(self, write: _Write, retry_after_ms: float, reason: str) -> None:
+        decision = WriteDecision(write.number, WriteVerdict.REJECTED, b"", retry_after_ms, reason)
+        self.decisions.append(decision)
+
+    def _decide(self, write: _Write, verdict: WriteVerdict, body: bytes = b"", reason: str = "") -> None:
+        self.decisions.append(WriteDecision(write.number, verdict, body, reason=reason))
--- a/shaletiller/store/__init__.py
+++ b/shaletiller/store/__init__.py
@@ -1,1 +1,1 @@
-"""A store that lasts: an append-only log in segments, with group commit, snapshots and checked recovery."""
+"""The durable store: a log-structured key-value store in a directory, opened by one process at a time."""
--- a/shaletiller/store/cli.py
+++ b/shaletiller/store/cli.py
@@ -1,21 +1,37 @@
-"""`python -m shaletiller store show|verify|compact DIR`: look at a store, check it, or write it anew.
+"""`python -m shaletiller store show|verify|compact DIR`: inspect a store, check it, or compact it.
 
-Exit codes: 0 sound, 1 damaged (named), 2 wrong use, 3 open in another process or not readable.
+Exit codes: 0 sound, 1 damaged (named), 2 wrong usage, 3 open in another process or not readable.
 """
 
 from __future__ import annotations
 
 import json
 import sys
+from enum import IntEnum
 from pathlib import Path
 from typing import Annotated, Any
 
 import typer
 
-from shaletiller.replication.rows import describe
-from shaletiller.store.files import Files, StoreLockedError
-from shaletiller.store.record_format import DamagedStoreError
-from shaletiller.store.segment_store import LOCK, Contents, Store, StoreFullError
+from shaletiller.replication.records import describe
+from shaletiller.store.errors import DamagedStoreError, StoreFullError, StoreLockedError
+from shaletiller.store.file_system import FileSystem
+from shaletiller.store.recovery import (
+    LOCK_FILE,
+    SEGMENT_SUFFIX,
+    SNAPSHOT_SUFFIX,
+    RecoveredContents,
+)
+from shaletiller.store.segment_store import SegmentStore
+
+
+class ExitCode(IntEnum):
+    """Exit codes of the command."""
+
+    DAMAGED = 1
+    USAGE = 2
+    UNAVAILABLE = 3
+
 
 app = typer.Typer(
     add_completion=False,
@@ -23,61 +39,71 @@
     pretty_exceptions_enable=False,
     help="A gateway's store: docs/store.md.",
 )
-Folder = Annotated[
-    Path, typer.Argument(metavar="DIR", exists=True, file_okay=False, help="the store's folder")
+Directory = Annotated[
+    Path, typer.Argument(metavar="DIR", exists=True, file_okay=False, help="the store's directory")
 ]
 Json = Annotated[bool, typer.Option("--json", help="one JSON object instead of lines")]
 
 
-def _read(folder: Path) -> Contents:
-    """What the files hold, without opening the store: a running gateway may have it."""
-    if not any(path.suffix in (".seg", ".snap") or path.name == LOCK for path in folder.iterdir()):
-        typer.echo(f"store: {folder}: no store there", err=True)
-        raise typer.Exit(2)
+def _fail(message: object, code: ExitCode) -> typer.Exit:
+    typer.echo(f"store: {message}", err=True)
+    return typer.Exit(code)
+
+
+def _is_store(directory: Path) -> bool:
+    suffixes = (f".{SEGMENT_SUFFIX}", f".{SNAPSHOT_SUFFIX}")
+    return any(path.suffix in suffixes or path.name == LOCK_FILE for path in directory.iterdir())
+
+
+def _read(directory: Path) -> RecoveredContents:
+    """Read the files without opening the store: a running gateway may have it."""
+    if not _is_store(directory):
+        raise _fail(f"{directory}: no store there", ExitCode.USAGE)
     try:
-        return Contents(folder, Files())
+        return RecoveredContents(directory, FileSystem())
     except DamagedStoreError as error:
         typer.echo(f"damaged: {error}")
-        raise typer.Exit(1) from error
+        raise typer.Exit(ExitCode.DAMAGED) from error
     except OSError as error:
-        typer.echo(f"store: {error}", err=True)
-        raise typer.Exit(3) from error
+        raise _fail(error, ExitCode.UNAVAILABLE) from error
 
 
-def _told(found: Contents) -> dict[str, Any]:
-    live = sum(record.size for record in found.index.values())
+def _summarize(contents: RecoveredContents) -> dict[str, Any]:
+    """Summarize a store; the keys are a fixed format of the command line."""
     return {
-        "records": len(found.index),
-        "next_sequence": found.next,
-        "segments": len(found.segments),
-        "snapshot": found.snapshot,
-        "log_bytes": found.snapshot_bytes + sum(found.segments.values()),
-        "live_bytes": live,
-        "torn_bytes": found.torn,
-        "torn_file": found.torn_file,
+        "records": len(contents.index),
+        "next_sequence": contents.next_sequence,
+        "segments": len(contents.segments),
+        "snapshot": contents.snapshot,
+        "log_bytes": contents.snapshot_bytes + sum(contents.segments.values()),
+        "live_bytes": sum(record.size for record in contents.index.values()),
+        "torn_bytes": contents.torn_bytes,
+        "torn_file": contents.torn_file,
     }
 
 
 @app.command()
-def verify(folder: Folder, as_json: Json = False) -> None:
-    """Read and check every byte.  A torn tail of the last segment is no damage: it was never acknowledged, or
-    is being written just now."""
-    told = _told(_read(folder))
+def verify(folder: Directory, as_json: Json = False) -> None:
+    """Read and check every byte.
+
+    A torn tail of the last segment is no damage: it was never acknowledged, or is being written right now.
+    """
+    summary = _summarize(_read(folder))
     if as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(summary))
         return
-    for name, value in told.items():
+    for name, value in summary.items():
         typer.echo(f"{name}={value}")
     typer.echo("sound")
 
 
 @app.command()
 def show(
-    folder: Folder,
+    folder: Directory,
     as_json: Json = False,
-    like: Annotated[str, typer.Option(help="only keys that hold this text")] = "",
+    like: Annotated[str, typer.Option(help="only keys that contain this text")] = "",
 ) -> None:
-    """The live records, oldest first: sequence, what it is, key, and what it says."""
+    """Show the live records, oldest first: sequence number, kind, key and value."""
     for record in sorted(_read(folder).index.values(), key=lambda each: each.sequence):
         row = describe(record.kind, record.key, record.value)
         if like and like not in row["key"]:
@@ -87,28 +113,33 @@
 
 
 @app.command()
-def compact(folder: Folder) -> None:
-    """Write what is live into a snapshot, and drop the log before it.  The gateway must be stopped."""
+def compact(folder: Directory) -> None:
+    """Write the live records into a snapshot, and remove the log before it.
+
+    The gateway must be stopped.
+    """
     _read(folder)
     try:
-        store = Store(folder)
+        store = SegmentStore(folder)
     except StoreLockedError as error:
-        typer.echo(f"store: {error}", err=True)
-        raise typer.Exit(3) from error
+        raise _fail(error, ExitCode.UNAVAILABLE) from error
     before = store.log_bytes
     try:
         store.compact()
     except (StoreFullError, OSError) as error:
-        typer.echo(f"store: {error}", err=True)
-        raise typer.Exit(3) from error
+        raise _fail(error, ExitCode.UNAVAILABLE) from error
     finally:
         store.close()
     typer.echo(f"{before} bytes before, {store.log_bytes} after")
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
+    """Run the command.
+
+    :returns: the exit code.
+    """
     try:
-        app(words, standalone_mode=True, prog_name="python -m shaletiller store")
+        app(arguments, standalone_mode=True, prog_name="python -m shaletiller store")
     except SystemExit as ended:
         return int(ended.code or 0)
     return 0
--- /dev/null
+++ b/shaletiller/store/recovery.py
@@ -0,0 +1,133 @@
+"""Recovery: the files of a store are read and checked, and the index is rebuilt from them.
+
+A torn tail of the last segment was never acknowledged and is ignored; anything else that is wrong is damage,
+and then nothing of the store is used.
+"""
+
+from __future__ import annotations
+
+import re
+from pathlib import Path
+
+from shaletiller.store.errors import DamagedStoreError
+from shaletiller.store.file_system import FileSystem
+from shaletiller.store.record_format import (
+    HEADER_BYTES,
+    SEGMENT_MAGIC,
+    SNAPSHOT_END,
+    SNAPSHOT_MAGIC,
+    Record,
+    decode_header,
+    decode_records,
+)
+
+LOCK_FILE = "lock"
+SEGMENT_SUFFIX, SNAPSHOT_SUFFIX, UNFINISHED_SUFFIX = "seg", "snap", "part"
+SEGMENT_NAME = re.compile(rf"(\d{{10}})\.{SEGMENT_SUFFIX}")
+SNAPSHOT_NAME = re.compile(rf"(\d{{10}})\.{SNAPSHOT_SUFFIX}")
+
+RecordKey = tuple[int, bytes]  # kind, key
+
+
+def file_name(number: int, suffix: str) -> str:
+    """Return the name of a segment or snapshot; sorted names are in the order of their numbers."""
+    return f"{number:010d}.{suffix}"
+
+
+def numbers_of(pattern: re.Pattern[str], names: list[str]) -> list[int]:
+    """Return the numbers of the files whose names match, sorted."""
+    return sorted(int(match[1]) for name in names if (match := pattern.fullmatch(name)))
+
+
+class RecoveredContents:
+    """The contents of a store's files.  The files are not changed, and may be in use."""
+
+    def __init__(self, directory: Path, file_system: FileSystem) -> None:
+        """Read and check all files.
+
+        :raises DamagedStoreError: naming the first thing that is wrong.
+        :raises OSError: if a file cannot be read.
+        """
+        self.index: dict[RecordKey, Record] = {}
+        self.torn_bytes = 0  # behind the last complete record
+        self.torn_file = ""
+        self.next_sequence = 1
+        self.segments: dict[int, int] = {}  # complete bytes by number
+        self.snapshot = 0  # number of the newest, 0: none
+        self.snapshot_bytes = 0
+        self.obsolete_files: list[str] = []  # covered by a snapshot, or unfinished
+        self._files, self._directory = file_system, directory
+        self._recover(file_system.list_names(directory))
+
+    def _recover(self, names: list[str]) -> None:
+        snapshots = numbers_of(SNAPSHOT_NAME, names)
+        segments = numbers_of(SEGMENT_NAME, names)
+        self.obsolete_files += [name for name in names if name.endswith(f".{UNFINISHED_SUFFIX}")]
+        self.obsolete_files += [file_name(number, SNAPSHOT_SUFFIX) for number in snapshots[:-1]]
+        if snapshots:
+            self.snapshot = snapshots[-1]
+            self._read_snapshot(self.snapshot)
+        first = self.snapshot or 1
+        self.obsolete_files += [file_name(each, SEGMENT_SUFFIX) for each in segments if each < first]
+        segments = [number for number in segments if number >= first]
+        for expected, number in enumerate(segments, first):
+            if number != expected:
+                name = file_name(expected, SEGMENT_SUFFIX)
+                raise DamagedStoreError(name, 0, "the segment is missing")
+            self._read_segment(number, last=number == segments[-1])
+        if self.snapshot and not segments:
+            # The first segment of a snapshot is created, and durable, before the snapshot is begun.
+            raise DamagedStoreError(file_name(first, SEGMENT_SUFFIX), 0, "the segment is missing")
+
+    def _apply(self, record: Record) -> None:
+        if record.deleted:
+            self.index.pop((record.kind, record.key), None)
+        else:
+            self.index[record.kind, record.key] = record
+
+    def _read_snapshot(self, number: int) -> None:
+        name = file_name(number, SNAPSHOT_SUFFIX)
+        data = self._files.read(self._directory / name)
+        header = decode_header(name, data, SNAPSHOT_MAGIC)
+        if header is None or header.number != number:
+            raise DamagedStoreError(name, 0, "the header is truncated or of another file")
+        end = HEADER_BYTES
+        for count, (end, record) in enumerate(decode_records(name, data, number)):
+            if record.kind == SNAPSHOT_END:
+                if int.from_bytes(record.value, "little") != count or end != len(data):
+                    raise DamagedStoreError(name, end, "the snapshot's end does not match its records")
+                break
+            self._apply(record)
+        else:
+            raise DamagedStoreError(name, end, "the snapshot has no end")
+        self.next_sequence, self.snapshot_bytes = header.first_sequence, len(data)
+
+    def _read_segment(self, number: int, last: bool) -> None:
+        name = file_name(number, SEGMENT_SUFFIX)
+        data = self._files.read(self._directory / name)
+        header = decode_header(name, data, SEGMENT_MAGIC)
+        if header is None:
+            if not last:
+                raise DamagedStoreError(name, len(data), "the header is truncated")
+            self.torn_bytes, self.torn_file, self.segments[number] = len(data), name, 0
+            return
+        if header.number != number or header.first_sequence != self.next_sequence:
+            raise DamagedStoreError(
+                name,
+                0,
+                f"begins with record {header.first_sequence} of segment {header.number}, "
+                f"expected {self.next_sequence} of {number}: records are missing",
+            )
+        complete = HEADER_BYTES
+        for end, record in decode_records(name, data, number):
+            if record.sequence != self.next_sequence:
+                reason = f"record {record.sequence} where {self.next_sequence} is expected"
+                raise DamagedStoreError(name, complete, reason)
+            self.next_sequence += 1
+            complete = end
+            self._apply(record)
+        if complete < len(data):
+            if not last:
+                raise DamagedStoreError(name, complete, "a record is truncated before the end of the log")
+            self.torn_bytes, self.torn_file = len(data) - complete, name
+        self.segments[number] = complete
--- a/shaletiller/store/writer.py
+++ b/shaletiller/store/writer.py
@@ -1,7 +1,8 @@
-"""Group commit beside the event loop: all that waits goes down with one sync, on a thread of its own.
+"""The background writer: group commit on a thread of its own, beside the event loop.
 
-While one commit is under way the next gather; so a record waits for at most one sync of others before its
-own, and there is no timer to wait for.
+While one commit is under way the following updates gather, and then share one sync; an update thus waits for
+at most one sync before its own, and no timer delays it.  (Group commit: DeWitt et al., "Implementation
+techniques for main memory database systems", 1984.)
 """
 
 from __future__ import annotations
@@ -13,99 +14,131 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 from concurrent.futures import ThreadPoolExecutor
+from dataclasses import dataclass
 
-from shaletiller.store.segment_store import Row, Snapshot, Store, StoreBrokenError, StoreFullError
+from shaletiller.store.errors import StoreBrokenError, StoreFullError
+from shaletiller.store.segment_store import RecordUpdate, SegmentStore
+from shaletiller.store.snapshot import Snapshot
 
 logger = logging.getLogger(__name__)
 
-MOST_ROWS = 2_000  # of one commit
-Done = Callable[[bool], None]
+MAX_UPDATES_PER_COMMIT = 2_000  # empirical: bounds how long one commit takes
+STOP_POLL_S = 0.005
+SNAPSHOT_RETRY_S = 1.0  # a disk that is full now will rarely have space earlier
+CommitCallback = Callable[[bool], None]
+
+
+def _ignore_result(durable: bool) -> None:
+    """Do without the result of a commit."""
+
+
+@dataclass(slots=True, frozen=True)
+class _Request:
+    updates: Sequence[RecordUpdate]
+    on_result: CommitCallback
 
 
 class StoreWriter:
-    """`keep` calls back on the event loop, with whether the rows last."""
+    """Commits updates to a store, and compacts it when that pays."""
 
-    def __init__(self, store: Store) -> None:
+    def __init__(self, store: SegmentStore) -> None:
+        """Take over an open store; `start` begins to commit."""
         self.store = store
-        self._waiting: deque[tuple[Sequence[Row], Done]] = deque()
-        self._busy = False
-        self._some = asyncio.Event()
-        self._thread = ThreadPoolExecutor(1, "store")
-        self._beside = ThreadPoolExecutor(1, "snapshot")
-        self._task: asyncio.Task[None] | None = None
-        self._snapshot: asyncio.Task[None] | None = None
-        self.full = False
-        self.commits = self.rows = self.failed = self.snapshots = 0
+        self._queue: deque[_Request] = deque()
+        self._queued = asyncio.Event()
+        self._committing = False
+        self._commit_thread = ThreadPoolExecutor(1, "store")
+        self._snapshot_thread = ThreadPoolExecutor(1, "snapshot")
+        self._commit_task: asyncio.Task[None] | None = None
+        self._snapshot_task: asyncio.Task[None] | None = None
+        self._last_commit_failed = False
+        self.commits = self.committed_updates = self.failed_updates = self.snapshots = 0
 
     def start(self) -> None:
-        self._task = asyncio.ensure_future(self._run())
+        """Start committing, on the running event loop."""
+        self._commit_task = asyncio.ensure_future(self._run())
 
     @property
-    def sound(self) -> bool:
-        """Whether the last commit lasted, so that the next is likely to."""
-        return not self.full and not self.store.broken
+    def healthy(self) -> bool:
+        """Whether the last commit succeeded, so that the next one is likely to."""
+        return not self._last_commit_failed and not self.store.failure
 
-    def keep(self, rows: Sequence[Row], done: Done = lambda lasts: None) -> None:
-        self._waiting.append((rows, done))
-        self._some.set()
+    def submit(self, updates: Sequence[RecordUpdate], on_result: CommitCallback = _ignore_result) -> None:
+        """Queue updates.
+
+        :param on_result: called on the event loop, with whether the updates are durable.
+        """
+        self._queue.append(_Request(updates, on_result))
+        self._queued.set()
 
     async def _run(self) -> None:
-        loop = asyncio.get_running_loop()
         while True:
-            await self._some.wait()
-            self._some.clear()
-            while self._waiting:
-                batch, count = [], 0
-                while self._waiting and count < MOST_ROWS:
-                    batch.append(self._waiting.popleft())
-                    count += len(batch[-1][0])
-                rows = [row for each, _ in batch for row in each]
-                self._busy = True
-                lasts = await loop.run_in_executor(self._thread, self._commit, rows)
-                self._busy = False
-                self.commits += 1
-                self.rows += len(rows) if lasts else 0
-                self.failed += 0 if lasts else len(rows)
-                for _, done in batch:
-                    done(lasts)
-                if lasts and self.store.wasteful and self._snapshot is None:
-                    self._snapshot = asyncio.ensure_future(self._compact())
-
-    def _commit(self, rows: list[Row]) -> bool:
+            await self._queued.wait()
+            self._queued.clear()
+            while self._queue:
+                await self._commit_batch(self._take_batch())
+
+    def _take_batch(self) -> list[_Request]:
+        batch: list[_Request] = []
+        count = 0
+        while self._queue and count < MAX_UPDATES_PER_COMMIT:
+            batch.append(self._queue.popleft())
+            count += len(batch[-1].updates)
+        return batch
+
+    async def _commit_batch(self, batch: list[_Request]) -> None:
+        updates = [update for request in batch for update in request.updates]
+        loop = asyncio.get_running_loop()
+        self._committing = True
+        durable = await loop.run_in_executor(self._commit_thread, self._commit, updates)
+        self._committing = False
+        self.commits += 1
+        if durable:
+            self.committed_updates += len(updates)
+        else:
+            self.failed_updates += len(updates)
+        for request in batch:
+            request.on_result(durable)
+        if durable and self.store.needs_compaction and self._snapshot_task is None:
+            self._snapshot_task = asyncio.ensure_future(self._compact())
+
+    def _commit(self, updates: list[RecordUpdate]) -> bool:
+        """Commit on the writer's thread."""
         try:
-            self.store.commit(rows)
+            self.store.commit(updates)
         except (StoreFullError, StoreBrokenError) as error:
-            if not self.full:
-                logger.warning(f"store: promises nothing: {error}")
-            self.full = True
+            if not self._last_commit_failed:
+                logger.error("store: commit failed, no updates are acknowledged: %s", error)
+            self._last_commit_failed = True
             return False
-        if self.full:
-            logger.warning("store: there is room again")
-        self.full = False
+        if self._last_commit_failed:
+            logger.warning("store: commits succeed again")
+        self._last_commit_failed = False
         return True
 
     async def _compact(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            begun: Snapshot = await loop.run_in_executor(self._thread, self.store.begin_snapshot)
-            await loop.run_in_executor(self._beside, begun.write)
-            await loop.run_in_executor(self._thread, functools.partial(self.store.end_snapshot, begun))
+            snapshot: Snapshot = await loop.run_in_executor(self._commit_thread, self.store.begin_snapshot)
+            await loop.run_in_executor(self._snapshot_thread, snapshot.write)
+            end_snapshot = functools.partial(self.store.end_snapshot, snapshot)
+            await loop.run_in_executor(self._commit_thread, end_snapshot)
             self.snapshots += 1
         except (OSError, StoreFullError, StoreBrokenError) as error:
-            logger.warning(f"store: no snapshot: {error}")
-            await asyncio.sleep(1.0)
+            logger.warning("store: snapshot failed, the log is not compacted: %s", error)
+            await asyncio.sleep(SNAPSHOT_RETRY_S)
         finally:
-            self._snapshot = None
+            self._snapshot_task = None
 
     async def stop(self) -> None:
-        """What waits is kept, then the store is closed for the next process."""
-        while self._busy or (self._waiting and self.sound):
-            await asyncio.sleep(0.005)
-        for task in (self._task, self._snapshot):
+        """Commit what is queued, unless commits fail, and close the store for the next process."""
+        while self._committing or (self._queue and self.healthy):
+            await asyncio.sleep(STOP_POLL_S)
+        for task in (self._commit_task, self._snapshot_task):
             if task is not None:
                 task.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
                     await task
-        self._thread.shutdown(wait=True)
-        self._beside.shutdown(wait=True)
+        self._commit_thread.shutdown(wait=True)
+        self._snapshot_thread.shutdown(wait=True)
         self.store.close()
--- a/tests/replication/test_promise_process.py
+++ b/tests/replication/test_replication_process.py
@@ -1,5 +1,4 @@
-"""Real processes of the program that keep promises for each other, with faults between them and under their
-stores."""
+"""Real gateway processes that replicate to each other, with faults between them and under their stores."""
 
 from __future__ import annotations
 
@@ -17,16 +16,20 @@
 from shaletiller.lab.load_generator import Asked, Load, Stream
 from shaletiller.lab.storage_nodes import now_ms
 from shaletiller.net.links import Link, Links
-from shaletiller.replication.rows import META
-from shaletiller.store.files import Files
-from shaletiller.store.segment_store import Contents
+from shaletiller.replication.records import META
+from shaletiller.store.file_system import FileSystem
+from shaletiller.store.recovery import RecoveredContents
 
 SECONDS = 11.0
 ONCE = Stream("g0", 7, "free", "once", 1.0, 0.0, 1.0, write=True, keyed=True)
 
 
 @pytest.mark.parametrize("faults", ["kill-and-wipe", "cut-one-way", "full-disk"])
-def test_five_processes_keep_what_they_promise(faults: str) -> None:
+def test_five_processes_keep_their_guarantees(faults: str) -> None:
+    """Five gateways run under load, while one is wiped, cut off one way, or has a full disk.
+
+    No answer may be lost, no write may run twice, and every request must get a final answer.
+    """
     out = asyncio.run(replication_scenarios.run(5, SECONDS, 1, scenario.load(faults, "promises"), rate=30.0))
     assert out.kept, "\n".join([*out.course, *out.lines(), str(out.figures)])
     named = [each.name for each in out.guarantees]
@@ -41,8 +44,8 @@
         assert stats["edge.promises.filled"] == 1 and stats["edge.promises.repeated"] > 0
 
 
-def played(folder: Path, play: Callable[[Rig, Load], Awaitable[None]]) -> None:
-    """A trio of gateways with stores, and what a test does to it."""
+def run_with_gateways(folder: Path, play: Callable[[Rig, Load], Awaitable[None]]) -> None:
+    """Run a test on three gateways with stores."""
 
     async def run() -> None:
         of = replication_scenarios.rig(3, 1.0, 1, folder)
@@ -57,19 +60,27 @@
 
 
 async def ask(load: Load, gateway: str, key: str, request: str, content: str = "") -> Asked:
+    """Send one write with an idempotency key, and wait for its answer."""
     each = Asked(now_ms(), gateway, request, ONCE, 1, 0, key, content=content)
     await load.ask(each)
     return each
 
 
 async def until(found: Callable[[], Awaitable[bool]], wait_s: float = 15.0) -> None:
+    """Wait until a condition holds."""
     last = now_ms() + wait_s * 1000
     while not await found():
-        assert now_ms() < last, "it never came to that"
+        assert now_ms() < last, "the condition never held"
         await asyncio.sleep(0.05)
 
 
-def test_an_operators_word_outlives_the_machine_it_was_given_at(tmp_path: Path) -> None:
+def test_an_operator_command_outlives_the_machine_it_was_given_at(tmp_path: Path) -> None:
+    """A gateway confirms DISABLE and DRAIN, then its machine is lost with its disk.
+
+    The new machine must apply both.  A command that is lifted while a gateway is down must not come back with
+    it, neither from its file nor where its store is lost.
+    """
+
     async def play(of: Rig, load: Load) -> None:
         g0, g1, g2 = of.processes.values()
         assert await g0.call("DISABLE n1") == ["done n1"]
@@ -87,14 +98,14 @@
             return b"503" in line
 
         await until(drained)
-        # Lifted while one is down: what that one still has in its own file does not bring it back.
+        # Lifted while one is down: the file of that one must not bring it back.
         await g2.kill()
         assert await g1.call("ENABLE n1") == ["done n1"]
         await g2.start(of.known("g2"))
         await until(lambda: holds(g2, "edge.ejected", 0))
         await until(lambda: holds(g0, "edge.ejected", 0))
         assert await g0.call("UNDRAIN") == ["done"]
-        # Nor what stands in the file of one whose store is gone.
+        # Nor the file of one whose store is lost.
         assert await g0.call("DISABLE n2") == ["done n2"]
         await until(lambda: holds(g1, "edge.ejected", 1))
         await g1.kill()
@@ -105,14 +116,21 @@
         for process in (g1, g0, g2):
             await until(lambda process=process: holds(process, "edge.ejected", 0))  # type: ignore[misc]
 
-    played(tmp_path, play)
+    run_with_gateways(tmp_path, play)
 
 
 async def holds(process: object, name: str, value: int) -> bool:
+    """Return whether a figure of STATS has this value."""
     return (await process.stats())[name] == value  # type: ignore[attr-defined,no-any-return]
 
 
-def test_without_a_majority_words_are_kept_here_only_and_copied_writes_refused(tmp_path: Path) -> None:
+def test_without_a_majority_commands_stay_local_and_replicated_writes_are_rejected(tmp_path: Path) -> None:
+    """Two of three gateways are killed.
+
+    DISABLE must take effect at the last one and report that it is not replicated; a replicated write must be
+    rejected without reaching a node.  Once another is back, a retry must get the answer given before.
+    """
+
     async def play(of: Rig, load: Load) -> None:
         g0, g1, g2 = of.processes.values()
         served = await ask(load, "g0", "k1", "00000000000000a1")
@@ -121,7 +139,7 @@
         await g2.kill()
         (answer,) = await g0.call("DISABLE n1")
         assert answer.startswith("error kept here only: no majority")
-        assert await holds(g0, "edge.ejected", 1)  # it does hold here
+        assert await holds(g0, "edge.ejected", 1)  # in effect here
         await until(lambda: holds(g0, "edge.fleet.members", 1))
         refused = await ask(load, "g0", "k2", "00000000000000a2")
         assert refused.status == 503
@@ -131,18 +149,23 @@
         again = await ask(load, "g1", "k1", "00000000000000a3", "00000000000000a1")
         assert (again.status, again.body) == (200, served.body)
 
-    played(tmp_path, play)
+    run_with_gateways(tmp_path, play)
+
+
+def test_a_damaged_store_is_named_moved_aside_and_recovered_from_the_replicas(tmp_path: Path) -> None:
+    """A bit of a gateway's store flips while it is down.
 
+    At its start the damage must be logged, the store moved aside, and its replicas recovered from the others.
+    """
 
-def test_a_damaged_store_is_named_set_aside_and_filled_anew(tmp_path: Path) -> None:
     async def play(of: Rig, load: Load) -> None:
         g0 = of.processes["g0"]
         served = await ask(load, "g0", "k1", "00000000000000b1")
         await g0.kill()
         segment = max((g0.folder / "store").glob("*.seg"))
-        spoilt = bytearray(segment.read_bytes())
-        spoilt[len(spoilt) // 2] ^= 1
-        segment.write_bytes(bytes(spoilt))
+        damaged = bytearray(segment.read_bytes())
+        damaged[len(damaged) // 2] ^= 1
+        segment.write_bytes(bytes(damaged))
         await g0.start(of.known("g0"))
         await until(lambda: holds(g0, "edge.promises.filled", 1))
         assert (await g0.stats())["edge.store.damaged"] == 1
@@ -151,28 +174,38 @@
         again = await ask(load, "g0", "k1", "00000000000000b2", "00000000000000b1")
         assert (again.status, again.body) == (200, served.body)
 
-    played(tmp_path, play)
+    run_with_gateways(tmp_path, play)
 
 
-def test_the_node_list_that_was_kept_serves_a_start_without_discovery(tmp_path: Path) -> None:
+def test_the_cached_endpoint_list_serves_a_start_without_discovery(tmp_path: Path) -> None:
+    """Discovery is silent, and a gateway restarts: first with its disk, then with an empty one.
+
+    It must serve from its cached endpoint list: that of its store, then that of its replicas.
+    """
+
     async def play(of: Rig, load: Load) -> None:
         g0, nothing = of.processes["g0"], {"version": 0, "full": True, "servers": []}
-        await until(lambda: kept(g0.folder))
+        await until(lambda: cached(g0.folder))
         of.discovery.silent = True
         for wiped in (False, True):
             await g0.kill()
-            if wiped:  # then its copies have it
+            if wiped:  # then its replicas have it
                 g0.wipe()
             await g0.start(nothing)
             assert (await ask(load, "g0", f"k{wiped}", f"00000000000000c{wiped:d}")).status == 200
 
-    async def kept(folder: Path) -> bool:
-        return (META, b"list") in Contents(folder / "store", Files()).index
+    async def cached(folder: Path) -> bool:
+        return (META, b"list") in RecoveredContents(folder / "store", FileSystem()).index
+
+    run_with_gateways(tmp_path, play)
 
-    played(tmp_path, play)
 
+def test_a_second_process_of_one_store_waits_for_it_and_serves_without(tmp_path: Path) -> None:
+    """A second process of a gateway starts while the first has the store open.
+
+    It must serve without the store, log why, and take the store over once the first has stopped.
+    """
 
-def test_a_second_process_of_one_store_is_turned_away_and_serves_what_is_not_copied(tmp_path: Path) -> None:
     async def play(of: Rig, load: Load) -> None:
         g0 = of.processes["g0"]
         port, admin, first = g0.port, g0.admin_port, g0._process
@@ -191,44 +224,49 @@
         await until(lambda: holds(other, "edge.promises.filled", 1))
         await other.stop()
 
-    played(tmp_path, play)
+    run_with_gateways(tmp_path, play)
 
 
 # ---- the links, in this process
 
 
-def test_a_link_whose_connection_breaks_in_any_way_connects_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """uvloop answers a call on a connection that has just been reset with a RuntimeError: the link ended with
-    it, and stayed down for good."""
+def test_a_link_whose_connection_fails_in_any_way_connects_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A link whose connection fails with any exception must connect again.
+
+    uvloop raises RuntimeError for a call on a connection that was just reset: the link ended with it, and
+    stayed down.
+    """
 
     async def play() -> None:
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             address = probe.getsockname()[:2]
-        heard: asyncio.Queue[bytes] = asyncio.Queue()
-        links = Links(0, [address, ("127.0.0.1", 1)], heard.put_nowait, 1)
+        received: asyncio.Queue[bytes] = asyncio.Queue()
+        links = Links(0, [address, ("127.0.0.1", 1)], received.put_nowait, 1)
         await links.start()
-        link, whole, broken = Link(address, links._links[1]._random), Link._serve, list[int]()
+        link, original, failures = Link(address, links._links[1]._random), Link._serve, list[int]()
 
         async def serve(self: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            if not broken:
-                broken.append(1)
+            if not failures:
+                failures.append(1)
                 raise RuntimeError("unable to perform operation; the handler is closed")
-            await whole(self, reader, writer)
+            await original(self, reader, writer)
 
         monkeypatch.setattr(Link, "_serve", serve)
         task = asyncio.ensure_future(link.run())
         link.send(b"after all")
-        assert await asyncio.wait_for(heard.get(), 5.0) == b"after all" and broken
+        assert await asyncio.wait_for(received.get(), 5.0) == b"after all" and failures
         task.cancel()
         links.close()
 
     asyncio.run(play())
 
 
-def test_the_lab_wipes_no_folder_of_a_process_that_runs(tmp_path: Path) -> None:
+def test_the_lab_does_not_wipe_a_process_that_runs(tmp_path: Path) -> None:
+    """A scenario may wipe a gateway's directory only while the gateway is down."""
+
     async def play(of: Rig, load: Load) -> None:
         with pytest.raises(LabError, match="only while it is down"):
             of.processes["g0"].wipe()
 
-    played(tmp_path, play)
+    run_with_gateways(tmp_path, play)
