--- a/shaletiller/net/replication/agent.py
+++ b/shaletiller/net/replication/agent.py
@@ -66,7 +66,7 @@
         self.lease_tables = LeaseTableStorage(self.port, member, clock, engine.spawn)
         if settings.lease_tables:
             member.leases.table = self.lease_tables
-        engine.vow = self.writes.intercept
+        engine.vow = self.writes.replicate_intent
         fleet.heard_promises = self.port.receive
 
     # ---- start and stop
--- a/shaletiller/net/replication/endpoint_lists.py
+++ b/shaletiller/net/replication/endpoint_lists.py
@@ -10,7 +10,8 @@
 from shaletiller.config import ServerList
 from shaletiller.net.replication.port import RECORD_RETENTION_MS, PortListener, ReplicationPort
 from shaletiller.replication.proposer import Precondition
-from shaletiller.replication.records import META, CachedEndpointList, RecordUpdate, decode_value, pack
+from shaletiller.replication.records import META, CachedEndpointList, decode_value, pack
+from shaletiller.store.record_format import RecordUpdate
 from shaletiller.store.segment_store import SegmentStore
 
 logger = logging.getLogger(__name__)
--- a/shaletiller/net/replication/port.py
+++ b/shaletiller/net/replication/port.py
@@ -117,7 +117,7 @@
             key, precondition, value, now_ms + retention_ms, now_ms + timeout_ms, now_ms, expected, position
         )
         self._results[operation] = result
-        self.run(lambda: None)
+        self.run(lambda: None)  # carries out the effects of the proposal
         return await result
 
     def run(self, call: Callable[[], object]) -> None:
--- a/shaletiller/net/replication/writes.py
+++ b/shaletiller/net/replication/writes.py
@@ -47,7 +47,7 @@
         self._number = 0
         port.subscribe(self)
 
-    def intercept(self, exchange: Exchange) -> bool:
+    def replicate_intent(self, exchange: Exchange) -> bool:
         """Take over a request whose write is replicated; it is admitted once its intent is committed.
 
         :returns: False for any other request, which the engine admits itself.
--- a/shaletiller/replication/acceptor.py
+++ b/shaletiller/replication/acceptor.py
@@ -28,11 +28,11 @@
     META,
     NO_BALLOT,
     REGISTER,
-    RecordUpdate,
     Row,
     decode_row,
     pack,
 )
+from shaletiller.store.record_format import RecordUpdate
 
 # Keys of the META records: a format of the store.
 INCARNATION_KEY, INCARNATIONS_KEY, SYNCED_KEY = b"life", b"lives", b"synced"
--- a/shaletiller/replication/anti_entropy.py
+++ b/shaletiller/replication/anti_entropy.py
@@ -20,8 +20,9 @@
     RowRequest,
     RowTransfer,
 )
-from shaletiller.replication.records import Ballot, RecordUpdate, Row
+from shaletiller.replication.records import Ballot, Row
 from shaletiller.replication.transfer_budget import TransferBudget, row_bytes
+from shaletiller.store.record_format import RecordUpdate
 
 COMPARE_INTERVAL_MS = 1_000.0  # empirical: how long replicas stay diverged against traffic while they agree
 VERSION_OVERHEAD_BYTES = 30  # of a key's version in a message beside the key, approximately
--- a/shaletiller/replication/effects.py
+++ b/shaletiller/replication/effects.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass
 
 from shaletiller.replication.messages import AnyMessage
-from shaletiller.replication.records import Ballot, RecordUpdate
+from shaletiller.replication.records import Ballot
+from shaletiller.store.record_format import RecordUpdate
 
 
 @dataclass(slots=True, frozen=True)
--- a/shaletiller/replication/node.py
+++ b/shaletiller/replication/node.py
@@ -23,9 +23,10 @@
     StateTransferRequest,
 )
 from shaletiller.replication.proposer import Operation, Precondition, Proposer
-from shaletiller.replication.records import REGISTER, RecordUpdate, pack
+from shaletiller.replication.records import REGISTER, pack
 from shaletiller.replication.state_transfer import StateTransfer
 from shaletiller.replication.transfer_budget import DEFAULT_BYTES_PER_SECOND, TransferBudget
+from shaletiller.store.record_format import RecordUpdate
 
 
 @dataclass(slots=True, frozen=True)
--- a/shaletiller/replication/records.py
+++ b/shaletiller/replication/records.py
@@ -39,14 +39,6 @@
 FAST_BALLOT = Ballot(1, 0, 0)  # the fast round: any gateway may use it without a prepare phase
 
 
-class RecordUpdate(NamedTuple):
-    """One change to the store; a `value` of None deletes the key."""
-
-    kind: int
-    key: bytes
-    value: bytes | None
-
-
 class Row(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """The state of one register at one acceptor.
 
--- a/shaletiller/replication/state_transfer.py
+++ b/shaletiller/replication/state_transfer.py
@@ -13,8 +13,9 @@
 from shaletiller.replication.acceptor import Acceptor
 from shaletiller.replication.effects import SendMessage
 from shaletiller.replication.messages import StateTransferPage, StateTransferRequest, first_nonce
-from shaletiller.replication.records import RecordUpdate, Row
+from shaletiller.replication.records import Row
 from shaletiller.replication.transfer_budget import TransferBudget, row_bytes
+from shaletiller.store.record_format import RecordUpdate
 
 RETRANSMIT_MS = (
     150.0  # empirical: a lost page delays recovery by this much against duplicates from a slow store
--- a/shaletiller/store/record_format.py
+++ b/shaletiller/store/record_format.py
@@ -21,6 +21,7 @@
 import struct
 from collections.abc import Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import xxhash
 
@@ -38,6 +39,14 @@
 RECORD_OVERHEAD_BYTES = HEAD_BYTES + _CHECKSUM.size  # beside key and value
 
 
+class RecordUpdate(NamedTuple):
+    """One change to a store; a `value` of None deletes the key."""
+
+    kind: int
+    key: bytes
+    value: bytes | None
+
+
 @dataclass(slots=True, frozen=True)
 class Record:
     """One record; `deleted` means that its key has no value from here on."""
--- a/shaletiller/store/segment_store.py
+++ b/shaletiller/store/segment_store.py
@@ -43,7 +43,7 @@
 MAX_GARBAGE_RATIO = 1.0
 MIN_GARBAGE_BYTES = 4 << 20
 
-RecordUpdate = tuple[int, bytes, bytes | None]  # kind, key, value; None deletes the key
+PlainUpdate = tuple[int, bytes, bytes | None]  # a `record_format.RecordUpdate`, or a tuple in its order
 
 
 class SegmentStore:
@@ -127,7 +127,7 @@
         record = self.index.get((kind, key))
         return None if record is None else record.value
 
-    def commit(self, updates: Iterable[RecordUpdate]) -> None:
+    def commit(self, updates: Iterable[PlainUpdate]) -> None:
         """Append these updates in order, with one sync.  On return they are durable.
 
         :raises StoreFullError: none of them is stored.
--- a/shaletiller/store/writer.py
+++ b/shaletiller/store/writer.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from shaletiller.store.errors import StoreBrokenError, StoreFullError
-from shaletiller.store.segment_store import RecordUpdate, SegmentStore
+from shaletiller.store.segment_store import PlainUpdate, SegmentStore
 from shaletiller.store.snapshot import Snapshot
 
 logger = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Request:
-    updates: Sequence[RecordUpdate]
+    updates: Sequence[PlainUpdate]
     on_result: CommitCallback
 
 
@@ -63,7 +63,7 @@
         """Whether the last commit succeeded, so that the next one is likely to."""
         return not self._last_commit_failed and not self.store.failure
 
-    def submit(self, updates: Sequence[RecordUpdate], on_result: CommitCallback = _ignore_result) -> None:
+    def submit(self, updates: Sequence[PlainUpdate], on_result: CommitCallback = _ignore_result) -> None:
         """Queue updates.
 
         :param on_result: called on the event loop, with whether the updates are durable.
@@ -102,7 +102,7 @@
         if durable and self.store.needs_compaction and self._snapshot_task is None:
             self._snapshot_task = asyncio.ensure_future(self._compact())
 
-    def _commit(self, updates: list[RecordUpdate]) -> bool:
+    def _commit(self, updates: list[PlainUpdate]) -> bool:
         """Commit on the writer's thread."""
         try:
             self.store.commit(updates)
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -132,6 +132,12 @@
         return found.value
 
 
+@pytest.fixture
+def cluster() -> Cluster:
+    """Three members that are up and synced."""
+    return Cluster()
+
+
 # ---- replica groups
 
 
@@ -152,12 +158,11 @@
 # ---- the register
 
 
-def test_a_claim_of_a_free_key_takes_one_round_and_its_outcome_another() -> None:
+def test_a_claim_of_a_free_key_takes_one_round_and_its_outcome_another(cluster: Cluster) -> None:
     """Nothing fails: a claim and the write that follows it each cost one round of accepts.
 
     No prepare is sent, and all three replicas then read the outcome.
     """
-    cluster = Cluster()
     cluster.sent.clear()
     claimed = cluster.propose(0, "k", value=b"mine")
     assert claimed.committed and claimed.position is not None and claimed.position.ballot == FAST_BALLOT
@@ -169,13 +174,12 @@
     assert [cluster.read(member, "k") for member in range(3)] == [b"outcome"] * 3
 
 
-def test_a_second_claim_finds_the_first_and_a_released_key_is_free_again() -> None:
+def test_a_second_claim_finds_the_first_and_a_released_key_is_free_again(cluster: Cluster) -> None:
     """Two gateways claim one key: the second finds the value of the first.
 
     Its prepare raised the ballot, so the first releases the key in a second round; a third claim then
     succeeds.
     """
-    cluster = Cluster()
     first = cluster.propose(0, "k", value=b"mine")
     assert not (found := cluster.propose(1, "k", value=b"yours")).committed and found.value == b"mine"
     # The second prepared a higher ballot: the first still replaces its own value, in one more round.
@@ -185,37 +189,36 @@
     assert cluster.propose(2, "k", value=b"third").committed
 
 
-def test_a_superseded_writer_commits_nothing() -> None:
+def test_a_superseded_writer_commits_nothing(cluster: Cluster) -> None:
     """One gateway commits a value, another replaces it, and the first writes late at its old position.
 
     The late write must be fenced, and must return the value that replaced its own.
     """
-    cluster = Cluster()
     first = cluster.propose(0, "k", value=b"mine")
     assert cluster.propose(1, "k", Precondition.EQUALS, b"taken over", expected=b"mine").committed
     late = cluster.propose(0, "k", Precondition.EQUALS, b"outcome", expected=b"mine", position=first.position)
     assert not late.committed and late.value == b"taken over"
 
 
-def test_with_one_of_three_down_a_majority_commits_and_with_two_down_nothing_is_determined() -> None:
+def test_with_one_of_three_down_a_majority_commits_and_with_two_down_nothing_is_determined(
+    cluster: Cluster,
+) -> None:
     """One of three members is down: two still commit.
 
     With two down the last one must not claim to know anything: its result is indeterminate.
     """
-    cluster = Cluster()
     cluster.nodes[2] = None
     assert cluster.propose(0, "k", value=b"mine").committed
     cluster.nodes[1] = None
     assert cluster.propose(0, "j", value=b"mine").indeterminate
 
 
-def test_a_fast_round_is_not_tried_while_a_member_is_known_to_be_down() -> None:
+def test_a_fast_round_is_not_tried_while_a_member_is_known_to_be_down(cluster: Cluster) -> None:
     """A member of the group is known to be down.
 
     A fast round needs all members and would wait 40 ms for it on every write: the proposer must prepare at
     once.
     """
-    cluster = Cluster()
     cluster.nodes[2] = None
     cluster.node(0).unreachable = frozenset({2})
     before = cluster.now
@@ -244,12 +247,11 @@
     )
 
 
-def test_two_operations_of_one_process_on_one_key_never_share_a_ballot() -> None:
+def test_two_operations_of_one_process_on_one_key_never_share_a_ballot(cluster: Cluster) -> None:
     """Two retries of one key arrive at one gateway, and both operations reach the same round.
 
     Found by a schedule of the simulation: under one ballot both were committed.  Exactly one may be.
     """
-    cluster = Cluster()
     cluster.propose(0, "k", value=b"old")
     cluster.propose(0, "k", Precondition.EQUALS, b"", expected=b"old")
     operations = [
@@ -262,12 +264,11 @@
     assert sorted(done.committed for done in cluster.results if done.operation in operations) == [False, True]
 
 
-def test_operator_commands_are_ordered_by_their_stamps() -> None:
+def test_operator_commands_are_ordered_by_their_stamps(cluster: Cluster) -> None:
     """A newer operator command is committed, then an older one arrives late through another gateway.
 
     The older one must not replace it.
     """
-    cluster = Cluster()
     commands = [
         pack(OperatorCommand(in_effect, stamp, 0, 1 << 50)) for in_effect, stamp in ((True, 10), (False, 20))
     ]
@@ -276,12 +277,11 @@
     assert not late.committed and late.value == commands[1]
 
 
-def test_expired_rows_are_removed_from_all_replicas_and_their_disks() -> None:
+def test_expired_rows_are_removed_from_all_replicas_and_their_disks(cluster: Cluster) -> None:
     """A value expires.
 
     All replicas drop it, their disks too; the digests are those of empty stores, and the key is free.
     """
-    cluster = Cluster()
     assert cluster.propose(0, "k", value=b"mine", retention_ms=1_000.0).committed
     assert all((1, b"k") in disk for disk in cluster.disks)
     cluster.run(1_500.0)
@@ -293,12 +293,11 @@
 # ---- disks
 
 
-def test_a_replica_that_was_not_persisted_is_never_counted() -> None:
+def test_a_replica_that_was_not_persisted_is_never_counted(cluster: Cluster) -> None:
     """Two of three disks are full while a value is proposed, and the request is retransmitted.
 
     The value must not count as committed; once there is space, what is read must be on two disks.
     """
-    cluster = Cluster()
     cluster.full_disks = {1, 2}
     assert cluster.propose(0, "k", value=b"mine", timeout_ms=300.0).indeterminate
     assert not any((1, b"k") in cluster.disks[member] for member in (1, 2))
@@ -307,12 +306,13 @@
     assert sum((1, b"k") in disk for disk in cluster.disks) >= 2
 
 
-def test_a_retransmission_after_a_failed_commit_is_answered_only_once_the_row_is_persisted() -> None:
+def test_a_retransmission_after_a_failed_commit_is_answered_only_once_the_row_is_persisted(
+    cluster: Cluster,
+) -> None:
     """An accept is applied, its commit fails, and the same accept arrives again.
 
     The row in memory no longer changes, but the disk lacks it: it must be persisted before the reply is sent.
     """
-    cluster = Cluster()
     node, incarnations = cluster.node(1), cluster.node(1).acceptor.incarnations_of("k")
     ask = Accept(7, "k", FAST_BALLOT, 0, b"mine", int(cluster.now + MINUTE), incarnations)
     node.receive(0, ask, cluster.now)
@@ -360,12 +360,11 @@
     )
 
 
-def test_a_request_that_names_a_past_incarnation_is_fenced() -> None:
+def test_a_request_that_names_a_past_incarnation_is_fenced(cluster: Cluster) -> None:
     """A member returns with a new store, and then a request arrives that names its past incarnation.
 
     No member may accept it, and the replies must carry the new incarnations.
     """
-    cluster = Cluster()
     incarnations = cluster.node(0).acceptor.incarnations_of("k")
     cluster.start(2, wiped=True)
     cluster.run(800.0)
@@ -376,12 +375,11 @@
     assert answers[0].incarnations == cluster.node(2).acceptor.incarnations_of("k") != incarnations
 
 
-def test_a_store_restored_from_an_old_copy_never_votes() -> None:
+def test_a_store_restored_from_an_old_copy_never_votes(cluster: Cluster) -> None:
     """A machine was replaced, and then somebody puts the disk of the old machine back.
 
     The old store must find out that it is superseded, and vote on nothing.
     """
-    cluster = Cluster()
     before = dict(cluster.disks[2])
     cluster.start(2, wiped=True)
     cluster.run(800.0)
@@ -391,12 +389,11 @@
     assert cluster.node(2).acceptor.superseded and not cluster.node(2).fully_synced
 
 
-def test_a_new_machine_whose_clock_is_behind_takes_a_later_incarnation() -> None:
+def test_a_new_machine_whose_clock_is_behind_takes_a_later_incarnation(cluster: Cluster) -> None:
     """A machine returns empty, with a clock behind that of the machine before it.
 
     Its incarnation must become later than the past one, and it must be filled.
     """
-    cluster = Cluster()
     incarnations = list(cluster.node(0).acceptor.incarnations)
     cluster.disks[2] = {}
     cluster.nodes[2] = ReplicationNode(2, cluster.groups, [], incarnations[2] - 500_000.0)
@@ -499,12 +496,11 @@
         return self.decide(self.begin(key))
 
 
-def test_a_retry_through_another_gateway_gets_the_recorded_answer() -> None:
+def test_a_retry_through_another_gateway_gets_the_recorded_answer(cluster: Cluster) -> None:
     """A client retries a served write through another gateway.
 
     It must get the recorded answer without a node being asked; another request under the same key must fail.
     """
-    cluster = Cluster()
     first, second = WriteClient(cluster, 0), WriteClient(cluster, 1)
     number = first.begin("k")
     assert first.decided() == [(number, WriteVerdict.FORWARD, b"")]
@@ -516,13 +512,14 @@
     assert second.decided() == [(other, WriteVerdict.FAILED, b"")]  # the key was used for another request
 
 
-def test_a_retry_is_rejected_while_the_first_is_out_and_fails_after_its_gateway_died() -> None:
+def test_a_retry_is_rejected_while_the_first_is_out_and_fails_after_its_gateway_died(
+    cluster: Cluster,
+) -> None:
     """A client retries a write that its first gateway has forwarded but not answered; that gateway dies.
 
     Until the deadline of the first the retry is rejected; after it the write may have run, so the retry must
     fail.
     """
-    cluster = Cluster()
     first, second = WriteClient(cluster, 0), WriteClient(cluster, 1)
     number = first.begin("k")
     assert first.decided() == [(number, WriteVerdict.FORWARD, b"")]
@@ -532,12 +529,11 @@
     assert second.decide(second.begin("k")) == WriteVerdict.FAILED  # it may have run
 
 
-def test_a_write_that_never_ran_may_be_retried_immediately() -> None:
+def test_a_write_that_never_ran_may_be_retried_immediately(cluster: Cluster) -> None:
     """A claimed write is rejected: nothing ran.
 
     Its key must be free for a retry through another gateway.
     """
-    cluster = Cluster()
     first, second = WriteClient(cluster, 0), WriteClient(cluster, 1)
     number = first.begin("k")
     assert first.decided() == [(number, WriteVerdict.FORWARD, b"")]
@@ -546,13 +542,12 @@
     assert second.decide(second.begin("k")) == WriteVerdict.FORWARD
 
 
-def test_an_outcome_that_cannot_be_committed_is_not_answered() -> None:
+def test_an_outcome_that_cannot_be_committed_is_not_answered(cluster: Cluster) -> None:
     """A write was served by a node, but its gateway is cut off from the replicas.
 
     The client must not be told that it was served, since a retry might find otherwise; it must never run
     twice.
     """
-    cluster = Cluster()
     first = WriteClient(cluster, 0)
     number = first.begin("k")
     assert first.decided() == [(number, WriteVerdict.FORWARD, b"")]
@@ -565,12 +560,11 @@
     assert WriteClient(cluster, 1).decide_new("k") in (WriteVerdict.FAILED, WriteVerdict.SERVED)
 
 
-def test_without_a_majority_nothing_is_forwarded_and_the_key_is_released() -> None:
+def test_without_a_majority_nothing_is_forwarded_and_the_key_is_released(cluster: Cluster) -> None:
     """A gateway without a majority claims a key.
 
     The write must be rejected without being forwarded, and its key must be free once the majority is back.
     """
-    cluster = Cluster()
     first = WriteClient(cluster, 0)
     cluster.partitioned = {0}
     assert first.decide(first.begin("k")) == WriteVerdict.REJECTED
@@ -706,9 +700,8 @@
     assert find_violations()
 
 
-def test_a_store_holds_registers_and_metadata_only() -> None:
+def test_a_store_holds_registers_and_metadata_only(cluster: Cluster) -> None:
     """A new store holds three metadata records, and one more for each register."""
-    cluster = Cluster()
     assert {kind for disk in cluster.disks for kind, _ in disk} == {META}
     cluster.propose(0, "k", value=pack(WriteOutcome(True, b"b", 1, 2)))
     assert all(len(disk) == 4 for disk in cluster.disks)
--- a/tests/replication/test_replication_process.py
+++ b/tests/replication/test_replication_process.py
@@ -48,13 +48,13 @@
     """Run a test on three gateways with stores."""
 
     async def run() -> None:
-        of = replication_scenarios.rig(3, 1.0, 1, folder)
+        rig = replication_scenarios.rig(3, 1.0, 1, folder)
         try:
-            await of.start()
-            await replication_scenarios.filled(of)
-            await play(of, Load({name: process.port for name, process in of.processes.items()}, 1))
+            await rig.start()
+            await replication_scenarios.filled(rig)
+            await play(rig, Load({name: process.port for name, process in rig.processes.items()}, 1))
         finally:
-            await of.stop()
+            await rig.stop()
 
     asyncio.run(run())
 
@@ -81,13 +81,13 @@
     it, neither from its file nor where its store is lost.
     """
 
-    async def play(of: Rig, load: Load) -> None:
-        g0, g1, g2 = of.processes.values()
+    async def play(rig: Rig, load: Load) -> None:
+        g0, g1, g2 = rig.processes.values()
         assert await g0.call("DISABLE n1") == ["done n1"]
         assert await g0.call("DRAIN") == ["done"]
         await g0.kill()
         g0.wipe()
-        await g0.start(of.known("g0"))
+        await g0.start(rig.known("g0"))
         await until(lambda: holds(g0, "edge.ejected", 1))
 
         async def drained() -> bool:
@@ -101,7 +101,7 @@
         # Lifted while one is down: the file of that one must not bring it back.
         await g2.kill()
         assert await g1.call("ENABLE n1") == ["done n1"]
-        await g2.start(of.known("g2"))
+        await g2.start(rig.known("g2"))
         await until(lambda: holds(g2, "edge.ejected", 0))
         await until(lambda: holds(g0, "edge.ejected", 0))
         assert await g0.call("UNDRAIN") == ["done"]
@@ -111,7 +111,7 @@
         await g1.kill()
         assert await g0.call("ENABLE n2") == ["done n2"]
         shutil.rmtree(g1.folder / "store")
-        await g1.start(of.known("g1"))
+        await g1.start(rig.known("g1"))
         await until(lambda: holds(g1, "edge.promises.filled", 1))
         for process in (g1, g0, g2):
             await until(lambda process=process: holds(process, "edge.ejected", 0))  # type: ignore[misc]
@@ -131,8 +131,8 @@
     rejected without reaching a node.  Once another is back, a retry must get the answer given before.
     """
 
-    async def play(of: Rig, load: Load) -> None:
-        g0, g1, g2 = of.processes.values()
+    async def play(rig: Rig, load: Load) -> None:
+        g0, g1, g2 = rig.processes.values()
         served = await ask(load, "g0", "k1", "00000000000000a1")
         assert served.status == 200
         await g1.kill()
@@ -143,8 +143,8 @@
         await until(lambda: holds(g0, "edge.fleet.members", 1))
         refused = await ask(load, "g0", "k2", "00000000000000a2")
         assert refused.status == 503
-        assert sum(attempt.key == "k2" for node in of.nodes for attempt in node.attempts) == 0
-        await g1.start(of.known("g1"))
+        assert sum(attempt.key == "k2" for node in rig.nodes for attempt in node.attempts) == 0
+        await g1.start(rig.known("g1"))
         await until(lambda: holds(g0, "edge.fleet.members", 2))
         again = await ask(load, "g1", "k1", "00000000000000a3", "00000000000000a1")
         assert (again.status, again.body) == (200, served.body)
@@ -158,15 +158,15 @@
     At its start the damage must be logged, the store moved aside, and its replicas recovered from the others.
     """
 
-    async def play(of: Rig, load: Load) -> None:
-        g0 = of.processes["g0"]
+    async def play(rig: Rig, load: Load) -> None:
+        g0 = rig.processes["g0"]
         served = await ask(load, "g0", "k1", "00000000000000b1")
         await g0.kill()
         segment = max((g0.folder / "store").glob("*.seg"))
         damaged = bytearray(segment.read_bytes())
         damaged[len(damaged) // 2] ^= 1
         segment.write_bytes(bytes(damaged))
-        await g0.start(of.known("g0"))
+        await g0.start(rig.known("g0"))
         await until(lambda: holds(g0, "edge.promises.filled", 1))
         assert (await g0.stats())["edge.store.damaged"] == 1
         assert f"damaged: {segment.name}: byte" in (g0.folder / "log.txt").read_text()
@@ -183,10 +183,10 @@
     It must serve from its cached endpoint list: that of its store, then that of its replicas.
     """
 
-    async def play(of: Rig, load: Load) -> None:
-        g0, nothing = of.processes["g0"], {"version": 0, "full": True, "servers": []}
+    async def play(rig: Rig, load: Load) -> None:
+        g0, nothing = rig.processes["g0"], {"version": 0, "full": True, "servers": []}
         await until(lambda: cached(g0.folder))
-        of.discovery.silent = True
+        rig.discovery.silent = True
         for wiped in (False, True):
             await g0.kill()
             if wiped:  # then its replicas have it
@@ -206,8 +206,8 @@
     It must serve without the store, log why, and take the store over once the first has stopped.
     """
 
-    async def play(of: Rig, load: Load) -> None:
-        g0 = of.processes["g0"]
+    async def play(rig: Rig, load: Load) -> None:
+        g0 = rig.processes["g0"]
         port, admin, first = g0.port, g0.admin_port, g0._process
         other = type(g0)(
             "g0",
@@ -215,7 +215,7 @@
             {key: value for key, value in g0.told.items() if key not in ("listen", "admin", "name")},
             g0._operator.read_text(),
         )
-        await other.start(of.known("g0"))
+        await other.start(rig.known("g0"))
         assert (await other.stats())["edge.store.open"] == 0
         assert "another process has this store open" in (g0.folder / "log.txt").read_text()
         assert first is not None and g0.alive and (port, admin) != (other.port, other.admin_port)
@@ -265,8 +265,8 @@
 def test_the_lab_does_not_wipe_a_process_that_runs(tmp_path: Path) -> None:
     """A scenario may wipe a gateway's directory only while the gateway is down."""
 
-    async def play(of: Rig, load: Load) -> None:
+    async def play(rig: Rig, load: Load) -> None:
         with pytest.raises(LabError, match="only while it is down"):
-            of.processes["g0"].wipe()
+            rig.processes["g0"].wipe()
 
     run_with_gateways(tmp_path, play)
