--- a/shaletiller/net/replication/lease_tables.py
+++ b/shaletiller/net/replication/lease_tables.py
@@ -15,7 +15,7 @@
 from shaletiller.net.replication.port import ReplicationPort
 from shaletiller.replication.effects import CommitPosition, OperationResult
 from shaletiller.replication.proposer import Precondition
-from shaletiller.replication.records import LeaseTable, decode_value, pack
+from shaletiller.replication.records import LeaseTableRecord, decode_value, pack
 
 LEASE_PREFIX = "lease:"  # of register keys: a format of the stores
 WRITE_TIMEOUT_MS = 400.0  # within a lease's term; a table that is not committed by then backs no grant
@@ -66,7 +66,7 @@
         :returns: whether it is committed.
         """
         stored = decode_value(found.value)
-        before = stored if isinstance(stored, LeaseTable) else None
+        before = stored if isinstance(stored, LeaseTableRecord) else None
         value = (
             self._encode(before.rate, before.burst, before.recorded_ms)
             if before is not None
@@ -106,7 +106,7 @@
 
     def _encode(self, rate: int, burst: int, recorded_ms: int) -> bytes:
         self._number += 1
-        table = LeaseTable(
+        table = LeaseTableRecord(
             self._port.node.member, self._member.incarnation, self._number, recorded_ms, rate, burst
         )
         return pack(table)
--- a/shaletiller/replication/records.py
+++ b/shaletiller/replication/records.py
@@ -110,7 +110,7 @@
     json: bytes
 
 
-class LeaseTable(RegisterValue, tag=5, frozen=True):
+class LeaseTableRecord(RegisterValue, tag=5, frozen=True):
     """What the granter of a limit has leased in total, as of its table number `number`.
 
     `rate` is in thousandths of a unit per second and `burst` in thousandths of a unit; `recorded_ms` is by
@@ -125,7 +125,7 @@
     burst: UnsignedInt
 
 
-StoredValue = WriteIntent | WriteOutcome | OperatorCommand | CachedEndpointList | LeaseTable
+StoredValue = WriteIntent | WriteOutcome | OperatorCommand | CachedEndpointList | LeaseTableRecord
 
 # Names in the output of `store show`: a fixed format of the command line.
 _SHOWN_KINDS = {REGISTER: "register", META: "meta"}
@@ -134,7 +134,7 @@
     WriteOutcome: "outcome",
     OperatorCommand: "word",
     CachedEndpointList: "listed",
-    LeaseTable: "leased",
+    LeaseTableRecord: "leased",
 }
 _ENCODER = msgspec.msgpack.Encoder()
 _VALUE_DECODER = msgspec.msgpack.Decoder(StoredValue)
