--- a/shaletiller/replication/node.py
+++ b/shaletiller/replication/node.py
@@ -61,10 +61,10 @@
         """
         self.member, self.groups = member, groups
         self.acceptor = Acceptor(member, groups)
-        process = int(now_ms)
-        self.proposer = Proposer(self.acceptor, process)
+        process_start_ms = int(now_ms)
+        self.proposer = Proposer(self.acceptor, process_start_ms)
         self.budget = TransferBudget(bytes_per_second)
-        self.state_transfer = StateTransfer(self.acceptor, process, self.budget)
+        self.state_transfer = StateTransfer(self.acceptor, process_start_ms, self.budget)
         self.anti_entropy = AntiEntropy(self.acceptor, self.budget)
         self.effects: list[Effect] = []
         # Members known to be down: a fast round, which needs the whole group, is not tried then.
--- a/shaletiller/replication/proposer.py
+++ b/shaletiller/replication/proposer.py
@@ -87,7 +87,9 @@
 
     def propose_own_value(self) -> None:
         """Propose the value of the operation itself."""
-        self.proposed, self.proposed_expires_ms, self.proposes_own_value = self.value, self.expires_ms, True
+        self.proposed = self.value
+        self.proposed_expires_ms = self.expires_ms
+        self.proposes_own_value = True
 
     def count(self, *statuses: ReplyStatus) -> int:
         """Count the replies of the current phase with these statuses."""
@@ -97,16 +99,16 @@
 class Proposer:
     """The operations under way at one gateway.  The caller empties `outbox` and `results` after each call."""
 
-    def __init__(self, acceptor: Acceptor, process: int) -> None:
+    def __init__(self, acceptor: Acceptor, process_start_ms: int) -> None:
         """Start without operations.
 
-        :param process: start of this process in milliseconds of the Unix epoch, which tells it from earlier
+        :param process_start_ms: in milliseconds of the Unix epoch, which tells this process from earlier
             processes of the same gateway.
         """
         self.member, self.groups, self._acceptor = acceptor.member, acceptor.groups, acceptor
         self.operations: dict[int, Operation] = {}
         self._nonces: dict[int, int] = {}  # operation by the nonce of its current phase
-        self._nonce = first_nonce(process)
+        self._nonce = first_nonce(process_start_ms)
         self.outbox: list[SendMessage] = []
         self.results: list[OperationResult] = []
         self.rounds = 0
--- a/shaletiller/replication/state_transfer.py
+++ b/shaletiller/replication/state_transfer.py
@@ -47,16 +47,16 @@
     The caller empties `outbox` after each call.
     """
 
-    def __init__(self, acceptor: Acceptor, process: int, budget: TransferBudget) -> None:
+    def __init__(self, acceptor: Acceptor, process_start_ms: int, budget: TransferBudget) -> None:
         """Start without transfers.
 
-        :param process: start of this process in milliseconds of the Unix epoch.
+        :param process_start_ms: in milliseconds of the Unix epoch.
         """
         self.acceptor = acceptor
         self.budget = budget
         self.outbox: list[SendMessage] = []
         self.rows_received = 0
-        self._nonce = first_nonce(process)
+        self._nonce = first_nonce(process_start_ms)
         self._progress: dict[int, _Progress] = {}
         self._snapshots: dict[int, _Snapshot] = {}
 
--- a/shaletiller/replication/writes.py
+++ b/shaletiller/replication/writes.py
@@ -74,13 +74,13 @@
 class ReplicatedWrites:
     """The replicated writes under way at one gateway."""
 
-    def __init__(self, node: ReplicationNode, process: int, retention_ms: float) -> None:
+    def __init__(self, node: ReplicationNode, incarnation: int, retention_ms: float) -> None:
         """Start without writes.
 
-        :param process: start of this process in milliseconds of the Unix epoch: its incarnation.
+        :param incarnation: start of this process in milliseconds of the Unix epoch.
         :param retention_ms: how long an outcome is guaranteed to be known.
         """
-        self._node, self._process, self._retention_ms = node, process, retention_ms
+        self._node, self._incarnation, self._retention_ms = node, incarnation, retention_ms
         self._writes: dict[int, _Write] = {}
         self._waiting: dict[int, int] = {}  # write by the operation it waits for
         self.decisions: list[WriteDecision] = []
@@ -108,7 +108,9 @@
         :param deadline_ms: when its client must be answered.
         """
         member = self._node.member
-        intent = pack(WriteIntent(member, self._process, number, request_hash, int(now_ms), int(deadline_ms)))
+        intent = pack(
+            WriteIntent(member, self._incarnation, number, request_hash, int(now_ms), int(deadline_ms))
+        )
         write = _Write(number, key, request_hash, deadline_ms, intent=intent)
         self._writes[number] = write
         claim_by_ms = now_ms + min(MAX_CLAIM_MS, MAX_CLAIM_PART * (deadline_ms - now_ms))
