--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -29,7 +29,7 @@
     from shaletiller.net.fleet import FleetAgent
     from shaletiller.net.nvme.target import NvmeTarget
     from shaletiller.net.nvme.upstream import NvmeUpstreamClient
-    from shaletiller.net.replication import ReplicationAgent
+    from shaletiller.net.replication.agent import ReplicationAgent
     from shaletiller.telemetry.otlp import OtlpExporter
 
 logger = logging.getLogger(__name__)
@@ -146,15 +146,20 @@
         operator = self.config.operator
         if operator is None or self.fleet is None or not operator.promises.on:
             return None
-        from shaletiller.net.replication import ReplicationAgent
+        from shaletiller.net.replication.agent import ReplicationAgent
 
-        port = ReplicationAgent(
-            operator, self.fleet, self.engine, self._clock, self.config.name, self.ejections
+        agent = ReplicationAgent(
+            operator,
+            self.fleet,
+            self.engine,
+            self._clock,
+            self.config.name,
+            self.ejections,
+            self.front,
+            self._load_stored_list,
         )
-        port.listed = self._load_stored_list
-        port.drained = self.front.drain
-        self.discovery.news = port.news
-        return port
+        self.discovery.news = agent.endpoint_lists.update
+        return agent
 
     def _make_admin_server(self) -> Admin | None:
         if self.config.admin is None:
--- a/shaletiller/gateway_services.py
+++ b/shaletiller/gateway_services.py
@@ -37,7 +37,7 @@
     def replicate_intent(self, exchange: Exchange) -> bool:
         """Hand a write to the replication, where its class is replicated."""
         replication = self._gateway.replication
-        return replication is not None and replication.replicate_intent(exchange)
+        return replication is not None and replication.writes.replicate_intent(exchange)
 
     def request_ended(self, exchange: Exchange) -> None:
         """Report a request to the telemetry."""
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -19,7 +19,7 @@
 from shaletiller.messages.events import Event
 from shaletiller.net.links import Links
 from shaletiller.net.peers import PeerEndpoint
-from shaletiller.replication.messages import MARK as REPLICATION_MARK
+from shaletiller.replication.messages import FRAME_PREFIX
 
 logger = logging.getLogger(__name__)
 
@@ -166,7 +166,7 @@
 
     def receive(self, data: bytes) -> None:
         """Handle a message of another gateway."""
-        if data[:1] == REPLICATION_MARK:
+        if data[:1] == FRAME_PREFIX:
             if self._on_replication_message is not None:
                 self._on_replication_message(data)
             return
--- a/shaletiller/operator_calls.py
+++ b/shaletiller/operator_calls.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from shaletiller.net.fleet import FleetAgent
-    from shaletiller.net.replication import ReplicationAgent
+    from shaletiller.net.replication.agent import ReplicationAgent
 
 MAX_ECHOED_NODE = 64  # characters of an unknown node's id in the response: it is the caller's own text
 
@@ -123,14 +123,14 @@
             self._fleet.publish_ejection(node, ejected)
         if self._replication is None:
             return [node]
-        return self._replicated(self._replication.ban(node), node)
+        return self._replicated(self._replication.commands.replicate_ejection(node), node)
 
     def _set_draining(self, draining: bool) -> list[str] | Awaitable[list[str]]:
         """DRAIN and UNDRAIN: send HTTP clients away, or accept them again."""
         self._http_server.drain(draining)
         if self._replication is None:
             return []
-        return self._replicated(self._replication.drain(draining), "")
+        return self._replicated(self._replication.commands.replicate_drain(draining), "")
 
     async def _replicated(self, replication: Awaitable[None], first_line: str) -> list[str]:
         """Wait until a majority of the copies has the call.
@@ -138,7 +138,7 @@
         :param first_line: of the response to the operator.
         :raises Refused: where the call holds at this gateway only.
         """
-        from shaletiller.net.replication import NotReplicatedError  # loaded only where it is configured
+        from shaletiller.replication.errors import NotReplicatedError  # loaded only where it is configured
 
         try:
             await replication
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -22,6 +22,7 @@
 
 import msgspec
 import pytest
+from shaletiller.replication.rows import Row, describe, pack, read_row, read_says
 
 # ==== PROGRAM: the only section that names what the program calls its parts ================================
 from shaletiller import adapter, config, gateway
@@ -39,7 +40,6 @@
 from shaletiller.net import discovery, links, peers
 from shaletiller.net import replication as port
 from shaletiller.replication import acceptor, groups, messages, rows
-from shaletiller.replication.rows import Row, describe, pack, read_row, read_says
 from shaletiller.settings import decoder
 from shaletiller.store import segment_store, writer
 
