--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -1,4 +1,4 @@
-"""The platform's front and the HTTP nodes, each trap as a scenario."""
+"""The HTTP server for clients and the HTTP client for nodes, each known pitfall as a scenario."""
 
 from __future__ import annotations
 
@@ -12,14 +12,21 @@
 import aiohttp
 
 from shaletiller.messages.events import AttemptEnded
+from shaletiller.net.client_connection import ConnectionState
+from shaletiller.net.connection_table import EVICTABLE_AFTER_MS
+from shaletiller.net.discovery import MAX_BACKOFF_MS
 from shaletiller.net.http_upstream import HttpUpstreamClient
-from shaletiller.net.listener import USELESS_MS, State
+from shaletiller.net.overload_control import AcceptedSocket
 from shaletiller.net.pool import UpstreamConnector
 from tests.support.scenario import PATIENCE_S, SETTINGS, VOLUME, Scenario, Server, read_message
 
 
-class Http(Scenario):
-    async def test_a_request_passes_unchanged_and_its_answer_comes_back(self) -> None:
+class Forwarding(Scenario):
+    async def test_a_request_is_forwarded_unchanged_and_its_response_returned(self) -> None:
+        """A client sends requests.
+
+        Id, body and length must reach the node as they are, and the responses the client.
+        """
         await self.play("""
             send c1 PUT 5 hello id=9b1f03aa5c7e2d41
             expect n1 PUT 5 hello Request-Id=9b1f03aa5c7e2d41 Content-Length=5
@@ -31,21 +38,27 @@
             expect c1 200 data
         """)
 
-    async def test_the_path_is_not_quoted_anew(self) -> None:
+    async def test_the_target_is_not_requoted(self) -> None:
+        """A target with percent escapes and a plus sign must reach the node byte for byte."""
         await self.play(r"""
             send c1 GET 5&x=%41+b%2f
         """)
         first = (await (await self.party("n1")).next())[0]
         self.assertEqual(first, "GET /api?key=0000000000000005&x=%41+b%2f HTTP/1.1")
 
-    async def test_a_large_body_passes_whole(self) -> None:
+    async def test_a_large_body_is_forwarded_completely(self) -> None:
+        """Request and response bodies have the largest size allowed; both must arrive complete."""
         body = "x" * 65536
         await self.play(
             f"send c1 PUT 5 {body}\nexpect n1 PUT 5 {body}\nsend n1 200 {body}\nexpect c1 200 {body}"
         )
 
-    async def test_a_write_on_a_kept_connection_that_breaks_is_failed_and_never_sent_again(self) -> None:
-        # aiohttp's client repeats a PUT by itself when a kept connection breaks under it.
+    async def test_a_write_on_a_reused_connection_that_breaks_fails_and_is_never_resent(self) -> None:
+        """A reused connection breaks under a write.
+
+        aiohttp's client would silently resend a PUT, and a non-idempotent write would run twice.  The write
+        must fail with a 502, and the node must get it once.
+        """
         await self.play("""
             send c1 GET 1
             expect n1 GET 1
@@ -59,7 +72,11 @@
             expect n1 nothing
         """)
 
-    async def test_a_broken_read_is_tried_again_by_the_module_alone(self) -> None:
+    async def test_a_failed_read_is_retried_by_the_scheduler_alone(self) -> None:
+        """A node's connection breaks under a read.
+
+        The scheduler must retry it once; no other copy may reach the node.
+        """
         await self.play("""
             send c1 GET 1
             expect n1 GET 1
@@ -70,7 +87,11 @@
             expect n1 nothing
         """)
 
-    async def test_not_started_is_refusable_and_a_bare_503_is_not(self) -> None:
+    async def test_only_not_started_proves_that_a_write_has_not_run(self) -> None:
+        """A node answers a write with a 503, first with Not-Started and then without.
+
+        The first must be retried, for it has not run; the second proves nothing and must fail with a 502.
+        """
         await self.play("""
             send c1 PUT 1 a
             expect n1 PUT 1 a
@@ -82,52 +103,84 @@
             expect n1 nothing
         """)
 
-    async def test_a_nodes_429_is_no_refusal_of_a_write(self) -> None:
+    async def test_a_429_of_a_node_fails_a_write(self) -> None:
+        """A node answers a write with a 429, which proves nothing: it must fail with a 502."""
         await self.play("send c1 PUT 1 a\nexpect n1 PUT 1 a\nsend n1 429\nexpect c1 502")
 
     async def test_a_redirect_is_not_followed(self) -> None:
+        """A node redirects a write; following it would run the write elsewhere.  It must fail with a 502."""
         await self.play(
             "send c1 PUT 1 a\nexpect n1 PUT 1 a\nsend n1 302 Location=/api?key=2\n"
             "expect c1 502\nexpect n1 nothing"
         )
 
     async def test_an_encoded_body_is_not_decoded(self) -> None:
+        """A node labels its body as gzip; it must reach the client as it is, not decoded."""
         await self.play(
             "send c1 GET 1\nexpect n1 GET 1\nsend n1 200 plain Content-Encoding=gzip\nexpect c1 200 plain"
         )
 
-    async def test_a_dead_node_is_a_failed_connect_and_its_write_is_refused_with_a_time(self) -> None:
+    async def test_a_write_to_an_unreachable_node_is_rejected_with_a_retry_after(self) -> None:
+        """No connection to the node can be made.
+
+        The write has certainly not run, so it must be rejected with a 503 and a short Retry-After.
+        """
         await self.play("close n1 door\nsend c1 PUT 1 a timeout=400")
         first, heads, _ = await read_message((await self.party("c1")).reader)
         self.assertTrue(first.startswith("HTTP/1.1 503 "), first)
         self.assertGreater(float(heads["retry-after"]), 0)
         self.assertLess(float(heads["retry-after"]), 0.2)
 
-    async def test_a_silent_write_fails_by_its_deadline_and_its_connection_closes(self) -> None:
+    async def test_a_write_without_a_response_fails_by_its_deadline(self) -> None:
+        """A node never answers a write.
+
+        The client must get a 502 by its deadline, and the connection must be closed.
+        """
         await self.play("send c1 PUT 1 a timeout=300\nexpect n1 PUT 1 a\nexpect c1 502\nexpect n1 closed")
 
-    async def test_a_client_that_leaves_takes_its_attempt_along(self) -> None:
+    async def test_a_client_that_leaves_cancels_its_attempt(self) -> None:
+        """A client leaves while its request is at a node.
+
+        The attempt's connection must be closed, and the exchange forgotten.
+        """
         await self.play("send c1 GET 1 timeout=9000\nexpect n1 GET 1\nclose c1\nexpect n1 closed")
         self.assertEqual(self.gateway.engine.table, {})
 
-    async def test_an_answer_cut_in_its_body_is_a_reset(self) -> None:
+    async def test_a_response_truncated_in_its_body_fails_a_write(self) -> None:
+        """A node's connection breaks within the body of its response to a write.
+
+        The write may have run: the client must get a 502.
+        """
         await self.play("send c1 PUT 1 a\nexpect n1 PUT 1 a")
         node = await self.party("n1")
         node.current.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
         await self.play("wait 30\nclose n1\nexpect c1 502")
 
-    async def test_a_silent_module_is_answered_for_by_the_guard(self) -> None:
+    async def test_a_silent_scheduler_is_covered_by_the_guard_timer(self) -> None:
+        """The scheduler never acts on a request.
+
+        The guard timer must answer it with a 503: no attempt was made.
+        """
         self.gateway.engine._scheduler.handle = lambda now_ms, event: []
         await self.play("send c1 PUT 1 a timeout=100\nexpect c1 503")
 
-    async def test_a_broken_module_loses_no_request(self) -> None:
+    async def test_a_failing_scheduler_loses_no_request(self) -> None:
+        """The scheduler raises an exception on each event.
+
+        The request must get a 503 from the guard timer, and the gateway must go on.
+        """
+
         def broken(now_ms: float, event: Any) -> Any:
             raise RuntimeError("broken on purpose")
 
         self.gateway.engine._scheduler.handle = broken
         await self.play("send c1 GET 1 timeout=100\nexpect c1 503\nsend c1 GET up\nexpect c1 200")
 
-    async def test_bad_requests_reach_no_node(self) -> None:
+    async def test_malformed_requests_reach_no_node(self) -> None:
+        """Clients send requests with unknown classes, malformed fields or bodies that are too large.
+
+        Each must get its client error, and no node any of them.
+        """
         await self.play(f"""
             send c1 GET 1 class=unheard
             expect c1 400
@@ -148,7 +201,11 @@
             expect n1 nothing
         """)
 
-    async def test_a_draining_node_gets_nothing_past_its_time_and_what_it_has_is_answered(self) -> None:
+    async def test_a_draining_node_gets_no_new_requests_after_its_grace(self) -> None:
+        """A node drains while it has a request in progress.
+
+        After its grace period it must get no further request, and the one in progress must be answered.
+        """
         await self.play("""
             send c1 PUT 1 a
             expect n1 PUT 1 a
@@ -161,17 +218,30 @@
             expect c1 200 ok
         """)
 
-    async def test_a_malformed_list_leaves_the_old_one(self) -> None:
+    async def test_a_malformed_list_leaves_the_one_in_use(self) -> None:
+        """Discovery sends lists that are no JSON, or no list.
+
+        The list in use must go on serving.
+        """
         await self.play(
             "send d '{'\nsend d '[]'\nwait 150\nsend c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200"
         )
 
-    async def test_the_next_watch_follows_at_once(self) -> None:
+    async def test_the_next_watch_follows_without_a_gap(self) -> None:
+        """Discovery answers a watch with a change.
+
+        The next watch must follow right away, from that change's version.
+        """
         await self.play("send d n2=left")
         first = (await asyncio.wait_for((await self.party("d")).came.get(), 0.2))[0]
         self.assertTrue(first.startswith("GET /discovery/hosts?since=2&"), first)
 
-    async def test_a_planned_stop_answers_what_is_held_and_goes_on_with_those_who_are_there(self) -> None:
+    async def test_a_graceful_shutdown_answers_requests_in_progress_and_serves_open_connections(self) -> None:
+        """A graceful shutdown begins while a request is in progress.
+
+        New connections are accepted for a while and open ones served until shortly before the end; every
+        request must get its response, and nothing is forwarded too late to be answered.
+        """
         await self.play("send c1 GET 1 timeout=5000\nexpect n1 GET 1")
         stop = asyncio.ensure_future(self.gateway.stop())
         await self.play(
@@ -189,7 +259,12 @@
         )
         await asyncio.wait_for(stop, PATIENCE_S)
 
-    async def test_a_planned_stop_answers_what_would_outlast_it(self) -> None:
+    async def test_a_graceful_shutdown_answers_requests_that_would_outlast_it(self) -> None:
+        """Requests with deadlines beyond the end of the process are at nodes.
+
+        A read must be rejected with a 503, and a write that may have run must fail with a 502, before the
+        process ends.
+        """
         await self.play(
             "send c1 GET 1 timeout=9000\nexpect n1 GET 1\nsend c2 PUT 2 x timeout=9000\nexpect n1 PUT 2 x"
         )
@@ -198,6 +273,10 @@
         await asyncio.wait_for(stop, PATIENCE_S)
 
     async def test_the_watch_goes_on_whatever_the_agent_sends(self) -> None:
+        """The discovery agent sends noise, then nested JSON that fails the parser in other ways.
+
+        The watch must go on, and the next change must apply.
+        """
         agent = await self.party("d")
         for raw in (
             b"\0\1\2",
@@ -211,7 +290,11 @@
             "send d n1=leaving\nwait 500\nsend c1 GET 1 timeout=300\nexpect c1 503\nexpect n1 nothing"
         )
 
-    async def test_a_watch_that_falls_silent_is_made_again_soon(self) -> None:
+    async def test_a_silent_watch_is_repeated_soon(self) -> None:
+        """The discovery agent never answers a watch.
+
+        The next call must follow within two seconds, and what it brings must apply.
+        """
         agent = await self.party("d")
         await agent.next()
         started = time.monotonic()
@@ -219,9 +302,16 @@
         self.assertLess(time.monotonic() - started, 2.0)
         await self.play("send d n1=left\nwait 50\nsend c1 GET 1 timeout=300\nexpect c1 503")
 
-    async def test_a_kept_connection_needs_no_session_and_is_not_kept_past_its_node(self) -> None:
+    async def test_an_idle_connection_is_reused_on_the_fast_path_and_closed_with_its_node(self) -> None:
+        """Requests reuse an idle connection, and then its node leaves the list.
+
+        The fast path must serve them without aiohttp's session; after the last response the connection must
+        be closed, and nothing of the node left in the pool.
+        """
         await self.play("send c1 PUT 1 a\nexpect n1 PUT 1 a\nsend n1 200 one\nexpect c1 200 one\nwait 20")
-        with unittest.mock.patch.object(HttpUpstreamClient, "_by_session", side_effect=AssertionError):
+        with unittest.mock.patch.object(
+            HttpUpstreamClient, "_attempt_by_session", side_effect=AssertionError
+        ):
             await self.play("""
                 send c1 PUT 2 b id=00000000000000aa
                 expect n1 PUT 2 b Request-Id=00000000000000aa Content-Length=1
@@ -243,14 +333,19 @@
             (0, {}, {}, {}),
         )
 
-    async def test_a_kept_connection_is_used_again(self) -> None:
+    async def test_an_idle_connection_is_reused(self) -> None:
+        """Three requests follow each other; all must use one connection to the node."""
         for number in range(3):
             await self.play(
                 f"send c1 GET {number}\nexpect n1 GET {number}\nsend n1 200\nexpect c1 200\nwait 20"
             )
         self.assertEqual(len((await self.party("n1")).writers), 1)
 
-    async def test_a_kept_connection_that_the_node_closed_costs_no_request(self) -> None:
+    async def test_an_idle_connection_that_its_node_closed_fails_no_request(self) -> None:
+        """A node closes an idle connection.
+
+        The next write must go to a new connection, and be served.
+        """
         await self.play("""
             send c1 GET 1
             expect n1 GET 1
@@ -264,22 +359,32 @@
             expect c1 200
         """)
 
-    async def test_a_body_that_never_ends_is_given_up(self) -> None:
-        with unittest.mock.patch("shaletiller.net.http_server.WHOLE_MS", 100.0):
+    async def test_a_body_that_never_completes_is_rejected(self) -> None:
+        """A client sends a part of its body and no more.
+
+        It must get a 408, and no node the request.
+        """
+        with unittest.mock.patch("shaletiller.net.connection_limits.REQUEST_TIMEOUT_MS", 100.0):
             await self.play(r"""
                 send c1 raw 'PUT /api?key=5 HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf'
                 expect c1 408
                 expect n1 nothing
             """)
 
-    async def test_the_module_may_ask_for_the_whole_list(self) -> None:
+    async def test_the_scheduler_may_request_the_full_list(self) -> None:
+        """The scheduler requests the full list; the call must be made beside the watch."""
         self.gateway.engine.fetch_list()
         await self.play("wait 50")
         node = await self.party("d")
         calls = [node.came.get_nowait()[0] for _ in range(2)]
         self.assertIn("GET /discovery/hosts HTTP/1.1", calls)
 
-    async def test_the_lag_of_a_node_is_not_what_this_process_is_late_by(self) -> None:
+    async def test_a_nodes_latency_excludes_the_delays_of_this_process(self) -> None:
+        """This process is late before and after an attempt.
+
+        The latency that the scheduler learns must be the node's alone, or a busy gateway would shed load for
+        no reason.
+        """
         seen, attempt = self.seen(), self.gateway._http.attempt
 
         async def late(*values: Any) -> Any:
@@ -293,7 +398,8 @@
         (done,) = (event for event in seen if isinstance(event, AttemptEnded))
         self.assertTrue(25 < done.latency_ms < 150, done.latency_ms)
 
-    async def test_load_and_use_reach_the_module(self) -> None:
+    async def test_load_reports_reach_the_scheduler(self) -> None:
+        """A node reports its load and the volume's load with a response; both must reach the scheduler."""
         seen = self.seen()
         await self.play("""
             send c1 GET 1
@@ -305,34 +411,45 @@
         self.assertEqual((done.used, done.report), (1.0, (("inflight", 7.0),)))
 
 
-class Idle(Scenario):
+class IdleNodeConnections(Scenario):
     settings: ClassVar = {**SETTINGS, "limits": {**SETTINGS["limits"], "conn-idle-ms": 1000.0}}
 
-    async def test_an_idle_node_connection_is_not_used_past_its_limit(self) -> None:
+    async def test_an_idle_node_connection_is_not_used_past_its_timeout(self) -> None:
+        """A connection has been idle for longer than its part of the node's timeout.
+
+        The next request must use a new one: the node might close the old one under it.
+        """
         await self.play(
             "send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200\n"
             "wait 850\nsend c1 GET 2\nexpect n1 GET 2\nsend n1 200\nexpect c1 200"
         )
         self.assertEqual(len((await self.party("n1")).writers), 2)
 
-    async def test_an_idle_node_connection_closes_before_the_nodes_limit(self) -> None:
-        # Used a second time between two sweeps of aiohttp's pool, it outlives the first of them.
+    async def test_an_idle_node_connection_is_closed_before_the_nodes_timeout(self) -> None:
+        """A connection is reused between two sweeps of aiohttp's pool, so it outlives the first of them.
+
+        It must still be closed before the node would close it.
+        """
         await self.play("send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200\nwait 300")
         started = time.monotonic()
         await self.play("send c1 GET 2\nexpect n1 GET 2\nsend n1 200\nexpect c1 200\nexpect n1 closed")
         self.assertLess(time.monotonic() - started, 1.0)  # the node would close it by then
 
 
-class ShortWay(Scenario):
-    async def test_a_request_that_is_here_whole_needs_no_task_and_its_connection_goes_on(self) -> None:
+class FastPath(Scenario):
+    async def test_a_complete_request_takes_the_fast_path(self) -> None:
+        """A client sends complete requests that are served, rejected, or pending as it leaves.
+
+        aiohttp's handler must never run for them.
+        """
         long = unittest.mock.AsyncMock()
-        with unittest.mock.patch.object(self.gateway.front._door._server, "request_handler", long):
+        with unittest.mock.patch.object(self.gateway.front._listener._server, "request_handler", long):
             await self.play("""
                 send c1 PUT 5 hello
                 expect n1 PUT 5 hello
                 send n1 200 done
                 expect c1 200 done
-                send c1 GET 1 shard=9 timeout=50   # refused at once: no node holds it
+                send c1 GET 1 shard=9 timeout=50   # rejected: no node has the shard
                 expect c1 503
                 send c1 GET 6
                 expect n1 GET 6
@@ -342,7 +459,11 @@
             """)
         long.assert_not_called()
 
-    async def test_what_is_turned_down_or_comes_behind_goes_the_long_way(self) -> None:
+    async def test_pipelined_and_malformed_requests_take_the_slow_path(self) -> None:
+        """A client pipelines requests behind a pending one, then sends malformed heads.
+
+        The responses must come in the order of the requests, and the malformed ones must get a 400.
+        """
         head = (
             f"/api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\nTier: basic\r\nRequest-Timeout-Ms: 900\r\n"
             f"IO-Info: volume={VOLUME},units=2,shard=1,hosts=1\r\n"
@@ -365,61 +486,80 @@
         self.parties["c2"].writer.write(f"{get}Request-Id: 4a\r\nContent-Length: 3\r\n\r\nabc".encode())
         await self.play("expect c2 400\nexpect c2 end\nexpect n1 nothing")
 
-    async def test_what_comes_behind_a_connections_first_request_waits_for_its_answer(self) -> None:
-        asked: list[str] = []
-        door, patch = self.gateway.front._door, unittest.mock.patch.object
-        self.enterContext(patch(door, "shortcut", lambda _, head, body: not asked.append(head.path)))
-        long = self.enterContext(patch(door._server, "request_handler", unittest.mock.AsyncMock()))
+    async def test_a_request_pipelined_behind_a_first_one_waits_for_its_response(self) -> None:
+        """A second request arrives before aiohttp's task has run at all, and the first takes the fast path.
+
+        The second must not be handled before the first has its response: clients match them by order.
+        """
+        offered: list[str] = []
+        listener, patch = self.gateway.front._listener, unittest.mock.patch.object
+        self.enterContext(patch(listener, "fast_path", lambda _, head, body: not offered.append(head.path)))
+        long = self.enterContext(patch(listener._server, "request_handler", unittest.mock.AsyncMock()))
         transport = unittest.mock.Mock(spec=asyncio.Transport)
         transport.get_write_buffer_size.return_value = 0
         transport.is_closing.return_value = False
         transport.get_extra_info.return_value = None
-        connection = door._server()
+        connection = listener._server()
         connection.connection_made(transport)
         for number in (1, 2):  # both before aiohttp's task has run at all
             connection.data_received(f"GET /{number} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         await asyncio.sleep(0.05)
         long.assert_not_called()
-        connection.reply(b"", False)
+        connection.send_response(b"", False)
         await asyncio.sleep(0.05)
         long.assert_called_once()
         connection.connection_lost(None)
-        self.assertEqual(asked, ["/1"])
+        self.assertEqual(offered, ["/1"])
+
+    async def test_a_client_that_leaves_cancels_its_attempt_on_any_connection(self) -> None:
+        """A client leaves while its request is at a node, on a reused connection and on a new one.
 
-    async def test_a_client_that_goes_takes_its_attempt_with_it(self) -> None:
+        The attempt must be cancelled long before its deadline.
+        """
         await self.play("send c2 GET 1\nexpect n1 GET 1\nsend n1 200 one\nexpect c2 200 one\nwait 20")
-        for client in ("c1", "c2"):  # on a kept connection, then on a new one
+        for client in ("c1", "c2"):  # on a reused connection, then on a new one
             await self.play(f"send {client} GET 1\nexpect n1 GET 1")
             started = time.monotonic()
             await self.play(f"close {client}\nexpect n1 closed")
             self.assertLess(time.monotonic() - started, 0.5)  # long before its time is up
 
 
-class Bounds(Scenario):
+class ConnectionLimits(Scenario):
     sockets = 64
 
     async def fill(self, lines: str) -> None:
-        # Clients that heed no advice to leave.
-        self.enterContext(unittest.mock.patch("shaletiller.net.listener.CROWDED_PART", 2.0))
+        # These clients ignore that they are told to leave.
+        self.enterContext(unittest.mock.patch("shaletiller.net.connection_limits.CROWDED_PART", 2.0))
         for number in range(self.gateway.config.front_sockets):
             await self.play(lines.replace("N", str(number)))
 
-    async def test_a_newcomer_waits_for_a_place_and_the_longest_idle_gives_way(self) -> None:
-        with unittest.mock.patch.dict(USELESS_MS, {State.IDLE: 400.0}):
-            await self.play("send c0 GET 7 timeout=5000\nexpect n1 GET 7")  # its answer is owed: it stays
+    async def test_the_longest_idle_connection_is_evicted_for_a_newcomer(self) -> None:
+        """All places are taken by idle clients and one whose response is pending.
+
+        Newcomers must be served, the connections idle the longest evicted, and the pending response
+        delivered.
+        """
+        with unittest.mock.patch.dict(EVICTABLE_AFTER_MS, {ConnectionState.IDLE: 400.0}):
+            await self.play(
+                "send c0 GET 7 timeout=5000\nexpect n1 GET 7"
+            )  # its response is pending: it stays
             await self.fill("send cN1 GET up\nexpect cN1 200")
             await self.play(
                 "send c999 GET up\nexpect c999 200\nexpect c01 end\n"
                 "send c21 GET up\nexpect c21 200\nsend n1 200 late\nexpect c0 200 late"
             )
 
-    async def test_in_a_crowd_clients_leave_with_their_answers(self) -> None:
+    async def test_in_a_crowd_clients_are_told_to_leave_with_their_responses(self) -> None:
+        """Connections reach three quarters of the limit.
+
+        From then on each response must close its connection, or idle clients would keep newcomers out.
+        """
         await self.play("send c99 GET 1 shard=9 timeout=50\nexpect c99 503\nclose c99")
         crowd = self.gateway.config.front_sockets * 3 // 4
-        self.assertGreater(crowd, self.sockets / 3)  # so many may wait for answers on a busy day
+        self.assertGreater(crowd, self.sockets / 3)  # so many may wait for responses
         for number in range(crowd - 1):
             await self.play(f"send c{number} GET up\nexpect c{number} 200")
-        self.assertEqual(self.gateway.front.clients, crowd - 1)
+        self.assertEqual(self.gateway.front.connections, crowd - 1)
         await self.play(
             "send c97 raw ''\n"
             "send c98 GET 1 shard=9 timeout=50\nexpect c98 503 Connection=close\nexpect c98 end\n"
@@ -427,10 +567,15 @@
             "send c96 GET up\nexpect c96 200 Connection=close"
         )
 
-    async def test_newcomers_that_cannot_be_taken_in_soon_are_refused_at_once(self) -> None:
-        for name in ("OVERLOAD_MS", "SOON_MS"):
-            self.enterContext(unittest.mock.patch(f"shaletiller.net.listener.{name}", 0.0))
-        self.enterContext(unittest.mock.patch("shaletiller.net.listener.BEGUN", 1))
+    async def test_connections_that_queued_for_too_long_are_rejected_unread(self) -> None:
+        """More connections arrive than can be started.
+
+        Those too old must be rejected with a 503 and a Retry-After without being parsed; health checks are
+        still answered.
+        """
+        for name in ("OVERLOAD_AFTER_MS", "MAX_QUEUE_AGE_MS"):
+            self.enterContext(unittest.mock.patch(f"shaletiller.net.connection_limits.{name}", 0.0))
+        self.enterContext(unittest.mock.patch("shaletiller.net.connection_limits.STARTS_PER_TURN", 1))
         clients = [socket.create_connection(self.gateway.front.address) for _ in range(8)]
         for each in clients[:-3]:
             each.sendall(b"PUT /api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\n\r\n")  # would be a 400
@@ -449,23 +594,35 @@
         self.assertGreaterEqual(len(refused), 3)
         self.assertEqual(set(refused), {("503", "close", "0.100")})
 
-    async def test_silent_newcomers_keep_no_one_out(self) -> None:
+    async def test_silent_connections_keep_no_newcomer_out(self) -> None:
+        """Silent connections take every place.
+
+        A newcomer must be served within a second.
+        """
         await self.fill("send cN raw ''")
         started = time.monotonic()
         await self.play("send c999 GET up\nexpect c999 200")
         self.assertLess(time.monotonic() - started, 1.0)
 
-    async def test_what_the_kernel_still_holds_is_not_closed_upon(self) -> None:
-        with unittest.mock.patch.dict(USELESS_MS, {State.IDLE: 0.0}):
+    async def test_a_connection_with_unread_input_is_not_evicted(self) -> None:
+        """A connection that could be evicted has a request that is still unread.
+
+        Another one must be evicted instead: a close would reset the request's connection.
+        """
+        with unittest.mock.patch.dict(EVICTABLE_AFTER_MS, {ConnectionState.IDLE: 0.0}):
             await self.fill("send cN GET up\nexpect cN 200")
             client = await self.party("c0")
-            client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")  # unread as yet
-            door = self.gateway.front._door
-            self.assertTrue(door._make_room())
+            client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")  # still unread
+            listener = self.gateway.front._listener
+            self.assertTrue(listener._free_place())
             await self.play("expect c0 200\nexpect c1 end")
 
-    async def test_a_nodes_connections_are_bounded(self) -> None:
-        most = self.gateway._http.most_a_node
+    async def test_the_connections_to_one_node_are_bounded(self) -> None:
+        """More requests are in progress than a node may have connections.
+
+        The rest must wait for one, and no more connections be opened.
+        """
+        most = self.gateway._http.max_per_node
         for number in range(most + 2):
             await self.play(f"send c{number} GET {number}")
         await self.play("wait 100")
@@ -473,14 +630,18 @@
         self.assertEqual((len(node.writers), node.came.qsize()), (most, most))
         await self.play("expect n1 GET 0\nsend n1 200\nexpect c0 200\nwait 50")
         self.assertEqual(node.came.qsize(), most)
-        self.assertLessEqual(len(node.writers), most + 1)  # one may still be settling after its answer
+        self.assertLessEqual(len(node.writers), most + 1)  # one may still be settling after its response
 
 
-class Rude(Scenario):
-    """Clients that must be told off or cut off, and do no one else harm."""
+class MisbehavingClients(Scenario):
+    """Clients that misbehave: each gets its error or its end, and no one else is harmed."""
 
     async def test_a_silent_client_is_closed_and_a_slow_one_gets_an_error(self) -> None:
-        with unittest.mock.patch("shaletiller.net.listener.WHOLE_MS", 150.0):
+        """One client sends nothing, another half a head.
+
+        The first must be closed, and the second must get a 408.
+        """
+        with unittest.mock.patch("shaletiller.net.connection_limits.REQUEST_TIMEOUT_MS", 150.0):
             await self.play(r"""
                 send c1 raw ''
                 send c2 raw 'GET /api?key=5 HTTP/1.1\r\nHo'
@@ -490,14 +651,23 @@
             """)
 
     async def test_an_error_reaches_a_client_that_is_still_sending(self) -> None:
+        """A client sends a body that is far too large.
+
+        It must read the 413 although it is still sending.
+        """
         head = r"PUT /api?key=5 HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"
         await self.play(f"send c1 raw '{head}'")
         (await self.party("c1")).writer.write(bytes(60_000_000))
         await self.play("expect c1 413\nexpect c1 end\nexpect n1 nothing")
 
-    async def test_heads_that_lie_reach_no_node(self) -> None:
+    async def test_ambiguous_heads_reach_no_node(self) -> None:
+        """Clients send heads that two readers could understand differently, or with values out of range.
+
+        Each must get a 400 and its connection must end; the request in progress with the same id is not
+        affected.
+        """
         await self.play("send c0 GET 1 id=taken timeout=5000\nexpect n1 GET 1")
-        for number, words in enumerate(
+        for number, request in enumerate(
             (
                 "PUT 1 abc Transfer-Encoding=chunked",
                 "PUT 1 a Content-Length=-3",
@@ -520,51 +690,68 @@
             ),
             1,
         ):
-            with self.subTest(words):
-                await self.play(f"send c{number} {words}\nexpect c{number} 400\nexpect c{number} end")
+            with self.subTest(request):
+                await self.play(f"send c{number} {request}\nexpect c{number} 400\nexpect c{number} end")
         await self.play("expect n1 nothing\nsend n1 200 own\nexpect c0 200 own")
 
-    async def test_an_endless_head_is_cut_off_at_a_bound(self) -> None:
+    async def test_an_endless_head_is_rejected_at_a_bound(self) -> None:
+        """Clients send a head that never ends.
+
+        Each must get a 400 at the bound of the head's size, or it would fill the memory.
+        """
         for number, raw in enumerate((b"x" * 100_000, b"GET /up HTTP/1.1\r\n" + b"a: b\r\n" * 50_000)):
             await self.play(f"send c{number} raw ''")
             (await self.party(f"c{number}")).writer.write(raw)
             await self.play(f"expect c{number} 400\nexpect c{number} end")
 
-    async def test_requests_sent_at_once_are_answered_in_turn_and_by_their_own_deadlines(self) -> None:
+    async def test_pipelined_requests_are_answered_in_order_by_their_own_deadlines(self) -> None:
+        """A client pipelines two requests, and the first takes most of the second's time.
+
+        The second must be rejected by its own deadline, counted from its arrival.
+        """
         lines = f"Tier: basic\\r\\nRequest-Class: read\\r\\nIO-Info: volume={VOLUME},units=2,shard=1,hosts=1"
-        asks = [
+        requests = [
             f"GET /api?key={at:016x} HTTP/1.1\\r\\nHost: a\\r\\nRequest-Id: p{at}\\r\\n"
             f"Request-Timeout-Ms: 400\\r\\n{lines}\\r\\n\\r\\n"
             for at in (1, 2)
         ]
         await self.play(
-            f"send c1 raw '{''.join(asks)}'\nexpect n1 GET 1\nwait 150\nsend n1 200 one\n"
+            f"send c1 raw '{''.join(requests)}'\nexpect n1 GET 1\nwait 150\nsend n1 200 one\n"
             "expect c1 200 one\nexpect n1 GET 2"
         )
         started = time.monotonic()
         await self.play("expect c1 503")
         self.assertLess(time.monotonic() - started, 0.3)
 
-    async def test_a_connection_whose_client_has_left_is_not_begun(self) -> None:
-        door, pairs = self.gateway.front._door, [socket.socketpair() for _ in range(3)]
+    async def test_a_connection_whose_client_has_left_is_not_started(self) -> None:
+        """Clients leave while their connections are in the accept queue.
+
+        These must be closed without being started.
+        """
+        listener, pairs = self.gateway.front._listener, [socket.socketpair() for _ in range(3)]
         pairs[0][0].sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-        pairs[0][0].close()  # what it asked is of no use to it any more
+        pairs[0][0].close()  # it will not read a response any more
         pairs[1][0].close()
-        door._fresh.extend((0.0, pair[1]) for pair in pairs)
-        door._begin()
-        self.assertEqual((len(door._taking), [pair[1].fileno() for pair in pairs[:2]]), (1, [-1, -1]))
+        for pair in pairs:
+            listener.accept_queue.push(AcceptedSocket(0.0, pair[1]))
+        listener._start_connections()
+        self.assertEqual((len(listener._tasks), [pair[1].fileno() for pair in pairs[:2]]), (1, [-1, -1]))
         pairs[2][0].close()
 
 
-class Spoilt(Scenario):
-    """Nodes whose answers are more, less or other than they should be."""
+class CorruptResponses(Scenario):
+    """Nodes whose responses are longer, shorter or other than they should be."""
 
     async def answer(self, raw: bytes, then: str, ask: str = "PUT 1 a") -> None:
         await self.play(f"send c1 {ask}\nexpect n1 {ask}")
         (await self.party("n1")).current.write(raw)
         await self.play(then)
 
-    async def test_what_comes_behind_an_answer_is_no_answer_to_the_next(self) -> None:
+    async def test_bytes_behind_a_response_are_no_response_to_the_next_request(self) -> None:
+        """A node sends more behind its response: a second copy, or noise.
+
+        The next request must go to another connection and get its own response.
+        """
         ok = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
         for number, behind in enumerate((ok, b"\0noise", ok + ok)):
             with self.subTest(behind):
@@ -577,22 +764,36 @@
                 )
                 self.assertIsNot((await self.party("n1")).current, old)
 
-    async def test_noise_in_one_piece_with_an_answer_costs_only_the_connection(self) -> None:
+    async def test_noise_in_one_segment_with_a_response_costs_only_the_connection(self) -> None:
+        """A node sends a response and noise in one segment.
+
+        The response must be delivered and the connection closed; but text behind a text body may belong to
+        it, and then the response must fail.
+        """
         ok = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 5\r\n\r\nfirst"
         await self.answer(ok + b"\xff\0noise", "expect c1 200 first\nexpect n1 closed")
         await self.answer(ok + ok, "expect c1 200 first\nexpect n1 closed")
-        # This may be the rest of a body whose length is wrong.
+        # This may be the end of a body whose Content-Length is wrong.
         await self.answer(ok + b" and more", "expect c1 502\nexpect n1 closed\nexpect n1 nothing")
 
     @unittest.mock.patch("shaletiller.net.pool.SETTLE_S", 1.0)
-    async def test_a_connection_is_left_alone_right_after_its_answer(self) -> None:
+    async def test_a_connection_settles_after_its_response(self) -> None:
+        """Two requests follow each other within the settling time.
+
+        The second must use a new connection: a second copy of the first response might still arrive on the
+        old one.
+        """
         await self.play(
             "send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200\n"
             "send c1 GET 2\nexpect n1 GET 2\nsend n1 200\nexpect c1 200"
         )
         self.assertEqual(len((await self.party("n1")).writers), 2)
 
-    async def test_a_spoilt_answer_is_a_failed_attempt_and_ends_its_connection(self) -> None:
+    async def test_a_corrupt_response_is_a_failed_attempt_and_ends_its_connection(self) -> None:
+        """A node sends responses that are corrupt in many ways.
+
+        Each must be one failed attempt of a write, with a 502, and its connection must be closed.
+        """
         for raw in (
             b"\0\1\2 noise\r\n\r\n",
             b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + bytes(99),
@@ -608,7 +809,11 @@
             with self.subTest(raw[:60]):
                 await self.answer(raw, "expect c1 502\nexpect n1 closed\nexpect n1 nothing")
 
-    async def test_answers_with_more_in_front_or_in_their_figures_are_good(self) -> None:
+    async def test_informational_responses_and_malformed_reports_are_tolerated(self) -> None:
+        """A node sends informational responses first, or load reports that are malformed.
+
+        The response must be delivered, and a malformed report must count as none.
+        """
         early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: a\r\n\r\n" * 3
         ok = b"HTTP/1.1 200 OK\r\n%s\r\nContent-Length: 2\r\n\r\nok"
         await self.answer(early + ok % b"a: b", "expect c1 200 ok")
@@ -629,49 +834,68 @@
                 self.assertEqual(done, [(0.0, ())])
 
 
-class Silence(Scenario):
-    async def test_a_silent_discovery_is_asked_again_and_the_list_in_hand_serves(self) -> None:
+class DiscoveryFailures(Scenario):
+    async def test_a_silent_discovery_is_polled_again_and_the_list_in_use_serves(self) -> None:
+        """Discovery falls silent.
+
+        The watch must be repeated, and requests served by the list in use.
+        """
         short = aiohttp.ClientTimeout(total=0.1)
         agent = await self.party("d")
         await agent.next()
-        with unittest.mock.patch("shaletiller.net.discovery.TIMEOUT", short):
+        with unittest.mock.patch("shaletiller.net.discovery.WATCH_TIMEOUT", short):
             self.gateway.engine.spawn(self.gateway.discovery.run())
             self.assertIn("since=1", (await agent.next())[0])
             self.assertIn("since=1", (await agent.next())[0])
         await self.play("send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200")
 
-    async def test_an_overbooked_discovery_is_asked_again_later_and_later(self) -> None:
+    async def test_an_overloaded_discovery_is_polled_with_backoff(self) -> None:
+        """Discovery rejects each call with a 503.
+
+        The calls must become rarer, with a random delay up to the bound, or many gateways would keep it
+        overloaded.
+        """
         agent, calls = await self.party("d"), []
 
-        async def overbooked(party: Server, found: tuple[Any, ...]) -> None:
+        async def overloaded(party: Server, found: tuple[Any, ...]) -> None:
             calls.append(time.monotonic())
             found[3].write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
             found[3].close()
 
         await agent.next()
-        agent.script = overbooked
+        agent.script = overloaded
         self.gateway.engine.spawn(self.gateway.discovery.run())
         await asyncio.sleep(1.0)
-        self.assertLess(len(calls), 12)  # at 50 ms each, about 20 in a second
+        self.assertLess(len(calls), 12)  # without backoff, at 50 ms each, about 20 in a second
         self.assertGreater(len(calls), 1)
-        waits = [self.gateway.discovery.again_ms(failed) for failed in range(12) for _ in range(50)]
+        waits = [
+            self.gateway.discovery.backoff.delay_ms(failed, MAX_BACKOFF_MS)
+            for failed in range(12)
+            for _ in range(50)
+        ]
         self.assertLessEqual(max(waits), 2000.0)
         self.assertGreater(max(waits), 1000.0)
 
 
-class Reload(Scenario):
+class DiscoveryReload(Scenario):
     async def environment(self) -> dict[str, str]:
-        return {"EDGE_DISCOVERY": f"127.0.0.1:{self.parties['d'].port}"}  # wins at the start, and only then
+        return {
+            "EDGE_DISCOVERY": f"127.0.0.1:{self.parties['d'].port}"
+        }  # overrides the file at the start, and only then
 
-    async def test_a_new_configuration_moves_the_watch_at_once_and_loses_nothing(self) -> None:
+    async def test_a_reload_moves_the_watch_at_once_and_loses_no_request(self) -> None:
+        """A reload names another discovery while a request is in progress.
+
+        The watch must move at once, beginning with the full list, and the request must be answered.
+        """
         old, new, third = [await self.party(name) for name in ("d", "d2", "d3")]
         self.assertIn("since=1&", (await old.next())[0])
         await self.play("send c1 GET 1 timeout=5000\nexpect n1 GET 1\nreload d2\nreload d2")
         first, _, _, new.current, _ = await asyncio.wait_for(new.next(), 0.2)
         self.assertEqual(first, "GET /discovery/hosts HTTP/1.1")  # its versions may be others
         rows = [self.row("n1", "active"), self.row("n2", "left")]
-        whole = json.dumps({"version": 0, "full": True, "servers": rows})
-        await Server.send(new, "200", whole)
+        full_list = json.dumps({"version": 0, "full": True, "servers": rows})
+        await Server.send(new, "200", full_list)
         self.assertIn("since=0&", (await new.next())[0])
         await self.play(
             "send n1 200 held\nexpect c1 200 held\nsend c2 PUT 2 x shard=2 timeout=200\n"
@@ -680,8 +904,12 @@
         await asyncio.wait_for(third.next(), 0.2)
         self.assertEqual((old.came.qsize(), new.came.qsize()), (0, 0))
 
-    async def test_an_answer_of_the_address_before_is_left_out(self) -> None:
-        self.gateway.engine.fetch_list()  # beside the watch, and not ended with it
+    async def test_a_response_from_the_previous_address_is_ignored(self) -> None:
+        """A full list is requested, discovery moves, and then the old address answers.
+
+        That list may be older than the new one's, and must be ignored.
+        """
+        self.gateway.engine.fetch_list()  # beside the watch, and not cancelled with it
         agent = await self.party("d")
         calls = [await agent.next() for _ in range(2)]
         agent.current = next(call[3] for call in calls if "since" not in call[0])
@@ -690,17 +918,21 @@
         await self.play("wait 50\nsend c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200")
 
 
-class Unknown(Scenario):
+class NoKnownNode(Scenario):
     known = False
 
     async def test_not_ready_until_a_node_is_known(self) -> None:
+        """A gateway starts without any list.
+
+        `GET /up` must be 503 until discovery names a node.
+        """
         await self.play(
             "send c1 GET up\nexpect c1 503\nsend d n1=active\nwait 60\nsend c1 GET up\nexpect c1 200"
         )
 
 
-class Keyed(Scenario):
-    """A class whose writes bear a key: without it no node could tell a repeat from new work."""
+class IdempotencyKeys(Scenario):
+    """A class whose writes carry an idempotency key, by which nodes recognise a retry."""
 
     settings: ClassVar[dict[str, Any]] = {
         **SETTINGS,
@@ -715,8 +947,9 @@
         ],
     }
 
-    async def test_the_key_passes_on_new_and_kept_connections_and_with_a_large_body(self) -> None:
-        for body in ("new", "kept", "x" * 20000):
+    async def test_the_key_is_forwarded_on_new_and_reused_connections_and_with_a_large_body(self) -> None:
+        """Writes with a key take each path to a node; the key must reach it on all of them."""
+        for body in ("new", "reused", "x" * 20000):
             await self.play(f"""
                 send c1 PUT 5 {body} Idempotency-Key=k-{len(body)}
                 expect n1 PUT 5 {body} Idempotency-Key=k-{len(body)}
@@ -724,7 +957,11 @@
                 expect c1 200 done
             """)
 
-    async def test_a_repeat_of_what_may_have_run_bears_the_same_key(self) -> None:
+    async def test_a_retry_of_what_may_have_run_carries_the_same_key(self) -> None:
+        """A connection breaks under a write with a key.
+
+        The retry must carry the same key and id, or the node would run the write twice.
+        """
         await self.play("""
             send c1 PUT 5 once Idempotency-Key=7f3a id=9b1f03aa5c7e2d41
             expect n1 PUT 5 once Idempotency-Key=7f3a
@@ -734,7 +971,11 @@
             expect c1 200 done
         """)
 
-    async def test_a_keyed_write_without_one_sound_key_reaches_no_node(self) -> None:
+    async def test_a_write_without_exactly_one_valid_key_reaches_no_node(self) -> None:
+        """Writes of a class that requires a key come without one, with an empty one, or with two.
+
+        Each must get a 400, and no node any of them.
+        """
         await self.play("""
             send c1 PUT 5 once
             expect c1 400
--- a/tests/registry/test_nodes.py
+++ b/tests/registry/test_nodes.py
@@ -1,4 +1,4 @@
-"""The node list: what each source told, what others' lists say of departures, lists not to be believed."""
+"""The endpoint registry: sources, departures reported by other gateways, lists that remove too much."""
 
 from __future__ import annotations
 
@@ -16,167 +16,279 @@
 from shaletiller.fleet.health_gossip import Departs, HealthGossip, Kind
 from shaletiller.lab import discovery_scenarios, scenario
 from shaletiller.messages.endpoints import EndpointState, UpdateKind
-from shaletiller.net.discovery import Discovery, EndpointListError
-from shaletiller.registry.endpoint_registry import DEPARTED_MS, EndpointRegistry, Source, Taken
+from shaletiller.net.discovery import DiscoveryClient
+from shaletiller.net.errors import EndpointListError
+from shaletiller.registry.endpoint_registry import (
+    DEPARTURE_TTL_MS,
+    EndpointRegistry,
+    RegistryChange,
+    Source,
+)
 from tests.support.scheduler_host import entry
 
 READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE
 
 
-def place(
+def endpoint(
     node: str, state: EndpointState = READY, incarnation: float = 1_000.0, address: str = ""
 ) -> Endpoint:
     return Endpoint(entry(node, started_ms=incarnation, state=state), address or f"{node}:1", None)  # type: ignore[arg-type]
 
 
-class Book(EndpointRegistry):
-    """A book whose news for others the test keeps."""
+class RecordingRegistry(EndpointRegistry):
+    """A registry that records the departures it announces to other gateways."""
 
     def __init__(self) -> None:
-        self.said: list[tuple[str, int, int, EndpointState]] = []
-        super().__init__(lambda *words: self.said.append(words))
+        self.announced: list[tuple[str, int, int, EndpointState]] = []
+        super().__init__(lambda *report: self.announced.append(report))
+
+    def apply_full(
+        self, version: int, *endpoints: Endpoint, source: Source = Source.DISCOVERY
+    ) -> RegistryChange:
+        return self.apply_list(endpoints, version, True, source, 0.0)
 
-    def whole(self, version: int, *places: Endpoint, source: Source = Source.DISCOVERY) -> Taken:
-        return self.take(places, version, True, source, 0.0)
+    def apply_changes(self, version: int, *endpoints: Endpoint, now_ms: float = 0.0) -> RegistryChange:
+        return self.apply_list(endpoints, version, False, Source.DISCOVERY, now_ms)
 
-    def change(self, version: int, *places: Endpoint, now_ms: float = 0.0) -> Taken:
-        return self.take(places, version, False, Source.DISCOVERY, now_ms)
+    def peer_reports(
+        self, node: str, version: int, state: EndpointState, incarnation: int = 1_000
+    ) -> RegistryChange:
+        return self.apply_peer_report(node, incarnation, version, state, 0.0)
 
     def states(self) -> dict[str, EndpointState]:
-        return {node: self.seen(found.place).entry.state for node, found in self.entries.items()}
+        return {node: self.with_departure(known.endpoint).entry.state for node, known in self.entries.items()}
+
+
+def endpoints_of(count: int) -> tuple[Endpoint, ...]:
+    return tuple(endpoint(f"n{number}") for number in range(count))
+
+
+def registry_of_four(version: int = 5) -> RecordingRegistry:
+    registry = RecordingRegistry()
+    registry.apply_full(version, *endpoints_of(4))
+    return registry
 
 
-def four(version: int = 5) -> Book:
-    book = Book()
-    book.whole(version, *(place(f"n{number}") for number in range(4)))
-    return book
+def test_a_list_is_passed_on_as_received() -> None:
+    """Discovery sends a full list, then a change in it.
 
+    Both must be passed on as they were received, and the departures in them announced to other gateways.
+    """
+    registry, endpoints = RecordingRegistry(), (endpoint("n1"), endpoint("n2", DRAINING))
+    assert registry.apply_full(3, *endpoints) == RegistryChange(True, endpoints)
+    assert registry.apply_changes(4, endpoint("n1", GONE)).endpoints == (endpoint("n1", GONE),)
+    assert set(registry.entries) == {"n2"}
+    assert registry.version == 4
+    assert registry.announced == [("n2", 1_000, 3, DRAINING), ("n1", 1_000, 4, GONE)]
 
-def test_a_list_is_handed_on_as_it_came() -> None:
-    book, places = Book(), (place("n1"), place("n2", DRAINING))
-    assert book.whole(3, *places) == Taken(True, places)
-    assert book.change(4, place("n1", GONE)).places == (place("n1", GONE),)
-    assert set(book.entries) == {"n2"} and book.version == 4
-    assert book.said == [("n2", 1_000, 3, DRAINING), ("n1", 1_000, 4, GONE)]
 
+# ---- lists that remove too much
 
-# ---- lists not to be believed at once
 
+def test_a_list_that_removes_most_nodes_is_applied_only_when_confirmed() -> None:
+    """Discovery sends an empty list by mistake, then another list with one node.
 
-def test_a_list_that_takes_most_nodes_away_is_taken_only_when_a_second_call_says_the_same() -> None:
-    book = four()
-    assert book.whole(6).held_back and book.held_back == 1
-    assert len(book.entries) == 4 and not book.said
-    assert book.whole(6, place("n0")).held_back  # another one: it is not what the first said
-    assert book.whole(6, place("n0")).whole and set(book.entries) == {"n0"}
+    Each removes most nodes and must be held back, with nothing announced; only a second one in a row that
+    leaves the same nodes is applied.
+    """
+    registry = registry_of_four()
+    assert registry.apply_full(6).held_back
+    assert registry.held_back == 1
+    assert len(registry.entries) == 4
+    assert not registry.announced
+    assert registry.apply_full(6, endpoint("n0")).held_back  # it leaves other nodes than the first
+    assert registry.apply_full(6, endpoint("n0")).full
+    assert set(registry.entries) == {"n0"}
 
 
-def test_a_doubt_ends_with_a_list_that_takes_little_away() -> None:
-    book = Book()
-    book.whole(5, *(place(f"n{number}") for number in range(8)))
-    assert book.whole(6).held_back
-    assert not book.whole(6, *(place(f"n{number}") for number in range(6))).held_back
-    assert book.whole(7).held_back  # the doubt begins anew
+def test_a_plausible_list_ends_the_wait_for_a_confirmation() -> None:
+    """An empty list is held back, then a plausible list comes, then an empty one again.
 
+    The plausible list must end the wait for a confirmation: the second empty list is no confirmation of the
+    first.
+    """
+    registry = RecordingRegistry()
+    registry.apply_full(5, *endpoints_of(8))
+    assert registry.apply_full(6).held_back
+    assert not registry.apply_full(6, *endpoints_of(6)).held_back
+    assert registry.apply_full(7).held_back
 
-def test_the_first_list_of_discovery_may_be_another_than_the_one_given() -> None:
-    book = Book()
-    book.whole(1, *(place(f"old{number}") for number in range(9)), source=Source.GIVEN)
-    assert book.whole(2, place("new")).whole and set(book.entries) == {"new"} and not book.said
 
+def test_the_first_list_of_discovery_may_differ_from_the_configured_one() -> None:
+    """The configured list is out of date: it names none of the nodes that discovery lists.
 
-def test_discovery_asks_again_for_the_whole_list_before_it_empties_the_one_in_hand() -> None:
+    Discovery's first list must replace it at once, and no departure is announced, for the configured list may
+    simply have been wrong.
+    """
+    registry = RecordingRegistry()
+    registry.apply_full(1, *(endpoint(f"old{number}") for number in range(9)), source=Source.CONFIGURED)
+    assert registry.apply_full(2, endpoint("new")).full
+    assert set(registry.entries) == {"new"}
+    assert not registry.announced
+
+
+def test_discovery_requests_the_full_list_again_before_it_empties_the_one_in_use() -> None:
+    """Discovery sends an empty list by mistake.
+
+    The client must keep its list, raise an error, and request a full list next; a second empty list is
+    applied.
+    """
     applied: list[tuple[UpdateKind, int]] = []
     rows = tuple(ServerRow(f"n{number}", f"127.0.0.1:{number + 1}", cell=number) for number in range(4))
-    found = Discovery(
+    discovery = DiscoveryClient(
+        ("127.0.0.1", 1),
+        ServerList(),
+        lambda node: None,  # type: ignore[arg-type,return-value]
+        lambda kind, version, endpoints, max_age_ms: applied.append((kind, len(endpoints))),
+    )
+    discovery._apply(ServerList(5, True, rows), UpdateKind.FULL)
+    with pytest.raises(EndpointListError, match="removes too many nodes"):
+        discovery._apply(ServerList(6, True, ()), UpdateKind.FULL)
+    assert discovery._version is None
+    assert applied == [(UpdateKind.FULL, 4)]
+    assert len(discovery.rows) == 4
+    discovery._apply(ServerList(6, True, ()), UpdateKind.FULL)
+    assert applied[-1] == (UpdateKind.FULL, 0)
+    assert not discovery.rows
+
+
+def test_the_listener_of_the_list_is_notified_of_each_change_and_of_no_list_held_back() -> None:
+    """The list is copied to other gateways whenever it changes.
+
+    The listener must be called with the complete list after each list that is applied, and not for one that
+    is held back: a copy of it would be empty too.
+    """
+    published: list[tuple[int, list[str]]] = []
+    rows = tuple(ServerRow(f"n{number}", f"127.0.0.1:{number + 1}", cell=number) for number in range(5))
+    discovery = DiscoveryClient(
         ("127.0.0.1", 1),
         ServerList(),
         lambda node: None,  # type: ignore[arg-type,return-value]
-        lambda kind, version, places, late_ms: applied.append((kind, len(places))),
+        lambda kind, version, endpoints, max_age_ms: None,
+        on_list_changed=lambda version, rows: published.append((version, sorted(rows))),
     )
-    found._take(ServerList(5, True, rows), UpdateKind.FULL)
-    with pytest.raises(EndpointListError, match="takes most nodes away"):
-        found._take(ServerList(6, True, ()), UpdateKind.FULL)
-    assert found._version is None and applied == [(UpdateKind.FULL, 4)] and len(found.rows) == 4
-    found._take(ServerList(6, True, ()), UpdateKind.FULL)
-    assert applied[-1] == (UpdateKind.FULL, 0) and not found.rows
+    discovery._apply(ServerList(5, True, rows), UpdateKind.FULL)
+    discovery._apply(ServerList(6, False, (ServerRow("n0", "", state="left"),)), UpdateKind.CHANGES)
+    with pytest.raises(EndpointListError, match="removes too many nodes"):
+        discovery._apply(ServerList(7, True, ()), UpdateKind.FULL)
+    assert published == [(5, ["n0", "n1", "n2", "n3", "n4"]), (6, ["n1", "n2", "n3", "n4"])]
+
 
+# ---- older lists
 
-# ---- an older list
 
+def test_a_list_restored_from_a_backup_brings_no_departed_node_back() -> None:
+    """Discovery is restored from a backup, and its list is older than two departures that it has reported.
 
-def test_a_list_put_back_from_a_copy_brings_nobody_back_that_left_or_drained_since() -> None:
-    book = four(5)
-    book.change(6, place("n1", DRAINING))
-    book.change(7, place("n2", GONE))
-    taken = book.whole(4, *(place(f"n{number}") for number in range(4)))
-    assert {each.entry.node: each.entry.state for each in taken.places} == {
+    The node that drains must stay draining and the one that left must stay out, until a newer list version
+    says otherwise.
+    """
+    registry = registry_of_four(5)
+    registry.apply_changes(6, endpoint("n1", DRAINING))
+    registry.apply_changes(7, endpoint("n2", GONE))
+    change = registry.apply_full(4, *endpoints_of(4))
+    assert {each.entry.node: each.entry.state for each in change.endpoints} == {
         "n0": READY,
         "n1": DRAINING,
         "n2": GONE,
         "n3": READY,
     }
-    assert book.version == 4  # from there it goes on
-    assert book.change(8, place("n2")).places[0].entry.state is READY  # a newer version says so
+    assert registry.version == 4  # the next watch continues from there
+    change = registry.apply_changes(8, endpoint("n2"))  # a newer version lists it again
+    assert change.endpoints[0].entry.state is READY
+
+
+def test_an_older_list_does_not_replace_a_newer_incarnation() -> None:
+    """A node has restarted, and then an older list comes that knows only its incarnation before.
+
+    The newer incarnation must stay.
+    """
+    registry = registry_of_four(5)
+    registry.apply_changes(6, endpoint("n1", incarnation=9_000.0))
+    change = registry.apply_full(4, *endpoints_of(4))
+    assert change.endpoints[1].entry.started_ms == 9_000.0
 
 
-def test_an_older_list_does_not_take_a_newer_life_back() -> None:
-    book = four(5)
-    book.change(6, place("n1", incarnation=9_000.0))
-    taken = book.whole(4, *(place(f"n{number}") for number in range(4)))
-    assert taken.places[1].entry.started_ms == 9_000.0
+def test_versions_of_another_discovery_are_not_compared() -> None:
+    """The configuration names another discovery, whose versions are lower.
 
+    Its list must be applied as it is: versions of two discoveries do not compare.
+    """
+    registry = registry_of_four(500)
+    registry.apply_changes(501, endpoint("n1", GONE))
+    registry.reset_versions()
+    listed = (endpoint("n1"), endpoint("n2"))
+    assert registry.apply_full(3, *listed).endpoints == listed
 
-def test_a_discovery_elsewhere_is_compared_with_nothing() -> None:
-    book = four(500)
-    book.change(501, place("n1", GONE))
-    book.moved()
-    assert book.whole(3, place("n1"), place("n2")).places == (place("n1"), place("n2"))
 
+# ---- reports of other gateways
 
-# ---- others' news
 
+def test_a_departure_reported_by_a_peer_applies_at_once() -> None:
+    """Another gateway, with a newer list, reports that a node drains and then that it has left.
 
-def test_a_departure_heard_from_others_takes_a_node_out_at_once() -> None:
-    book = four(5)
-    assert book.news("n1", 1_000, 7, DRAINING, 0.0).places == (place("n1", DRAINING),)
-    assert book.news("n1", 1_000, 8, GONE, 0.0).places[0].entry.state is GONE
-    assert book.whole(6, *(place(f"n{n}") for n in range(4))).places[1].entry.state is GONE  # it is older
-    assert book.whole(9, *(place(f"n{n}") for n in range(4))).places[1].entry.state is READY
-    assert book.news("n1", 1_000, 8, GONE, 0.0) == Taken()  # come late: the own list is newer
+    Both must apply at once and outlast an older list of the own discovery; a newer own list overrides them,
+    and a report that arrives late changes nothing.
+    """
+    registry = registry_of_four(5)
+    assert registry.peer_reports("n1", 7, DRAINING).endpoints == (endpoint("n1", DRAINING),)
+    assert registry.peer_reports("n1", 8, GONE).endpoints[0].entry.state is GONE
+    assert registry.apply_full(6, *endpoints_of(4)).endpoints[1].entry.state is GONE  # the list is older
+    assert registry.apply_full(9, *endpoints_of(4)).endpoints[1].entry.state is READY
+    assert registry.peer_reports("n1", 8, GONE) == RegistryChange()  # late: the own list is newer
 
 
-def test_news_never_add_a_node_nor_a_life() -> None:
-    book = four(5)
-    assert book.news("n9", 1_000, 9, READY, 0.0) == Taken() == book.news("n9", 1_000, 10, DRAINING, 0.0)
-    assert book.news("n1", 2_000, 9, GONE, 0.0) == Taken()  # of a life that the own list has not named
-    assert "n9" not in book.entries and book.states()["n1"] is READY
-    # But once the own list names it, what was heard of that life holds.
-    assert book.change(6, place("n9", incarnation=1_000.0)).places[0].entry.state is DRAINING
+def test_peer_reports_never_add_a_node_or_an_incarnation() -> None:
+    """Other gateways report on a node, and on an incarnation, that the own list has not named.
 
+    Neither may be added by that.  But once the own list names the incarnation, the report on it holds.
+    """
+    registry = registry_of_four(5)
+    assert registry.peer_reports("n9", 9, READY) == RegistryChange()
+    assert registry.peer_reports("n9", 10, DRAINING) == RegistryChange()
+    assert registry.peer_reports("n1", 9, GONE, incarnation=2_000) == RegistryChange()
+    assert "n9" not in registry.entries
+    assert registry.states()["n1"] is READY
+    change = registry.apply_changes(6, endpoint("n9", incarnation=1_000.0))
+    assert change.endpoints[0].entry.state is DRAINING
 
-def test_news_undo_what_news_have_done() -> None:
-    book = four(5)
-    book.news("n1", 1_000, 7, DRAINING, 0.0)
-    assert book.news("n1", 1_000, 8, READY, 0.0).places == (place("n1"),)
-    assert book.news("n2", 1_000, 8, READY, 0.0) == Taken()
 
+def test_a_peer_report_can_take_an_earlier_one_back() -> None:
+    """Another gateway reports that a node drains, and then that it is ready after all.
 
-def test_what_was_heard_is_forgotten_after_a_while() -> None:
-    book = four(5)
-    book.news("n1", 1_000, 7, GONE, 0.0)
-    assert book.change(6, place("n1"), now_ms=DEPARTED_MS - 1.0).places[0].entry.state is GONE
-    assert book.change(6, place("n1"), now_ms=DEPARTED_MS + 1.0).places[0].entry.state is READY
+    The node must be ready again; the same report on a node that was never reported changes nothing.
+    """
+    registry = registry_of_four(5)
+    registry.peer_reports("n1", 7, DRAINING)
+    assert registry.peer_reports("n1", 8, READY).endpoints == (endpoint("n1"),)
+    assert registry.peer_reports("n2", 8, READY) == RegistryChange()
 
 
-def test_what_others_said_is_not_said_again_as_ones_own() -> None:
-    book = four(5)
-    book.news("n1", 1_000, 7, DRAINING, 0.0)
-    book.change(6, place("n1", DRAINING))  # the own list comes to it later, at an older version
-    assert not book.said
+def test_a_peer_report_expires() -> None:
+    """Another gateway has reported a departure, and the own list goes on listing the node.
 
+    The report must hold until its time to live is over, and no longer: it may have been wrong.
+    """
+    registry = registry_of_four(5)
+    registry.peer_reports("n1", 7, GONE)
+    change = registry.apply_changes(6, endpoint("n1"), now_ms=DEPARTURE_TTL_MS - 1.0)
+    assert change.endpoints[0].entry.state is GONE
+    change = registry.apply_changes(6, endpoint("n1"), now_ms=DEPARTURE_TTL_MS + 1.0)
+    assert change.endpoints[0].entry.state is READY
 
-lines = st.tuples(
+
+def test_a_peer_report_is_not_announced_again() -> None:
+    """Another gateway has reported a departure before the own list shows it, at an older version.
+
+    This gateway must not announce it as its own finding, or reports would circulate for good.
+    """
+    registry = registry_of_four(5)
+    registry.peer_reports("n1", 7, DRAINING)
+    registry.apply_changes(6, endpoint("n1", DRAINING))
+    assert not registry.announced
+
+
+reports = st.tuples(
     st.sampled_from(["n1", "n2"]),
     st.sampled_from([1, 2]),
     st.integers(1, 9),
@@ -184,18 +296,22 @@
 )
 
 
-@given(st.lists(lines, max_size=8), st.randoms())
-def test_books_that_heard_the_same_news_in_any_order_agree(words: list[Any], draw: Any) -> None:
+@given(st.lists(reports, max_size=8), st.randoms())
+def test_registries_that_received_the_same_reports_in_any_order_agree(found: list[Any], draw: Any) -> None:
+    """Two gateways receive the same reports in different orders.
+
+    Their registries must agree in the end.
+    """
     # One version of the list says one thing of a node.
-    said = list({(word[0], word[2]): word for word in words}.values())
-    seen = []
+    distinct = list({(report[0], report[2]): report for report in found}.values())
+    states = []
     for _ in range(2):
-        book = Book()
-        book.whole(0, place("n1", incarnation=1.0), place("n2", incarnation=2.0))
-        for word in draw.sample(said, len(said)):
-            book.news(*word, 0.0)
-        seen.append(book.states())
-    assert seen[0] == seen[1]
+        registry = RecordingRegistry()
+        registry.apply_full(0, endpoint("n1", incarnation=1.0), endpoint("n2", incarnation=2.0))
+        for report in draw.sample(distinct, len(distinct)):
+            registry.apply_peer_report(*report, 0.0)
+        states.append(registry.states())
+    assert states[0] == states[1]
 
 
 # ---- on the wire
