--- /dev/null
+++ b/tests/net/test_connection_table.py
@@ -0,0 +1,79 @@
+"""Timeouts and evictions of client connections."""
+
+from __future__ import annotations
+
+import unittest.mock
+
+import pytest
+
+from shaletiller.net import connection_limits as limits
+from shaletiller.net.client_connection import ConnectionState
+from shaletiller.net.connection_table import EVICTABLE_AFTER_MS, ConnectionTable
+
+
+def test_only_states_without_a_pending_response_may_be_evicted() -> None:
+    """An eviction in another state would lose a response, or a request that is being received."""
+    assert set(EVICTABLE_AFTER_MS) == {
+        ConnectionState.NEW,
+        ConnectionState.IDLE,
+        ConnectionState.LINGERING,
+    }
+
+
+def connection(state: ConnectionState, since_ms: float) -> unittest.mock.Mock:
+    return unittest.mock.Mock(state=state, state_since_ms=since_ms, transport=None)
+
+
+def test_the_oldest_evictable_connection_gives_way_and_idle_ones_last() -> None:
+    """The limit is reached by connections in several states.
+
+    A half-closed one must be evicted first, then silent and lingering ones, then idle ones, the oldest first;
+    one whose response is pending must stay.
+    """
+    table = ConnectionTable(8)
+    active = connection(ConnectionState.ACTIVE, 0.0)
+    idle, older_idle = connection(ConnectionState.IDLE, 20.0), connection(ConnectionState.IDLE, 10.0)
+    silent, half_closed = connection(ConnectionState.NEW, 30.0), connection(ConnectionState.IDLE, 40.0)
+    for each in (active, idle, older_idle, silent, half_closed):
+        table.add(each)
+    table.half_close(half_closed)
+    for expected in (half_closed, silent, older_idle, idle):
+        assert table.evict(10_000.0)
+        expected.force_close.assert_called_once_with()
+    assert not table.evict(10_000.0)
+    assert list(table.open) == [active]
+
+
+@pytest.mark.parametrize(
+    ("state", "timeout_ms"),
+    [
+        (ConnectionState.READING_HEAD, limits.REQUEST_TIMEOUT_MS),
+        (ConnectionState.NEW, limits.REQUEST_TIMEOUT_MS),
+        (ConnectionState.IDLE, limits.IDLE_TIMEOUT_MS),
+    ],
+)
+def test_a_connection_without_a_request_times_out(state: ConnectionState, timeout_ms: float) -> None:
+    """A client sends no request, or not all of it; its connection must end at the timeout, and no sooner."""
+    table, each = ConnectionTable(8), connection(state, 0.0)
+    table.add(each)
+    table.time_out(timeout_ms - 1.0, draining=False)
+    each.time_out.assert_not_called()
+    table.time_out(timeout_ms, draining=False)
+    each.time_out.assert_called_once_with()
+
+
+@pytest.mark.parametrize("state", [ConnectionState.ACTIVE, ConnectionState.LINGERING])
+def test_a_connection_with_a_pending_response_never_times_out(state: ConnectionState) -> None:
+    """A response is pending, or an error is being delivered; the connection must stay, whatever its age."""
+    table, each = ConnectionTable(8), connection(state, 0.0)
+    table.add(each)
+    table.time_out(1e9, draining=True)
+    each.time_out.assert_not_called()
+
+
+def test_draining_ends_idle_connections_without_delay() -> None:
+    """A client might keep its idle connection to a draining gateway for any time."""
+    table, idle = ConnectionTable(8), connection(ConnectionState.IDLE, 0.0)
+    table.add(idle)
+    table.time_out(1.0, draining=True)
+    idle.time_out.assert_called_once_with()
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -224,7 +224,7 @@
         await self.served(await self.wire(), number)
 
 
-class IdleConnections(Endings):
+class Resting(Endings):
     """An idle connection, and a request that arrives as it is closed."""
 
     async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_read(self) -> None:
@@ -243,7 +243,7 @@
                 wire.close()
                 await self.retried(2)
 
-    async def test_a_response_that_closes_its_connection_is_complete_whatever_is_sent_behind_it(self) -> None:
+    async def test_an_answer_that_tells_to_leave_is_whole_whatever_comes_behind_it(self) -> None:
         """A draining gateway answers a slow client, which pipelines a request as the gateway closes.
 
         Closed over the unread request, the connection would be reset and the response cut.  The response must
@@ -266,7 +266,7 @@
                 self.gateway.front.set_draining(False)
                 await self.retried(2)
 
-    async def test_a_response_that_closes_a_crowded_connection_is_complete(self) -> None:
+    async def test_in_a_crowd_too_an_answer_is_whole_whatever_comes_behind_it(self) -> None:
         """The gateway is crowded and tells a client to leave, which pipelines a request in that moment.
 
         The response must be complete and the connection must end in order.
@@ -283,7 +283,7 @@
                 wire.close()
                 await until(lambda: not self.gateway.front.connections, "its end")
 
-    async def test_half_closed_connections_are_evicted_for_newcomers(self) -> None:
+    async def test_places_of_those_that_were_shut_are_given_up_when_they_are_wanted(self) -> None:
         """Clients that were sent away keep their half-closed connections, up to the connection limit.
 
         The next client must be served all the same: half-closed connections are evicted first, and do not
@@ -303,7 +303,7 @@
         await self.served(await self.wire(), 1)
         self.assertEqual(self.gateway.front.connections, crowd)
 
-    async def test_a_partial_request_at_the_close_of_an_idle_connection_is_ignored(self) -> None:
+    async def test_half_a_request_at_the_close_is_nothings_loss(self) -> None:
         """A client has sent a part of a request as its idle connection is closed.
 
         The connection must end in order, and its place must become free.
@@ -315,7 +315,7 @@
             await wire.end()
         await until(lambda: not self.gateway.front.connections, "the connection's end")
 
-    async def test_a_client_that_never_closes_a_half_closed_connection_holds_no_place(self) -> None:
+    async def test_a_client_that_rests_on_a_connection_that_was_shut_holds_no_place(self) -> None:
         """A client does not close a connection that the gateway has half-closed.
 
         The gateway must close it alone after a while, or such clients would use up its descriptors.
@@ -327,7 +327,7 @@
         self.assertEqual(self.gateway.front.connections, 1)  # the gateway waits for the client's own close
         await until(lambda: not self.gateway.front.connections, "the end without it")
 
-    async def test_a_request_timeout_response_reaches_a_client_that_is_still_sending(self) -> None:
+    async def test_an_error_for_a_slow_head_reaches_a_client_that_sends_on(self) -> None:
         """A client sends its head too slowly and goes on sending as it gets a 408.
 
         Closed over its bytes, the connection would be reset.  The client must read the 408, and the linger
@@ -344,7 +344,7 @@
             await until(lambda: not self.gateway.front.connections, "the end of the linger")
         await until(lambda: not self.gateway.front._listener._tasks, "the end of its task")
 
-    async def test_an_unread_rejection_reaches_a_client_that_is_still_sending(self) -> None:
+    async def test_a_newcomer_that_is_refused_unread_has_its_answer_though_it_sends_on(self) -> None:
         """Under overload a new connection's request is rejected unread, while its client goes on sending.
 
         The client must read the 503 and an end without a reset, and no node gets the request.
@@ -394,7 +394,7 @@
                 await self.asyncTearDown()
                 await self.asyncSetUp()
 
-    async def test_requests_queued_in_progress_or_half_received_at_shutdown_are_answered(self) -> None:
+    async def test_what_waits_is_out_or_comes_in_parts_is_answered(self) -> None:
         """SIGTERM comes while requests are queued, at nodes, half received, or half answered.
 
         Each must get its response before the process ends: 502 where it may have run, 503 where it certainly
@@ -434,7 +434,7 @@
         await asyncio.wait_for(stop, PATIENCE_S)
         self.assertEqual((self.gateway.engine.table, self.gateway.engine.send.out, self.came), ({}, {}, 0))
 
-    async def test_clients_that_send_until_the_end_lose_no_request(self) -> None:
+    async def test_clients_that_send_up_to_the_end_lose_nothing(self) -> None:
         """Clients send requests one after the other until shutdown ends their connections.
 
         The one request of each client that gets no response must not have reached a node.
@@ -505,7 +505,7 @@
         late[0].close()
 
 
-class ClientLeaves(Endings):
+class Leaving(Endings):
     """A client that leaves while its request waits: the request is not forwarded."""
 
     async def gone(self, wire: Wire, how: Callable[[], None], free: Callable[[], Awaitable[None]]) -> None:
@@ -556,7 +556,7 @@
         await asyncio.sleep(0.05)
         self.assertEqual((self.came, self.gateway.engine.table), (0, {}))
 
-    async def test_as_the_connection_to_its_node_comes_up(self) -> None:
+    async def test_as_its_connection_to_the_node_comes_up(self) -> None:
         """A client leaves in the moment in which the connection for its request comes up.
 
         The node must not get the request, and the connection must be closed.
@@ -591,7 +591,7 @@
         self.assertEqual((self.came, self.parties["n1"].seen), (0, []))
 
 
-class AdminConnections(Endings):
+class Operators(Endings):
     """The operators' commands: callers that send too much, and callers at the end of the process."""
 
     async def call(self, line: bytes) -> Wire:
@@ -673,7 +673,7 @@
         self.assertIsNone(await queue._stream.next(PATIENCE_S))  # the end, in order
         await asyncio.wait_for(stop, PATIENCE_S)
 
-    async def test_a_command_whose_host_has_left_is_not_forwarded(self) -> None:
+    async def test_a_host_that_leaves_while_its_command_waits_is_not_sent_on(self) -> None:
         """An NVMe host leaves between a failed attempt and the retry.
 
         The node, reachable again, must not get the command.
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -42,7 +42,7 @@
 }
 
 
-class TruncatedResponses(Endings):
+class Cut(Endings):
     """A node's response that ends too early."""
 
     settings: ClassVar[dict[str, Any]] = EFFECTS
@@ -70,7 +70,7 @@
         self.assertEqual(self.came, 0)
         wire.close()
 
-    async def test_a_response_truncated_at_any_byte_is_not_forwarded(self) -> None:
+    async def test_an_answer_cut_at_every_byte_is_no_answer(self) -> None:
         """A node's connection ends, or is reset, after any number of the response's bytes.
 
         Nothing of it may reach the client: a read is retried, a write fails with a 502.
@@ -82,7 +82,7 @@
                         await self.ends(ANSWER[:size], end, *ASKS[name])
         await until(lambda: not self.gateway.engine.send.out, "the attempts' ends")
 
-    async def test_a_reset_response_without_a_length_is_not_forwarded(self) -> None:
+    async def test_an_answer_without_a_length_that_is_reset_is_no_answer(self) -> None:
         """A node sends a response without a Content-Length and resets the connection.
 
         Its end is unknown, so no part of it may reach the client.
@@ -93,7 +93,7 @@
                 await self.ends(raw[:size], "reset", *ASKS["read"])
                 await self.ends(raw[:size], "reset", *ASKS["write"])
 
-    async def test_a_truncated_chunked_response_is_not_forwarded(self) -> None:
+    async def test_a_chunked_answer_that_is_cut_is_no_answer(self) -> None:
         """A node resets its connection within a chunked response.
 
         Nothing of it may reach the client.
@@ -103,7 +103,7 @@
             with self.subTest(size=size):
                 await self.ends(raw[:size], "reset", *ASKS["read"])
 
-    async def test_a_failure_after_the_last_byte_may_have_run(self) -> None:
+    async def test_a_break_after_the_last_byte_may_have_run_for_each_effect(self) -> None:
         """A connection, new or reused, breaks after the complete request was written.
 
         The request may have run: reads and writes with a key are retried, other writes must fail with a 502.
@@ -118,7 +118,7 @@
                         await asyncio.sleep(0.03)  # past its settling time
                     await self.ends(b"", "reset", request, wanted)
 
-    async def test_a_failure_before_the_last_byte_has_not_run(self) -> None:
+    async def test_a_break_within_the_request_has_run_for_no_effect(self) -> None:
         """The node takes a part of a large body and resets.
 
         The request cannot have run, so it must be retried, a non-idempotent write too.
@@ -167,7 +167,7 @@
         progress.last_byte_written = True
         yield body[-1:]
 
-    async def test_a_response_that_stops_half_way_ends_its_connection(self) -> None:
+    async def test_an_answer_that_never_ends_is_given_up_and_its_connection_closed(self) -> None:
         """A node sends half a response and no more.
 
         The write must fail soon, and its connection must be closed.
@@ -179,7 +179,7 @@
         self.assertEqual((await wire.answer())[0], 502)
         await until(writer.transport.is_closing, "its connection's end")
 
-    async def test_a_duplicate_response_some_milliseconds_later_reaches_no_one(self) -> None:
+    async def test_a_second_answer_some_milliseconds_later_is_no_ones(self) -> None:
         """A node sends its response twice: at once, within the settling time, or as the connection is taken.
 
         The next request must not meet the old connection, nor get the second copy as its response.
@@ -205,7 +205,7 @@
                 wire.close()
                 self.gateway._http.close_idle(f"127.0.0.1:{self.parties['n1'].port}")
 
-    async def test_input_on_an_idle_connection_as_it_is_taken_retires_it(self) -> None:
+    async def test_half_a_line_as_a_kept_connection_is_closed_or_taken(self) -> None:
         """A part of a status line arrives on an idle connection in the moment in which it is taken.
 
         The request must go to another connection, and the old one must be closed.
@@ -226,7 +226,7 @@
         self.assertEqual((await wire.answer())[0], 200)
         await until(writer.transport.is_closing, "the end of the old one")
 
-    async def test_a_request_abandoned_with_unsent_bytes_is_never_completed(self) -> None:
+    async def test_a_request_given_up_with_bytes_unsent_is_not_sent_after_its_answer(self) -> None:
         """A node reads nothing, so the end of a request stays unsent as its client gets a 502.
 
         The node must never get the rest: it would run a write that was reported as failed.
@@ -264,7 +264,7 @@
         small.close()
 
 
-class DeduplicationWindows(Endings):
+class Windows(Endings):
     """A retry just inside, at and just past the end of a short deduplication window."""
 
     def repeat(self, at_ms: float, ttl_ms: float = 300.0, later: float | None = None) -> tuple[bool, Host]:
@@ -297,7 +297,7 @@
                     sends = [each for _, each in host.log if isinstance(each, SendAttempt)]
                     self.assertEqual(sends[1].start_within_ms, ttl_ms - 200.0)
 
-    async def test_a_request_in_progress_keeps_its_window_when_the_settings_change(self) -> None:
+    async def test_a_held_request_keeps_its_window_when_the_settings_change(self) -> None:
         """The settings change the window while a request is in progress.
 
         The window of its admission must hold, a shorter and a longer one.
@@ -306,7 +306,7 @@
         self.assertFalse(self.repeat(400.0, later=900.0)[0])
 
 
-class ReloadWithRequestsInProgress(Endings):
+class Reloaded(Endings):
     """SIGHUP between a request's admission and its attempt, and between the attempt and its outcome."""
 
     settings: ClassVar[dict[str, Any]] = EFFECTS
@@ -351,7 +351,7 @@
         wire.send(ask(5, "PUT", b"x", Request_Class="keyed", Idempotency_Key="k"))
         self.assertEqual((await wire.answer())[0], 400)  # there is no such class any more
 
-    async def test_the_guard_timer_answers_by_the_settings_of_the_admission(self) -> None:
+    async def test_the_guard_answers_by_the_settings_a_request_came_under(self) -> None:
         """The scheduler keeps silent, and a reload makes writes idempotent while one is in progress.
 
         The guard timer must answer 502: under the settings of its admission the write may have run.
@@ -392,7 +392,7 @@
         self.assertEqual((await wire.answer())[0], 503)
         self.assertNotIn(b"Retry-After", wire.head)
 
-    async def test_a_reload_before_the_watch_has_begun_moves_it(self) -> None:
+    async def test_a_move_of_discovery_before_the_watch_has_begun_is_followed(self) -> None:
         """A reload names another discovery before the watch has made its first call.
 
         That call must go to the new address, for the full list.
@@ -405,7 +405,7 @@
         self.assertEqual((await agent.next())[0], "GET /discovery/hosts HTTP/1.1")
         watch.cancel()
 
-    async def test_a_faulty_file_changes_nothing(self) -> None:
+    async def test_a_faulty_file_leaves_all_as_it_was(self) -> None:
         """A reload finds a file with a faulty class.
 
         The configuration and the scheduler's settings must stay, the reload must count as rejected, and
@@ -428,7 +428,7 @@
         await self.served(await self.wire(), 1)
 
 
-class EndpointLists(Endings):
+class Lists(Endings):
     """Lists that stop, are truncated, or come in segments or from another discovery."""
 
     settings: ClassVar[dict[str, Any]] = {
@@ -458,7 +458,7 @@
         self.assertIn("since=7&", (await agent.next())[0])
         self.assertEqual(list(self.gateway.engine.listed), ["n2"])
 
-    async def test_a_truncated_list_is_discarded_and_requested_again(self) -> None:
+    async def test_a_list_that_is_cut_is_none_and_asked_for_again(self) -> None:
         """Discovery's connection is reset within a list.
 
         Nothing of it may be applied, and the watch must go on from the version in use.
@@ -471,7 +471,7 @@
         self.assertIn("since=1&", (await agent.next())[0])
         self.assertEqual(list(self.gateway.engine.listed), ["n1", "n2"])
 
-    async def test_a_drain_announced_while_the_watch_was_broken_has_less_grace_left(self) -> None:
+    async def test_a_drain_that_was_pushed_as_the_watch_broke_has_less_of_its_grace_left(self) -> None:
         """The watch is reset, closed or silent, and the next list has a node draining.
 
         The drain may have been announced at any time since the last response, so that time must count against
@@ -521,7 +521,7 @@
         )
         self.assertEqual(seen[-1].late_ms, 0.0)
 
-    async def test_after_the_grace_a_node_gets_no_requests_and_those_in_progress_are_answered(self) -> None:
+    async def test_no_fresh_work_past_the_grace_and_what_is_there_is_answered(self) -> None:
         """A node drains, and its grace period ends while it has a request in progress.
 
         It must get no further request, and the one in progress must be answered.
@@ -541,7 +541,7 @@
             await self.play("send n1 200 ok")
             self.assertEqual(await wire.answer(), (200, b"ok"))
 
-    async def test_a_lower_version_after_discovery_has_moved_is_applied(self) -> None:
+    async def test_a_lower_version_after_discovery_has_moved_holds(self) -> None:
         """A reload names another discovery, whose versions are lower.
 
         Its full list must be requested and applied: versions of two discoveries do not compare.
@@ -559,7 +559,7 @@
         await self.served(await self.wire(), 1)
 
 
-class Starts(Endings):
+class Restarts(Endings):
     """A start with discovery down, silent or late, or with an outdated list."""
 
     async def starts(self) -> tuple[float, int]:
@@ -626,7 +626,7 @@
                 await until(lambda: self.second.discovery.ready, "the list")
                 self.assertEqual(await self.up(), 200)
 
-    async def test_an_outdated_list_is_replaced_by_discoverys(self) -> None:
+    async def test_an_old_list_gives_way_to_what_discovery_tells(self) -> None:
         """A gateway starts with a list in which a node is ready that has drained for an unknown time.
 
         Once discovery's list is there, the node must get no request: nothing of its grace period is certain.
@@ -647,7 +647,7 @@
         wire.close()
 
 
-class ClientFloods(Endings):
+class Floods(Endings):
     """Many clients that send much and leave, send slowly, or give up early."""
 
     sockets = 64
