--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -35,7 +35,7 @@
 DOMAIN = {**SETTINGS["domain"], "writes": [False, True, True]}
 EFFECTS: dict[str, Any] = {**SETTINGS, "classes": [*SETTINGS["classes"], KEYED], "domain": DOMAIN}
 # A request of each effect, and its status if it may have run and a retry, where allowed, is served.
-ASKS = {
+REQUEST_OF_EFFECT = {
     "read": (ask(1), 200),
     "write": (ask(2, "PUT", b"x"), 502),
     "keyed": (ask(3, "PUT", b"x", Request_Class="keyed", Idempotency_Key="k"), 200),
@@ -51,10 +51,10 @@
         first, *_, writer, _ = await self.parties["n1"].next()
         return first, writer
 
-    async def ends(self, raw: bytes, end: str, ask: bytes, wanted: int) -> None:
+    async def ends(self, raw: bytes, end: str, request: bytes, wanted: int) -> None:
         """Answer one attempt with `raw` and its connection's end; serve a second one, if there is any."""
         wire = await self.wire()
-        wire.send(ask)
+        wire.send(request)
         _, writer = await self.attempt()
         writer.write(raw)
         await writer.drain()
@@ -79,7 +79,7 @@
             for size in range(len(ANSWER)):
                 with self.subTest(end=end, size=size):
                     for name in ("read", "write"):
-                        await self.ends(ANSWER[:size], end, *ASKS[name])
+                        await self.ends(ANSWER[:size], end, *REQUEST_OF_EFFECT[name])
         await until(lambda: not self.gateway.engine.send.out, "the attempts' ends")
 
     async def test_an_answer_without_a_length_that_is_reset_is_no_answer(self) -> None:
@@ -90,8 +90,8 @@
         raw = b"HTTP/1.1 200 OK\r\nServer: a\r\n\r\nbody"
         for size in range(len(raw) - 8, len(raw) + 1):
             with self.subTest(size=size):
-                await self.ends(raw[:size], "reset", *ASKS["read"])
-                await self.ends(raw[:size], "reset", *ASKS["write"])
+                await self.ends(raw[:size], "reset", *REQUEST_OF_EFFECT["read"])
+                await self.ends(raw[:size], "reset", *REQUEST_OF_EFFECT["write"])
 
     async def test_a_chunked_answer_that_is_cut_is_no_answer(self) -> None:
         """A node resets its connection within a chunked response.
@@ -101,7 +101,7 @@
         raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
         for size in range(raw.index(b"4\r\n"), len(raw), 3):
             with self.subTest(size=size):
-                await self.ends(raw[:size], "reset", *ASKS["read"])
+                await self.ends(raw[:size], "reset", *REQUEST_OF_EFFECT["read"])
 
     async def test_a_break_after_the_last_byte_may_have_run_for_each_effect(self) -> None:
         """A connection, new or reused, breaks after the complete request was written.
@@ -109,7 +109,7 @@
         The request may have run: reads and writes with a key are retried, other writes must fail with a 502.
         """
         for reused in (False, True):
-            for name, (request, wanted) in ASKS.items():
+            for name, (request, wanted) in REQUEST_OF_EFFECT.items():
                 with self.subTest(reused=reused, effect=name):
                     if reused:
                         wire = await self.wire()
@@ -173,7 +173,7 @@
         The write must fail soon, and its connection must be closed.
         """
         wire = await self.wire()
-        wire.send(ASKS["write"][0])
+        wire.send(REQUEST_OF_EFFECT["write"][0])
         _, writer = await self.attempt()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf")
         self.assertEqual((await wire.answer())[0], 502)
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -742,8 +742,8 @@
 class CorruptResponses(Scenario):
     """Nodes whose responses are longer, shorter or other than they should be."""
 
-    async def answer(self, raw: bytes, then: str, ask: str = "PUT 1 a") -> None:
-        await self.play(f"send c1 {ask}\nexpect n1 {ask}")
+    async def answer(self, raw: bytes, then: str, request: str = "PUT 1 a") -> None:
+        await self.play(f"send c1 {request}\nexpect n1 {request}")
         (await self.party("n1")).current.write(raw)
         await self.play(then)
 
