--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -4,25 +4,27 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 import msgspec
 
 from shaletiller.clock import Clock
-from shaletiller.config import Config, ConfigError, ServerList, read_address
+from shaletiller.config import Config, ConfigError, ServerList, ServerRow, read_address
 from shaletiller.core.engine import Engine
 from shaletiller.core.interfaces import UpstreamClient
 from shaletiller.core.manual_ejection import ManualEjections
 from shaletiller.gateway_services import GatewayServices
+from shaletiller.messages.endpoints import EndpointState
 from shaletiller.messages.events import PeerMessageReceived
-from shaletiller.net.admin import Admin
-from shaletiller.net.discovery import Discovery
+from shaletiller.net.admin import AdminServer
+from shaletiller.net.discovery import DiscoveryClient
 from shaletiller.net.http_server import HttpServer
 from shaletiller.net.http_upstream import HttpUpstreamClient
 from shaletiller.net.peers import PeerEndpoint
 from shaletiller.operator_calls import OperatorCalls
+from shaletiller.registry.endpoint_registry import EndpointRegistry
 from shaletiller.settings.model import Settings
 
 if TYPE_CHECKING:
@@ -87,16 +89,18 @@
         http_sockets = config.upstream_sockets // (2 if config.nvme.upstreams else 1)
         self._http = HttpUpstreamClient(config.settings, http_sockets)
         self._nvme_clients = self._make_nvme_clients()
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             config.discovery,
             config.known,
             self._upstream_client,
             self.engine.update_endpoints,
             config.seed,
             self._clock.now_ms,
+            EndpointRegistry(self._publish_departure),
+            self._publish_endpoint_list,
         )
         self.discovery.retune(config.settings)
-        self.front = HttpServer(self.engine, config.client_sockets, lambda: self.discovery.held, self._clock)
+        self.front = HttpServer(self.engine, config.client_sockets, lambda: self.discovery.ready, self._clock)
         self.fleet = self._make_fleet_agent()
         self.peers = PeerEndpoint(
             config.peers,
@@ -138,8 +142,9 @@
             return None
         from shaletiller.net.fleet import FleetAgent
 
-        agent = FleetAgent(self.config, operator.fleet, self.engine, self._clock, self.discovery.others_say)
-        self.discovery.book.departed = agent.publish_departure
+        agent = FleetAgent(
+            self.config, operator.fleet, self.engine, self._clock, self.discovery.apply_peer_report
+        )
         return agent
 
     def _make_replication_agent(self) -> ReplicationAgent | None:
@@ -158,10 +163,9 @@
             self.front,
             self._load_stored_list,
         )
-        self.discovery.news = agent.endpoint_lists.update
         return agent
 
-    def _make_admin_server(self) -> Admin | None:
+    def _make_admin_server(self) -> AdminServer | None:
         if self.config.admin is None:
             return None
         calls = OperatorCalls(
@@ -175,7 +179,7 @@
             self.fleet,
             self.replication,
         )
-        return Admin(calls.by_name())
+        return AdminServer(calls.by_name())
 
     def _make_telemetry(self) -> OtlpExporter | None:
         if not self.config.telemetry.endpoint:
@@ -187,7 +191,7 @@
     # ---- what the parts call
 
     def _ready(self) -> bool:
-        return self.discovery.held and not self._stopping
+        return self.discovery.ready and not self._stopping
 
     def _upstream_client(self, node: str) -> UpstreamClient:
         return self._nvme_clients.get(node, self._http)
@@ -199,12 +203,23 @@
     def _receive_peer_message(self, peer: int, data: str) -> None:
         self.engine.notify(PeerMessageReceived(peer, data))
 
+    def _publish_departure(self, node: str, incarnation: int, version: int, state: EndpointState) -> None:
+        """Notify the other gateways of a departure that discovery has reported."""
+        if self.fleet is not None:
+            self.fleet.publish_departure(node, incarnation, version, state)
+
+    def _publish_endpoint_list(self, version: int, rows: Mapping[str, ServerRow]) -> None:
+        """Update the copies of the endpoint list at other gateways, which has changed."""
+        if self.replication is not None:
+            stored = ServerList(version, True, tuple(rows.values()))
+            self.replication.endpoint_lists.update(stored)
+
     def _apply_ejections(self, changed: set[str]) -> None:
         self.engine.eject(self.ejections.nodes, changed)
 
     def _load_stored_list(self, stored: ServerList) -> None:
         """Serve by an endpoint list of the replication's store, where discovery has sent no newer one yet."""
-        if self.discovery.start_from(stored):
+        if self.discovery.load_stored_list(stored):
             logger.info("endpoint list: version %d loaded from the replicated store", stored.version)
 
     async def _watch_ejections(self) -> None:
@@ -219,7 +234,7 @@
         self.telemetry = self._make_telemetry()
         # Before the first endpoint list: a node that the previous process had ejected gets no request.
         self.ejections.reload()
-        self.discovery.start_from_known()
+        self.discovery.load_known_list()
         if self.replication is not None:
             self.replication.open()
         await self._start_admin_server()
@@ -296,7 +311,7 @@
 
     def _move_discovery(self, address: tuple[str, int]) -> None:
         """Watch the endpoint list at a new address immediately: the old agent may answer no further poll."""
-        self.discovery.move(address)  # during the start, too: the watch then begins at the new address
+        self.discovery.set_address(address)  # during the start, too: the watch then begins at the new address
         if self._discovery_watch is not None and not self._discovery_watch.done():
             self._discovery_watch.cancel()
             self._discovery_watch = self.engine.spawn(self.discovery.run())
@@ -315,9 +330,9 @@
             self.fleet.stop()
         grace_ms = min(MAX_KILL_DEADLINE_MS, self._longest_deadline_ms) + KILL_GRACE_MS - KILL_MARGIN_MS
         ends_ms = self._clock.now_ms() + grace_ms
-        self.front.ends_ms = ends_ms
+        self.front.shutdown_deadline_ms = ends_ms
         await asyncio.sleep(min(ACCEPT_AFTER_SIGTERM_S, max(0.0, ends_ms - self._clock.now_ms()) / 1000))
-        self.front.shut()
+        self.front.stop_accepting()
         if self.nvme is not None:
             self.nvme.shut()
         await self._stop_servers(ends_ms)
@@ -326,7 +341,7 @@
     async def _stop_servers(self, ends_ms: float) -> None:
         while self._clock.now_ms() < ends_ms and self._serving:
             await asyncio.sleep(SHUTDOWN_POLL_S)
-        self.front.end()
+        self.front.close_after_responses()
         self.engine.respond_to_all()  # before either server ends: both still owe responses
         servers = (self.front, self.nvme) if self.nvme else (self.front,)
         await asyncio.gather(*(server.stop(KILL_MARGIN_MS / 2000) for server in servers))
@@ -334,7 +349,7 @@
     @property
     def _serving(self) -> bool:
         """Whether HTTP clients are connected or a completion is owed to an NVMe host."""
-        return bool(self.front.clients or (self.nvme and self.nvme.busy))
+        return bool(self.front.connections or (self.nvme and self.nvme.busy))
 
     async def _close_parts(self) -> None:
         await self.engine.close()
--- a/shaletiller/net/replication/agent.py
+++ b/shaletiller/net/replication/agent.py
@@ -63,8 +63,6 @@
         self.writes = WriteReplicator(self.port, self._writes, engine, clock, services)
         self.commands = ReplicatedCommands(
             self.port, fleet.coordinator, ejections, drain_switch, clock, gateway
-        )
-            self.port, fleet.coordinator, ejections, drain_switch, clock, gateway
         )
         self.endpoint_lists = EndpointListCache(self.port, list_consumer, gateway)
         self.lease_tables = LeaseTableStorage(self.port, member, clock, engine.spawn)
--- a/shaletiller/net/replication/commands.py
+++ b/shaletiller/net/replication/commands.py
@@ -26,7 +26,7 @@
 class DrainSwitch(Protocol):
     """Drains the gateway's listeners."""
 
-    def drain(self, drained: bool) -> None:
+    def set_draining(self, draining: bool) -> None:
         """Report the gateway as draining, or no longer."""
 
 
@@ -116,4 +116,4 @@
         result = await self._port.propose(key, Precondition.READ_ONLY, b"", RECOVERY_TIMEOUT_MS)
         command = decode_value(result.value)
         if isinstance(command, OperatorCommand):
-            self._drain_switch.drain(command.in_effect)
+            self._drain_switch.set_draining(command.in_effect)
--- a/shaletiller/operator_calls.py
+++ b/shaletiller/operator_calls.py
@@ -12,8 +12,9 @@
 from shaletiller.core import metrics
 from shaletiller.core.engine import Engine
 from shaletiller.core.manual_ejection import ManualEjections
-from shaletiller.net.admin import Call, Refused
-from shaletiller.net.discovery import Discovery
+from shaletiller.net.admin import Command
+from shaletiller.net.discovery import DiscoveryClient
+from shaletiller.net.errors import AdminCommandError
 from shaletiller.net.http_server import HttpServer
 
 if TYPE_CHECKING:
@@ -35,7 +36,7 @@
     def __init__(
         self,
         engine: Engine,
-        discovery: Discovery,
+        discovery: DiscoveryClient,
         http_server: HttpServer,
         ejections: ManualEjections,
         clock: Clock,
@@ -54,7 +55,7 @@
         self._fleet = fleet
         self._replication = replication
 
-    def by_name(self) -> dict[str, Call]:
+    def by_name(self) -> dict[str, Command]:
         """The calls by the verb of an operator's line."""
         return {
             "READY": self.ready,
@@ -68,10 +69,10 @@
     def ready(self, arguments: list[str]) -> list[str]:
         """READY: whether this gateway can serve requests.
 
-        :raises Refused: where it cannot.
+        :raises AdminCommandError: where it cannot.
         """
         if not self._ready():
-            raise Refused("no: not ready")
+            raise AdminCommandError("no: not ready")
         return ["yes"]
 
     def stats(self, arguments: list[str]) -> list[str]:
@@ -86,7 +87,7 @@
             "sighup_applied": self._reload_counts["applied"],
             "sighup_rejected": self._reload_counts["rejected"],
             **(fleet.stats() if fleet is not None else {}),
-            **(self._discovery.book.figures(self._clock.now_ms()) if fleet is not None else {}),
+            **(self._discovery.registry.stats(self._clock.now_ms()) if fleet is not None else {}),
             **(replication.figures() if replication is not None else {}),
         }
         classes = [spec.name for spec in engine.settings.classes]
@@ -95,7 +96,7 @@
     def disable(self, arguments: list[str]) -> list[str] | Awaitable[list[str]]:
         """DISABLE: eject a storage node by hand.
 
-        :raises Refused: where the arguments do not name a known node.
+        :raises AdminCommandError: where the arguments do not name a known node.
         """
         node = self._known_node(arguments)
         self._ejections.add(node)
@@ -104,7 +105,7 @@
     def enable(self, arguments: list[str]) -> list[str] | Awaitable[list[str]]:
         """ENABLE: lift a storage node's manual ejection.
 
-        :raises Refused: where the arguments do not name a known node.
+        :raises AdminCommandError: where the arguments do not name a known node.
         """
         node = self._known_node(arguments)
         self._ejections.remove(node)
@@ -112,10 +113,10 @@
 
     def _known_node(self, arguments: list[str]) -> str:
         if len(arguments) != 1:
-            raise Refused("wants the id of one storage node")
+            raise AdminCommandError("wants the id of one storage node")
         node = arguments[0]
         if node not in self._engine.endpoints and node not in self._ejections.nodes:
-            raise Refused(f"no: no storage node {node[:MAX_ECHOED_NODE]} on the list")
+            raise AdminCommandError(f"no: no storage node {node[:MAX_ECHOED_NODE]} on the list")
         return node
 
     def _publish_ejection(self, node: str, ejected: bool) -> list[str] | Awaitable[list[str]]:
@@ -127,7 +128,7 @@
 
     def _set_draining(self, draining: bool) -> list[str] | Awaitable[list[str]]:
         """DRAIN and UNDRAIN: send HTTP clients away, or accept them again."""
-        self._http_server.drain(draining)
+        self._http_server.set_draining(draining)
         if self._replication is None:
             return []
         return self._replicated(self._replication.commands.replicate_drain(draining), "")
@@ -136,12 +137,12 @@
         """Wait until a majority of the copies has the call.
 
         :param first_line: of the response to the operator.
-        :raises Refused: where the call holds at this gateway only.
+        :raises AdminCommandError: where the call holds at this gateway only.
         """
         from shaletiller.replication.errors import NotReplicatedError  # loaded only where it is configured
 
         try:
             await replication
         except NotReplicatedError as error:
-            raise Refused("kept here only: no majority of its copies; call again later") from error
+            raise AdminCommandError("kept here only: no majority of its copies; call again later") from error
         return [first_line]
