--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -22,7 +22,6 @@
 
 import msgspec
 import pytest
-from shaletiller.replication.rows import Row, describe, pack, read_row, read_says
 
 # ==== PROGRAM: the only section that names what the program calls its parts ================================
 from shaletiller import adapter, config, gateway
@@ -31,72 +30,149 @@
 from shaletiller.core import manual_ejection, metrics
 from shaletiller.core.model import ClientCall, FinalResult
 from shaletiller.fleet import codec
-from shaletiller.fleet.core import group_of
-from shaletiller.fleet.health_gossip import Departs, HealthGossip, Kind
-from shaletiller.fleet.hlc import stamp_of
+from shaletiller.fleet.core import group_hash as group_of
+from shaletiller.fleet.health_gossip import DepartureState, HealthGossip, HealthKind
+from shaletiller.fleet.hlc import timestamp_of as stamp_of
 from shaletiller.fleet.rendezvous import ranked
-from shaletiller.messages import actions, events
+from shaletiller.messages import actions, events, timers
 from shaletiller.messages.endpoints import EndpointState, UpdateKind
 from shaletiller.net import discovery, links, peers
-from shaletiller.net import replication as port
-from shaletiller.replication import acceptor, groups, messages, rows
+from shaletiller.net.replication import commands, endpoint_lists, lease_tables
+from shaletiller.net.replication.writes import register_key
+from shaletiller.replication import acceptor, groups, messages, records
+from shaletiller.replication.records import Row, describe, pack
+from shaletiller.replication.records import decode_row as read_row
+from shaletiller.replication.records import decode_value as read_says
 from shaletiller.settings import decoder
 from shaletiller.store import segment_store, writer
 
-# fmt: off
-FLEET_KINDS = dict(zip(
-    ("ping", "ack", "ping-req", "rumor", "want", "call", "pledge", "grant", "verdict"),
-    (codec.Ping, codec.Ack, codec.PingReq, codec.Rumor, codec.Want, codec.Call, codec.Pledge, codec.Grant,
-     codec.HealthRecord), strict=True))
-MESSAGE_KINDS = dict(zip(
-    ("prepare", "accept", "reply", "join", "page", "compare", "keys", "pull", "rows"),
-    (messages.Prepare, messages.Accept, messages.Reply, messages.Join, messages.Page, messages.Compare,
-     messages.Keys, messages.Pull, messages.Rows), strict=True))
-SAYING_KINDS = dict(zip(
-    ("intent", "outcome", "word", "listed", "leased"),
-    (rows.Intent, rows.Outcome, rows.Word, rows.Listed, rows.Leased), strict=True))
+FLEET_KINDS = {
+    "ping": codec.Ping,
+    "ack": codec.Ack,
+    "ping-req": codec.PingReq,
+    "rumor": codec.Rumor,
+    "want": codec.LeaseRequest,
+    "call": codec.PledgeRequest,
+    "pledge": codec.Pledge,
+    "grant": codec.LeaseGrant,
+    "verdict": codec.HealthRecord,
+}
+MESSAGE_KINDS = {
+    "prepare": messages.Prepare,
+    "accept": messages.Accept,
+    "reply": messages.Reply,
+    "join": messages.StateTransferRequest,
+    "page": messages.StateTransferPage,
+    "compare": messages.BucketDigests,
+    "keys": messages.BucketVersions,
+    "pull": messages.RowRequest,
+    "rows": messages.RowTransfer,
+}
+SAYING_KINDS = {
+    "intent": records.WriteIntent,
+    "outcome": records.WriteOutcome,
+    "word": records.OperatorCommand,
+    "listed": records.CachedEndpointList,
+    "leased": records.LeaseTableRecord,
+}
 # The names by which the program reads what stands at each place of the wire: two of them that have changed
 # places would leave all bytes as they are.
 FIELD_NAMES = {
-    codec.Ping: "nonce digest", codec.Ack: "nonce target digest", codec.PingReq: "nonce target",
-    codec.Rumor: "member state incarnation refuted",
-    codec.Want: "limit nonce rate burst of_rate of_burst settle_ms",
-    codec.Call: "limit nonce of_rate of_burst settle_ms was previous_granter_incarnation",
-    codec.Pledge: "limit nonce rate burst term_ms", codec.Grant: "limit nonce rate burst term_ms",
-    codec.HealthRecord: "node kind observer incarnation stamp until value",
-    codec.Envelope: "version group sender incarnation seq stamp parts",
-    messages.Prepare: "nonce key ballot until incarnations",
-    messages.Accept: "nonce key ballot step value until incarnations",
-    messages.Reply: "nonce how incarnation row incarnations", messages.Join: "nonce incarnation after",
-    messages.Page: "nonce incarnation taken table rows after", messages.Compare: "sums",
-    messages.Keys: "bucket rows", messages.Pull: "keys", messages.Rows: "rows",
-    Row: "promised ballot step value until", rows.Intent: "owner incarnation number mark at ends",
-    rows.Outcome: "served body mark at", rows.Word: "out stamp by until", rows.Listed: "at raw",
-    rows.Leased: "by incarnation number at rate burst"}
-EVENT_KINDS = {"PeersKnown": events.EndpointListUpdate, "Submit": events.Request, "Alarm": events.TimerExpired, "Done": events.AttemptEnded,
-               "Headers": events.ResponseStarted, "NeighbourSays": events.PeerMessageReceived, "Abandoned": events.ClientDisconnected,
-               "ProbeResult": events.HealthCheckEnded}
+    codec.Ping: "nonce digest",
+    codec.Ack: "nonce target digest",
+    codec.PingReq: "nonce target",
+    codec.Rumor: "member state incarnation refutations",
+    codec.LeaseRequest: "limit nonce rate burst limit_rate limit_burst settle_ms",
+    codec.PledgeRequest: "limit nonce limit_rate limit_burst settle_ms previous_granter "
+    "previous_granter_incarnation",
+    codec.Pledge: "limit nonce rate burst duration_ms",
+    codec.LeaseGrant: "limit nonce rate burst duration_ms",
+    codec.HealthRecord: "node kind observer incarnation timestamp expires_ms value",
+    codec.Envelope: "version group sender incarnation seq timestamp messages",
+    messages.Prepare: "nonce key ballot expires_ms incarnations",
+    messages.Accept: "nonce key ballot step value expires_ms incarnations",
+    messages.Reply: "nonce status incarnation row incarnations",
+    messages.StateTransferRequest: "nonce incarnation after",
+    messages.StateTransferPage: "nonce incarnation accepted known_incarnations rows after",
+    messages.BucketDigests: "digests",
+    messages.BucketVersions: "bucket versions",
+    messages.RowRequest: "keys",
+    messages.RowTransfer: "rows",
+    Row: "promised ballot step value expires_ms",
+    records.WriteIntent: "owner incarnation number request_hash recorded_ms deadline_ms",
+    records.WriteOutcome: "served body request_hash recorded_ms",
+    records.OperatorCommand: "in_effect stamp issuer expires_ms",
+    records.CachedEndpointList: "recorded_ms json",
+    records.LeaseTableRecord: "granter incarnation number recorded_ms rate burst",
+}
+EVENT_KINDS = {
+    "PeersKnown": events.EndpointListUpdate,
+    "Submit": events.Request,
+    "Alarm": events.TimerExpired,
+    "Done": events.AttemptEnded,
+    "Headers": events.ResponseStarted,
+    "NeighbourSays": events.PeerMessageReceived,
+    "Abandoned": events.ClientDisconnected,
+    "ProbeResult": events.HealthCheckEnded,
+}
 ACTIONS = (
-    actions.SendAttempt("t/1", "n1", 12.5), actions.Reject("t/2", 40.0), actions.Fail("t/3"), actions.CancelAttempt("t/4", 2),
-    actions.StartTimer(3.5, "tok"), actions.SendHealthCheck("n2"), actions.SendPeerMessage(None, "é"), actions.SendPeerMessage(4, "x"), actions.WatchEndpoints(True),
-    actions.FetchEndpointList(), actions.CloseIdleConnections("n3"), actions.WriteLog("line"))
+    actions.SendAttempt("t/1", "n1", 12.5),
+    actions.Reject("t/2", 40.0),
+    actions.Fail("t/3"),
+    actions.CancelAttempt("t/4", 2),
+    actions.StartTimer(3.5, timers.OrderingTimer("tok")),
+    actions.StartTimer(20.0, timers.RoundTimer()),
+    actions.StartTimer(30.0, timers.AttemptOverdueTimer("t/1", 2)),
+    actions.StartTimer(40.0, timers.WatchRetryTimer()),
+    actions.SendHealthCheck("n2"),
+    actions.SendPeerMessage(None, "é"),
+    actions.SendPeerMessage(4, "x"),
+    actions.WatchEndpoints(True),
+    actions.FetchEndpointList(),
+    actions.CloseIdleConnections("n3"),
+    actions.WriteLog("line"),
+)
 SERVED, REFUSED, FAILED = FinalResult.SERVED, FinalResult.REJECTED, FinalResult.FAILED
-NUMBERS = [[each.value for each in group] for group in (
-    (Kind.BAN, Kind.DEAD, Kind.COLD, Kind.TURNING, Kind.SLOW, Kind.LEAVING),
-    (Departs.DRAINING, Departs.LEFT, Departs.ACTIVE),
-    (EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING),
-    (UpdateKind.CHANGES, UpdateKind.FULL, UpdateKind.CACHED, UpdateKind.FAILED))]
-STORE_KEYS = (acceptor.LIFE, acceptor.LIVES, acceptor.SYNCED, port.LIST_KEY)
-PREFIXES = (port.BAN, port.DRAIN, port.LIST, port.LEASE)
+NUMBERS = [
+    [each.value for each in group]
+    for group in (
+        (
+            HealthKind.EJECTED,
+            HealthKind.UNREACHABLE,
+            HealthKind.WARMING_UP,
+            HealthKind.REJECTING,
+            HealthKind.SLOW,
+            HealthKind.DEPARTING,
+        ),
+        (DepartureState.DRAINING, DepartureState.LEFT, DepartureState.ACTIVE),
+        (EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING),
+        (UpdateKind.CHANGES, UpdateKind.FULL, UpdateKind.CACHED, UpdateKind.FAILED),
+    )
+]
+STORE_KEYS = (
+    acceptor.INCARNATION_KEY,
+    acceptor.INCARNATIONS_KEY,
+    acceptor.SYNCED_KEY,
+    endpoint_lists.LIST_KEY,
+)
+PREFIXES = (
+    commands.EJECTION_PREFIX,
+    commands.DRAIN_PREFIX,
+    endpoint_lists.LIST_PREFIX,
+    lease_tables.LEASE_PREFIX,
+)
 FaultyConfig, FaultyFile = config.ConfigError, OperatorFileError
-pack_part, bucket_of, row_sum = codec.pack, acceptor.bucket_of, acceptor._sum
+pack_part, bucket_of = codec.encode, acceptor.digest_bucket
 read_settings, read_config, simulator_reads = decoder.read_settings, config.read_config, adapter.read_batch
-# fmt: on
+
+
+def row_sum(key, row):
+    return acceptor.row_digest(key, row)
 
 
 def fleet_writes(group, me, life, *letters):
     """The room that an envelope takes beside its parts, and envelopes one after another."""
-    writer = codec.Writer(group, me, life)
+    writer = codec.EnvelopeWriter(group, me, life)
     return writer.overhead, [writer.write(stamp, parts) for stamp, parts in letters]
 
 
@@ -105,7 +181,7 @@
     return reader.read(data, *now), dict(reader.dropped)
 
 
-FleetReader, PromiseReader = codec.Reader, messages.Codec
+FleetReader, PromiseReader = codec.EnvelopeReader, messages.Codec
 
 
 def promise_writes(group, me, members, message):
@@ -124,7 +200,7 @@
 
 def acceptor_of(kept):
     """What a gateway knows after it has opened a store: life, lives, synced, rows."""
-    found = acceptor.Acceptor(0, groups.Groups(["", "", ""]))
+    found = acceptor.Acceptor(0, groups.ReplicaGroups(["", "", ""]))
     found.load(kept)
     return (
         found.incarnation,
@@ -135,26 +211,26 @@
 
 
 def born(life):
-    return acceptor.Acceptor(0, groups.Groups(["", "", ""])).born(life)
+    return acceptor.Acceptor(0, groups.ReplicaGroups(["", "", ""])).start_incarnation(life)
 
 
 def digest_of(word):
     held = HealthGossip(lambda said: None)
-    held.take(word, 0.0)
+    held.merge(word, 0.0)
     return held.digest
 
 
 def group_members(key, zones, copies):
-    return groups.Groups(zones, copies).of(key)
+    return groups.ReplicaGroups(zones, copies).members_of(key)
 
 
 def write_key(service, volume, own_id, repeats_by):
     rest = (1.0, 0, 1, 1.0, True, "PUT", "/", b"", False, repeats_by)
-    return port.key_of(ClientCall(own_id, service, "plan", volume, "k", *rest))
+    return register_key(ClientCall(own_id, service, "plan", volume, "k", *rest))
 
 
 def write_store(folder, commits, segment_bytes, compacted=False):
-    store = segment_store.Store(folder, None, segment_bytes)
+    store = segment_store.SegmentStore(folder, None, segment_bytes)
     if compacted:
         store.compact()
     for commit in commits:
@@ -163,21 +239,21 @@
 
 
 async def keep_in_store(folder, commits, segment_bytes):
-    kept = writer.StoreWriter(segment_store.Store(folder, None, segment_bytes))
+    kept = writer.StoreWriter(segment_store.SegmentStore(folder, None, segment_bytes))
     kept.start()
     for commit in commits:
         done = asyncio.get_running_loop().create_future()
-        kept.keep(commit, done.set_result)
+        kept.submit(commit, done.set_result)
         assert await done
     await kept.stop()
 
 
 def read_store(folder):
     """Kind, key, value, sequence number and whether it is gone, of each record; bytes of a torn tail."""
-    store = segment_store.Store(folder)
-    found = [(each.kind, each.key, each.value, each.sequence, each.gone) for each in store]
+    store = segment_store.SegmentStore(folder)
+    found = [(each.kind, each.key, each.value, each.sequence, each.deleted) for each in store]
     store.close()
-    return found, store.torn
+    return found, store.torn_bytes
 
 
 def figure_lines(results, classes, gauges):
@@ -195,45 +271,47 @@
 
 
 def simulator_writes(actions, line):
-    link = adapter.Link()
+    link = adapter.Instances()
     link._schedulers["host-0"] = types.SimpleNamespace(handle=lambda now_ms, event: actions)
     return link.reply(line)
 
 
 def list_row(row):
-    place = discovery.read_row(msgspec.convert(row, config.ServerRow), lambda node: None)
+    place = discovery.parse_row(msgspec.convert(row, config.ServerRow), lambda node: None)
     return plain(place.entry), place.address
 
 
 def gateway_of(configuration):
     """A gateway that runs nothing, what to call to have it know its list, and its operators' door."""
     gate = gateway.Gateway(configuration)
-    return gate, gate.discovery.start_from_known, gate.admin.answer
+    return gate, gate.discovery.load_known_list, gate.admin.execute
 
 
 async def fleet_hears(gate, *frames):
     """Hashes of the fleet and of its promises; what of the frames went to the promises, what of the rest was
     dropped.  The store is open from here on."""
-    gate.promises.open()
+    gate.replication.open()
     await asyncio.sleep(0)
-    heard, taken = [], gate.fleet.heard_promises
-    gate.fleet.heard_promises = lambda data: (heard.append(data), taken(data))
+    heard, taken = [], gate.fleet._on_replication_message
+    gate.fleet._on_replication_message = lambda data: (heard.append(data), taken(data))
     for frame in frames:
         gate.fleet.receive(frame)
-    fleet = gate.fleet.liaison.fleet
-    return (fleet._writer._head[0], gate.promises._codec._group), heard, dict(fleet.reader.dropped)
+    fleet = gate.fleet.coordinator.fleet
+    return (fleet._writer._head[0], gate.replication.port.codec._fleet), heard, dict(fleet.reader.dropped)
 
 
 async def fleet_ends(gate):
-    await gate.promises.close()
+    await gate.replication.close()
     gate.fleet.close()
 
 
 def datagrams(addresses, everyone, text, fleet, sent):
     """How a gateway tells a text, sends bytes, and is given a datagram."""
-    found = peers.Peers(addresses, everyone, lambda number, data: text.append((number, data)), fleet.append)
+    found = peers.PeerEndpoint(
+        addresses, everyone, lambda number, data: text.append((number, data)), fleet.append
+    )
     found._transport = types.SimpleNamespace(sendto=lambda raw, address: sent.append((raw, address)))
-    return found.tell, found.send, found.datagram_received
+    return found.send_text, found.send, found.datagram_received
 
 
 def link_sends(address, *data):
@@ -245,7 +323,7 @@
 
 def link_takes(heard):
     """The side of a link that listens, as a callback of asyncio.start_server."""
-    return links.Links(0, [("127.0.0.1", 1)], heard, 0)._take
+    return links.Links(0, [("127.0.0.1", 1)], heard, 0)._receive
 
 
 # ==== end of PROGRAM =======================================================================================
@@ -648,12 +726,12 @@
       for part in ("limits", "known") for key in CONFIG[part]),
     *(({"known": {"servers": [{"id": "x", key: {}}]}}, f"EDGE_CONFIG: known.servers[0].{key}: Expected ")
       for key in CONFIG["known"]["servers"][0]),
-    *(({key: "x"}, f"{shown}: wants host:port, got 'x'") for key, shown in [
+    *(({key: "x"}, f"{shown}: expected host:port, got 'x'") for key, shown in [
         ("listen", "EDGE_LISTEN"), ("discovery", "EDGE_DISCOVERY"), ("admin", "EDGE_ADMIN"),
         ("peer_listen", "peer_listen"), ("peers_all", "peers_all")]),
-    ({"peers": ["a:1", "x"]}, "peers[1]: wants host:port, got 'x'"),
-    ({"seed": "zz"}, "seed: wants hex digits, got 'zz'"),
-    ({"name": "a/b"}, "EDGE_NAME: wants 200 printable bytes at most, no '/', got 'a/b'"),
+    ({"peers": ["a:1", "x"]}, "peers[1]: expected host:port, got 'x'"),
+    ({"seed": "zz"}, "seed: expected hex digits, got 'zz'"),
+    ({"name": "a/b"}, "EDGE_NAME: expected at most 200 printable bytes, no '/', got 'a/b'"),
     ({"settings": {}}, "settings.classes: at least one class is needed"),
     ({"settings": changed("limits.cancel", 2)}, "settings.limits.cancel: Expected "),
 ]
@@ -694,8 +772,8 @@
     ('"available"', '"x"', "line 8: fleet.limit[0].policy: Invalid enum value 'x'"),
     ('"local"', '"x"', "line 29: promises.class[0].level: Invalid enum value 'x'"),
     ('"datagrams"', '"x"', "line 5: fleet.carrier: Invalid enum value 'x'"),
-    ("on false", "on true", 'line 28: promises.on: wants the members of a fleet and its carrier "tcp"'),
-    ('member "gb"', 'member "ga"', "line 6: fleet.member[0].name: 'ga' stands twice"),
+    ("on false", "on true", 'line 28: promises.on: needs the members of a fleet and its carrier "tcp"'),
+    ('member "gb"', 'member "ga"', "line 6: fleet.member[0].name: 'ga' occurs twice"),
 ]
 # fmt: on
 
@@ -807,7 +885,10 @@
      ("t/1", 4, "obj:a", "p", "read", "vol", 2.5, 1200.5, 3, True, False)),
     (["Submit", "t/1", 4, "obj:a", "p", 4, 1200.5, "vol", 3, "read", 2.5],
      ("t/1", 4, "obj:a", "p", "read", "vol", 2.5, 1200.5, 3, False, True)),
-    (["Alarm", "tok"], ("tok",)),
+    (["Alarm", "turn tok"], (("tok",),)),
+    (["Alarm", "round"], ((),)),
+    (["Alarm", "overdue t/1 2"], (("t/1", 2),)),
+    (["Alarm", "ask"], ((),)),
     (["Done", "t/1", 2, "n1", "completed", 3.5, True, 4.5, 5.5, {"load": 6.5}],
      ("t/1", 2, "n1", "ok", 3.5, True, 4.5, 5.5, (("load", 6.5),))),
     (["Headers", "t/1", 2, "n1", 7.5], ("t/1", 2, "n1", 7.5)),
@@ -834,10 +915,11 @@
 
 
 def test_the_simulators_actions_are_written_as_this_line():
-    alarm = '{"time-ms":1,"groups":[{"host":"host-0","happened":[["Alarm","x"]]}]}'
+    alarm = '{"time-ms":1,"groups":[{"host":"host-0","happened":[["Alarm","round"]]}]}'
     want = (
         '[["CallOut","t/1","n1",12.5],["TurnAway","t/2",40.0],["Surrender","t/3"],["Revoke","t/4",2],'
-        '["Defer",3.5,"tok"],["AskLoad","n2"],["BroadcastTo",null,"é"],["BroadcastTo",4,"x"],'
+        '["Defer",3.5,"turn tok"],["Defer",20.0,"round"],["Defer",30.0,"overdue t/1 2"],["Defer",40.0,"ask"],'
+        '["AskLoad","n2"],["BroadcastTo",null,"é"],["BroadcastTo",4,"x"],'
         '["KeepInformed",true],["QueryAll"],["FreeLinks","n3"],["Emit","line"]]'
     )
     assert simulator_writes(ACTIONS, alarm) == f'{{"groups":[{{"host":"host-0","output":{want}}}]}}'
