--- a/shaletiller/fleet/broadcast_queue.py
+++ b/shaletiller/fleet/broadcast_queue.py
@@ -35,7 +35,7 @@
     """
 
     def __init__(self, members: int) -> None:
-        """Initialize the instance.
+        """Create an empty queue.
 
         :param members: size of the fleet.
         """
--- a/shaletiller/fleet/codec.py
+++ b/shaletiller/fleet/codec.py
@@ -186,7 +186,7 @@
     """Numbers and encodes the envelopes of one member."""
 
     def __init__(self, group: int, sender: int, incarnation: int) -> None:
-        """Initialize the instance.
+        """Create the writer of a member's process; its envelopes are numbered from 1.
 
         :param group: hash of the fleet, see `core.group_hash`.
         :param sender: number of the member.
@@ -233,7 +233,7 @@
     """Decodes and checks envelopes of other members; `dropped` counts what was dropped by reason."""
 
     def __init__(self, group: int, me: int, members: int) -> None:
-        """Initialize the instance.
+        """Create a reader that has seen no envelope.
 
         :param group: hash of the fleet, see `core.group_hash`.
         :param me: number of this member.
--- a/shaletiller/fleet/coordinator.py
+++ b/shaletiller/fleet/coordinator.py
@@ -72,7 +72,7 @@
         name: str = "",
         shares_warm_up_budgets: bool = True,
     ) -> None:
-        """Initialize the instance.
+        """Create the coordinator and its member of the fleet; nothing is sent before the first tick.
 
         :param me: number of this member.
         :param names: of all members.
@@ -81,7 +81,7 @@
         :param name: of the fleet.
         :param shares_warm_up_budgets: whether the warm-up budgets of nodes are limits of the fleet.
         """
-        self.settings = settings
+        self._settings = settings
         self._policies = policies
         self._shares_warm_up_budgets = shares_warm_up_budgets and settings.warm_up_units > 0
         self._gateway = gateway
@@ -107,7 +107,7 @@
         return preceding
 
     def _on_request(self, request: Request) -> None:
-        plan = next((plan for plan in self.settings.plans if plan.name == request.plan), None)
+        plan = next((plan for plan in self._settings.plans if plan.name == request.plan), None)
         if plan is not None and plan.limit_rate > 0:
             limit = Allowance(plan.limit_rate, plan.limit_burst)
             is_available = self._policies.get(plan.name, "strict") == "available"
@@ -116,7 +116,7 @@
                 f"{VOLUME_PREFIX}{request.volume}",
                 limit,
                 request.units,
-                self.settings.max_units,
+                self._settings.max_units,
                 self._now_ms,
                 partitioned_allowance=even_part,
             )
@@ -124,11 +124,11 @@
         if warming is not None and self._shares_warm_up_budgets:
             self.fleet.record_demand(
                 f"{WARM_UP_PREFIX}{warming}",
-                Allowance(0.0, self.settings.warm_up_units),
+                Allowance(0.0, self._settings.warm_up_units),
                 request.units,
-                self.settings.max_units,
+                self._settings.max_units,
                 self._now_ms,
-                settle_ms=self.settings.overload_window_ms,
+                settle_ms=self._settings.overload_window_ms,
             )
 
     def set_ejected(self, node: str, is_ejected: bool, now_ms: float) -> None:
--- a/shaletiller/fleet/core.py
+++ b/shaletiller/fleet/core.py
@@ -129,7 +129,7 @@
         seed: int = 0,
         name: str = "",
     ) -> None:
-        """Initialize the instance.
+        """Create a member that has not met the others; nothing is sent before the first tick.
 
         :param me: number of this member.
         :param members: names of all members; their order numbers them.
--- a/shaletiller/fleet/errors.py
+++ b/shaletiller/fleet/errors.py
@@ -15,7 +15,7 @@
     """
 
     def __init__(self, option: str, requirement: str) -> None:
-        """Initialize the instance."""
+        """Compose the text `OPTION: REQUIREMENT`."""
         super().__init__(f"{option}: {requirement}")
         self.option = option
 
@@ -24,7 +24,7 @@
     """A datagram is not an envelope that this member accepts."""
 
     def __init__(self, reason: str) -> None:
-        """Initialize the instance.
+        """Keep the reason for the statistics.
 
         :param reason: under which the drop is counted in STATS, as `fleet.dropped.REASON`.
         """
--- a/shaletiller/fleet/health_gossip.py
+++ b/shaletiller/fleet/health_gossip.py
@@ -150,7 +150,7 @@
         broadcast: Callable[[HealthRecord], None],
         on_change: Callable[[str, HealthKind], None] = _ignore_change,
     ) -> None:
-        """Initialize the instance.
+        """Create an empty map.
 
         :param broadcast: disseminates a record to all members by gossip.
         :param on_change: notified of each node and kind whose records have changed.
--- a/shaletiller/fleet/hlc.py
+++ b/shaletiller/fleet/hlc.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, max_ahead_ms: float = MAX_AHEAD_MS) -> None:
-        """Initialize the instance.
+        """Create a clock that starts at the epoch.
 
         :param max_ahead_ms: how far a received timestamp may be ahead of the local physical time.
         """
--- a/shaletiller/fleet/leases/accounts.py
+++ b/shaletiller/fleet/leases/accounts.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import math
-from collections import deque
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
@@ -17,10 +16,8 @@
     ExpiringAllowance,
     ExpiringAllowances,
     Quota,
-    from_wire,
-    to_wire,
 )
-from shaletiller.rate_counters import DecayingRate
+from shaletiller.rate_counters import DecayingRate, SlidingWindowSum
 
 # Empirical: how long demand is remembered.  Longer keeps quota at a member whose surge is over, shorter lets
 # quota oscillate with each gap between requests.
@@ -59,13 +56,12 @@
     published: Quota | None = None
     # Of an `available` limit, what this member may spend while it is partitioned from most of the fleet.
     partitioned_allowance: Allowance = NO_ALLOWANCE
-    window: deque[tuple[float, float]] = field(default_factory=deque)  # time, units requested in `settle_ms`
+    # Units requested, where `settle_ms` is above 0.
+    requested: SlidingWindowSum = field(default_factory=SlidingWindowSum)
 
     def units_in_window(self, now_ms: float) -> float:
         """Return the units requested in the window of the limit; at most so many were spent in it."""
-        while self.window and self.window[0][0] <= now_ms - self.settle_ms:
-            self.window.popleft()
-        return sum(units for _, units in self.window)
+        return self.requested.within(now_ms, self.settle_ms)
 
     def needed(self, now_ms: float) -> Allowance:
         """Return what the member would like to have in total, its own part included."""
@@ -90,7 +86,7 @@
         is_connected: Callable[[], bool],
         on_quota_change: Callable[[str, Quota], None],
     ) -> None:
-        """Initialize the instance.
+        """Create the accounts without limits.
 
         :param members: size of the fleet.
         :param started_ms: start of this process: before it the member may have pledged its own parts.
@@ -197,8 +193,3 @@
         self.stopped = True
         for limit, account in self._accounts.items():
             self.publish(limit, account, now_ms)
-
-
-def as_transmitted(allowance: Allowance) -> Allowance:
-    """Return an allowance rounded as a message carries it, so that all members compare equal values."""
-    return from_wire(*to_wire(allowance))
--- a/shaletiller/fleet/leases/election.py
+++ b/shaletiller/fleet/leases/election.py
@@ -11,7 +11,7 @@
     """The granter of each limit according to this member's view of the membership."""
 
     def __init__(self, me: int, alive: Callable[[], tuple[int, ...]]) -> None:
-        """Initialize the instance.
+        """Create the election over the members that `alive` returns.
 
         :param me: number of this member.
         :param alive: returns the members alive; the same object until the membership changes.
--- a/shaletiller/fleet/leases/granter.py
+++ b/shaletiller/fleet/leases/granter.py
@@ -44,6 +44,13 @@
         """Write the total that this granter has leased of a limit."""
 
 
+class PoolTotals(NamedTuple):
+    """What is pledged and what is leased of one limit."""
+
+    pledged: Allowance
+    leased: Allowance
+
+
 class _Demand(NamedTuple):
     allowance: Allowance
     received_ms: float
@@ -112,7 +119,7 @@
         timing: LeaseTiming,
         send: Callable[[int, AnyMessage], None],
     ) -> None:
-        """Initialize the instance.
+        """Create a granter without pools.
 
         :param members: size of the fleet.
         :param send: sends a message to a member, this one included.
@@ -127,10 +134,10 @@
         """Replicate lease tables from now on; to be called before the first message."""
         self._table = table
 
-    def totals(self, when_ms: float) -> dict[str, tuple[Allowance, Allowance]]:
+    def totals(self, when_ms: float) -> dict[str, PoolTotals]:
         """Return what is pledged and what is leased at a time, by limit."""
         return {
-            limit: (self._sum(pool.pledged, when_ms), self._sum(pool.leased, when_ms))
+            limit: PoolTotals(self._sum(pool.pledged, when_ms), self._sum(pool.leased, when_ms))
             for limit, pool in self._pools.items()
         }
 
--- a/shaletiller/fleet/leases/holder.py
+++ b/shaletiller/fleet/leases/holder.py
@@ -23,7 +23,7 @@
         timing: LeaseTiming,
         send: Callable[[int, AnyMessage], None],
     ) -> None:
-        """Initialize the instance.
+        """Create a holder without leases.
 
         :param send: sends a message to a member, this one included.
         """
@@ -33,21 +33,25 @@
     def record_demand(self, limit: str, account: LimitAccount, units: float, now_ms: float) -> None:
         """Count a request that is about to spend, publish the quota, and borrow where it does not suffice."""
         if account.settle_ms > 0:
-            account.window.append((now_ms, units))
+            account.requested.add(now_ms, units)
         account.demand.add(now_ms, units)
         account.last_demand_ms = account.last_used_ms = now_ms
         self._accounts.publish(limit, account, now_ms)
-        self._request_shortage(limit, account, now_ms)
+        if self._may_request(account, now_ms):  # first: on the path of each request it is mostly false
+            self._request_shortage(limit, account, now_ms)
 
     def renew(self, limit: str, account: LimitAccount, now_ms: float) -> None:
         """Request again what recent demand needs."""
         if now_ms - account.last_demand_ms < IDLE_TERMS * self._timing.term_ms:
             self._request_shortage(limit, account, now_ms)
 
+    def _may_request(self, account: LimitAccount, now_ms: float) -> bool:
+        return now_ms - account.last_lease_request_ms >= self._timing.request_interval_ms
+
     def _request_shortage(self, limit: str, account: LimitAccount, now_ms: float) -> None:
         """Request a lease, unless the own part suffices or a request was just sent."""
         shortage = self._accounts.shortage(account, now_ms)
-        if shortage is None or now_ms - account.last_lease_request_ms < self._timing.request_interval_ms:
+        if shortage is None or not self._may_request(account, now_ms):
             return
         account.last_lease_request_ms = now_ms
         request = LeaseRequest(
--- a/shaletiller/fleet/leases/manager.py
+++ b/shaletiller/fleet/leases/manager.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 
 from shaletiller.fleet.codec import AnyMessage, LeaseMessage, LeaseRequest, Pledge, PledgeRequest
-from shaletiller.fleet.leases.accounts import LimitAccounts, as_transmitted
+from shaletiller.fleet.leases.accounts import LimitAccounts
 from shaletiller.fleet.leases.election import GranterElection
-from shaletiller.fleet.leases.granter import Granter, LeaseTable
+from shaletiller.fleet.leases.granter import Granter, LeaseTable, PoolTotals
 from shaletiller.fleet.leases.holder import Holder
 from shaletiller.fleet.leases.owner import Owner
 from shaletiller.fleet.leases.requests import RequestLog
 from shaletiller.fleet.leases.timing import GranterId, LeaseTiming
-from shaletiller.fleet.quotas import NO_ALLOWANCE, Allowance, Quota
+from shaletiller.fleet.quotas import NO_ALLOWANCE, Allowance, Quota, from_wire, to_wire
 
 
 class LeaseManager:
@@ -29,7 +29,7 @@
         on_quota_change: Callable[[str, Quota], None],
         is_connected: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Initialize the instance.
+        """Create the three roles of a member without quotas.
 
         :param me: number of this member.
         :param members: size of the fleet.
@@ -72,7 +72,9 @@
         :param partitioned_allowance: makes the limit `available`: what this member may spend while it is
             partitioned from most of the fleet.
         """
-        account = self._accounts.open(limit, as_transmitted(allowance), settle_ms, now_ms)
+        # Rounded as a message carries it: an account compares it with the value in messages.
+        transmitted = from_wire(*to_wire(allowance))
+        account = self._accounts.open(limit, transmitted, settle_ms, now_ms)
         account.max_request_units = max(account.max_request_units, max_request_units)
         account.partitioned_allowance = partitioned_allowance
         self._holder.record_demand(limit, account, units, now_ms)
@@ -90,7 +92,7 @@
         """Return the granter of a limit according to this member's view of the membership."""
         return self._election.granter_of(limit)
 
-    def granted(self) -> dict[str, tuple[Allowance, Allowance]]:
+    def granted(self) -> dict[str, PoolTotals]:
         """Return what was pledged and what was leased at the last tick, by limit granted here."""
         return self._granter.totals(self._ticked_ms)
 
--- a/shaletiller/fleet/leases/owner.py
+++ b/shaletiller/fleet/leases/owner.py
@@ -25,7 +25,7 @@
         timing: LeaseTiming,
         send: Callable[[int, AnyMessage], None],
     ) -> None:
-        """Initialize the instance.
+        """Create an owner without pledges.
 
         :param send: sends a message to a member, this one included.
         """
--- a/shaletiller/fleet/leases/requests.py
+++ b/shaletiller/fleet/leases/requests.py
@@ -7,7 +7,7 @@
     """Numbers a member's requests and remembers when each was sent, by the member's own clock."""
 
     def __init__(self) -> None:
-        """Initialize the instance."""
+        """Create an empty log."""
         self._last_nonce = 0
         self._sent_ms: dict[int, float] = {}
 
--- a/shaletiller/fleet/membership.py
+++ b/shaletiller/fleet/membership.py
@@ -129,7 +129,7 @@
         digest: Callable[[], int] = lambda: 0,
         on_change: Callable[[int, MemberState, MemberState], None] = _ignore_change,
     ) -> None:
-        """Initialize the instance.
+        """Create the view of a member that has not met the others.
 
         :param me: number of this member.
         :param members: size of the fleet.
--- a/shaletiller/fleet/node_observer.py
+++ b/shaletiller/fleet/node_observer.py
@@ -58,7 +58,7 @@
     """Publishes this gateway's observations of the nodes on its endpoint list."""
 
     def __init__(self, settings: Settings, fleet: Fleet) -> None:
-        """Initialize the instance."""
+        """Create an observer without nodes."""
         self._settings, self._fleet = settings, fleet
         self._nodes: dict[str, _ObservedNode] = {}
         self._warming: dict[int, WarmingNode] = {}  # latest to start, by shard
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -49,7 +49,7 @@
         clock: Clock,
         on_departure: DepartureHandler,
     ) -> None:
-        """Initialize the instance.
+        """Create the gateway's member on the carrier that the operator file configures.
 
         :param part: the fleet's part of the operator file.
         :param on_departure: receives what other gateways' endpoint lists say of nodes.
--- a/shaletiller/net/links.py
+++ b/shaletiller/net/links.py
@@ -43,7 +43,7 @@
     """Outgoing link to one other gateway."""
 
     def __init__(self, address: tuple[str, int], jitter: random.Random) -> None:
-        """Initialize the instance.
+        """Create a link that is not connected; `run` connects it.
 
         :param address: of that gateway.
         :param jitter: source of the backoff's jitter.
@@ -130,7 +130,7 @@
         on_message: Callable[[bytes], None],
         seed: int,
     ) -> None:
-        """Initialize the instance.
+        """Create the links; `start` connects them.
 
         :param me: number of this gateway.
         :param addresses: of all gateways, by number.
--- a/shaletiller/net/peers.py
+++ b/shaletiller/net/peers.py
@@ -23,7 +23,7 @@
         on_text: Callable[[int, str], None],
         on_fleet_envelope: Callable[[bytes], None] | None = None,
     ) -> None:
-        """Initialize the instance.
+        """Create an endpoint without a socket; `start` binds it.
 
         :param peers: addresses of all gateways; their order numbers them.
         :param broadcast_address: reaches all gateways; `None` where the platform has none.
