--- a/shaletiller/replication/state_transfer.py
+++ b/shaletiller/replication/state_transfer.py
@@ -17,9 +17,8 @@
 from shaletiller.replication.transfer_budget import TransferBudget, row_bytes
 from shaletiller.store.record_format import RecordUpdate
 
-RETRANSMIT_MS = (
-    150.0  # empirical: a lost page delays recovery by this much against duplicates from a slow store
-)
+# Empirical: a lost page delays recovery by this much, against duplicate pages from a slow store.
+RETRANSMIT_MS = 150.0
 PAGE_BYTES = 48_000  # empirical: well below a link's frame, large enough that few round trips fill a store
 
 
