--- a/shaletiller/adapter.py
+++ b/shaletiller/adapter.py
@@ -47,7 +47,7 @@
     "refused_conn": Outcome.CONNECT_FAILED,
     "severed": Outcome.RESET,
     "recalled": Outcome.CANCELLED,
-    "superseded": Outcome.MOOT,
+    "superseded": Outcome.NOT_SENT,
 }
 REPEAT_BIT, WRITE_BIT = 2, 4
 
@@ -92,14 +92,14 @@
     return Request(
         request=v[0],
         shard=int(_at(v, 1, 0)),
-        extent=_at(v, 2, ""),
+        object_key=_at(v, 2, ""),
         plan=_at(v, 3, ""),
-        repeat=bool(bits & REPEAT_BIT),
+        is_retry=bool(bits & REPEAT_BIT),
         write=bool(bits & WRITE_BIT),
         deadline_in_ms=float(v[5]),
         volume=_at(v, 6, ""),
         volume_gateways=int(_at(v, 7, 1)),
-        service=v[8],
+        request_class=v[8],
         units=float(_at(v, 9, 1)),
     )
 
@@ -111,10 +111,10 @@
         node=v[2],
         outcome=OUTCOMES[v[3]],
         latency_ms=float(_at(v, 4, 0)),
-        over=bool(_at(v, 5, False)),
-        used=float(_at(v, 6, 0)),
+        request_finished=bool(_at(v, 5, False)),
+        usage_percent_plus_one=float(_at(v, 6, 0)),
         other_gateways_units=float(_at(v, 7, 0)),
-        report=_report(_at(v, 8, None)),
+        load_report=_report(_at(v, 8, None)),
     )
 
 
@@ -136,7 +136,7 @@
     Reject: lambda a: ["TurnAway", a.request, a.retry_after_ms],
     Fail: lambda a: ["Surrender", a.request],
     CancelAttempt: lambda a: ["Revoke", a.request, a.attempt],
-    StartTimer: lambda a: ["Defer", a.wait_ms, a.token],
+    StartTimer: lambda a: ["Defer", a.wait_ms, a.timer],
     SendHealthCheck: lambda a: ["AskLoad", a.node],
     SendPeerMessage: lambda a: ["BroadcastTo", a.peer, a.data],
     WatchEndpoints: lambda a: ["KeepInformed", a.active],
--- a/shaletiller/core/accept.py
+++ b/shaletiller/core/accept.py
@@ -33,27 +33,27 @@
     def __call__(self, call: ClientCall, answer: Callable[[FinalResponse], None]) -> Exchange:
         self._check(call)
         now_ms = self._clock.now_ms()
-        safe = self._classes[call.service].effect is Idempotency.SAFE
+        safe = self._classes[call.request_class].effect is Idempotency.SAFE
         exchange = Exchange(call, answer, now_ms, now_ms + call.timeout_ms, safe)
         self._table[call.id] = exchange
         return exchange
 
     def _check(self, call: ClientCall) -> None:
-        if call.service not in self._classes:
-            raise BadRequestError(f"unknown class {call.service!r}")
+        if call.request_class not in self._classes:
+            raise BadRequestError(f"unknown class {call.request_class!r}")
         if call.plan not in self._plans:
             raise BadRequestError(f"unknown plan {call.plan!r}")
         if not 0 < call.units <= self._most_units:
             raise BadRequestError("units out of range")
-        if self._told_writes and self._classes[call.service].writes != call.write:
-            raise BadRequestError(f"class {call.service!r} is not for this method")
-        if self._classes[call.service].effect is Idempotency.KEYED and not call.idempotency_key:
+        if self._told_writes and self._classes[call.request_class].writes != call.write:
+            raise BadRequestError(f"class {call.request_class!r} is not for this method")
+        if self._classes[call.request_class].effect is Idempotency.KEYED and not call.idempotency_key:
             # Nodes could not tell its repeats from new work, and would run each of them.
-            raise BadRequestError(f"class {call.service!r} wants an Idempotency-Key")
-        if call.shard < -1 or call.hosts < 1 or 0 < self._shards <= call.shard:
+            raise BadRequestError(f"class {call.request_class!r} wants an Idempotency-Key")
+        if call.shard < -1 or call.volume_gateways < 1 or 0 < self._shards <= call.shard:
             raise BadRequestError("shard or hosts out of range")
         # How long a class may take is the site's to say; far beyond that is no time-out of its clients.
-        longest_ms = max(LONGEST_MS, 2 * self._classes[call.service].deadline_ms)
+        longest_ms = max(LONGEST_MS, 2 * self._classes[call.request_class].deadline_ms)
         if not 0 < call.timeout_ms <= longest_ms:
             raise BadRequestError("time-out out of range")
         # Its attempts may be out for a while after its answer, and outcomes are told apart by the id.
--- a/shaletiller/core/admit.py
+++ b/shaletiller/core/admit.py
@@ -19,14 +19,14 @@
             Request(
                 request=call.id,
                 shard=call.shard,
-                extent=call.key,
+                object_key=call.key,
                 plan=call.plan,
-                service=call.service,
+                request_class=call.request_class,
                 volume=call.volume,
                 units=call.units,
                 deadline_in_ms=call.timeout_ms if left_ms is None else left_ms,
-                volume_gateways=call.hosts,
-                repeat=call.repeat,
+                volume_gateways=call.volume_gateways,
+                is_retry=call.is_retry,
                 write=call.write,
             )
         )
--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -153,12 +153,12 @@
             entry = replace(place.entry, started_ms=started_ms)
             self.nodes(UpdateKind.CHANGES, 0, (Endpoint(entry, place.address, place.back),))
 
-    def tally(self, service: str, verdict: FinalResult) -> None:
+    def tally(self, request_class: str, verdict: FinalResult) -> None:
         """A final answer given without the module, to a request that named its class."""
         # Names that clients make up must not grow the figures without end.
-        if service and (service in self._named or len(self._named) < MOST_NAMES):
-            self._named.add(service)
-            metrics.tally(self.counts, service, verdict)
+        if request_class and (request_class in self._named or len(self._named) < MOST_NAMES):
+            self._named.add(request_class)
+            metrics.tally(self.counts, request_class, verdict)
 
     def retune(self, settings: Settings) -> None:
         """New settings at SIGHUP: new calls are checked by them; what is held keeps its class."""
@@ -227,7 +227,7 @@
         attempt = Attempt(len(exchange.attempts), act.node, now_ms)
         exchange.attempts.append(attempt)
         if place is None:
-            self.book(exchange, attempt, AttemptResult(Outcome.MOOT))
+            self.book(exchange, attempt, AttemptResult(Outcome.NOT_SENT))
         else:
             self.send(exchange, attempt, place, act.timeout_ms, act.start_within_ms)
 
@@ -249,7 +249,7 @@
             self.send.stop(attempt, Outcome.CANCELLED)
 
     def _on_timer(self, act: StartTimer) -> None:
-        self._clock.call_later(act.wait_ms, self.decide, TimerExpired(act.token))
+        self._clock.call_later(act.wait_ms, self.decide, TimerExpired(act.timer))
 
     def _on_close_idle(self, act: CloseIdleConnections) -> None:
         place = self.route.find(act.node)
@@ -268,7 +268,7 @@
         sent_ms = self._clock.now_ms()
         reply = await place.back.probe(place.address)
         latency_ms = self._clock.now_ms() - sent_ms
-        self.decide(HealthCheckEnded(place.entry.node, reply.outcome, latency_ms, reply.report))
+        self.decide(HealthCheckEnded(place.entry.node, reply.outcome, latency_ms, reply.load_report))
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Work beside the requests; its errors are logged and end nothing else."""
--- a/shaletiller/core/metrics.py
+++ b/shaletiller/core/metrics.py
@@ -7,9 +7,9 @@
 RESULT = {FinalResult.SERVED: "succeeded", FinalResult.REFUSED: "declined", FinalResult.FAILED: "aborted"}
 
 
-def tally(counts: dict[str, int], service: str, verdict: FinalResult) -> None:
+def tally(counts: dict[str, int], request_class: str, verdict: FinalResult) -> None:
     """One final answer of a class."""
-    name = f"results.{service}.{RESULT[verdict]}"
+    name = f"results.{request_class}.{RESULT[verdict]}"
     counts[name] = counts.get(name, 0) + 1
 
 
@@ -17,8 +17,8 @@
     """`edge.NAME=VALUE`, each class's results first, those of a class that is no longer set too."""
     told = [name.split(".")[1] for name in counts if name.startswith("results.")]
     found = [
-        f"edge.results.{service}.{word}={counts.get(f'results.{service}.{word}', 0)}"
-        for service in dict.fromkeys([*classes, *told])
+        f"edge.results.{request_class}.{word}={counts.get(f'results.{request_class}.{word}', 0)}"
+        for request_class in dict.fromkeys([*classes, *told])
         for word in RESULT.values()
     ]
     return found + [f"edge.{name}={value}" for name, value in gauges.items()]
--- a/shaletiller/core/record.py
+++ b/shaletiller/core/record.py
@@ -10,7 +10,7 @@
 from shaletiller.messages.events import AttemptEnded, Event
 from shaletiller.messages.outcomes import Outcome
 
-UNSENT = (Outcome.CONNECT_FAILED, Outcome.MOOT)  # the attempts that no node was handed whole
+UNSENT = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # the attempts that no node was handed whole
 
 
 class OutcomeRecorder:
@@ -45,9 +45,9 @@
                 node=attempt.node,
                 outcome=reply.outcome,
                 latency_ms=latency_ms,
-                over=exchange.over,
-                used=reply.used,
+                request_finished=exchange.over,
+                usage_percent_plus_one=reply.usage_percent_plus_one,
                 other_gateways_units=reply.other_gateways_units,
-                report=reply.report,
+                load_report=reply.load_report,
             )
         )
--- a/shaletiller/core/respond.py
+++ b/shaletiller/core/respond.py
@@ -29,7 +29,7 @@
         exchange.final = answer.verdict
         self.forget(exchange)
         self._counts[answer.verdict.value] = self._counts.get(answer.verdict.value, 0) + 1
-        tally(self._counts, exchange.call.service, answer.verdict)
+        tally(self._counts, exchange.call.request_class, answer.verdict)
         try:
             exchange.answer(answer)
         except Exception as error:  # a broken front must not take the other requests with it
--- a/shaletiller/messages/actions.py
+++ b/shaletiller/messages/actions.py
@@ -40,7 +40,7 @@
     """Ask for a TimerExpired."""
 
     wait_ms: float
-    token: str
+    timer: str
 
 
 class SendHealthCheck(Message, frozen=True):
--- a/shaletiller/messages/endpoints.py
+++ b/shaletiller/messages/endpoints.py
@@ -19,7 +19,7 @@
 
     CHANGES = 0
     FULL = 1
-    REMEMBERED = 2
+    CACHED = 2
     FAILED = 3
 
 
--- a/shaletiller/messages/events.py
+++ b/shaletiller/messages/events.py
@@ -16,7 +16,7 @@
     kind: UpdateKind
     entries: tuple[EndpointEntry, ...] = ()
     version: int = 0
-    late_ms: float = 0.0  # it may have been told so long ago: the watch was broken meanwhile
+    staleness_ms: float = 0.0  # it may have been told so long ago: the watch was broken meanwhile
 
 
 class Request(Message, frozen=True):
@@ -24,14 +24,14 @@
 
     request: str
     shard: int
-    extent: str
+    object_key: str
     plan: str
-    service: str
+    request_class: str
     volume: str
     units: float
     deadline_in_ms: float
     volume_gateways: int = 1
-    repeat: bool = False
+    is_retry: bool = False
     write: bool = False
 
 
@@ -43,10 +43,10 @@
     node: str
     outcome: Outcome
     latency_ms: float
-    over: bool
-    used: float = 0.0
+    request_finished: bool
+    usage_percent_plus_one: float = 0.0
     other_gateways_units: float = 0.0
-    report: tuple[tuple[str, float], ...] = ()
+    load_report: tuple[tuple[str, float], ...] = ()
 
 
 class ResponseStarted(Message, frozen=True):
@@ -70,7 +70,7 @@
     node: str
     outcome: Outcome
     latency_ms: float
-    report: tuple[tuple[str, float], ...] = ()
+    load_report: tuple[tuple[str, float], ...] = ()
 
 
 class PeerMessageReceived(Message, frozen=True):
@@ -92,13 +92,13 @@
     """What several hosts say of a node, beside what this one sees of it itself."""
 
     node: str
-    gone_until_ms: float  # attempts find nothing there; a time that is past: nobody says so any more
+    down_until_ms: float  # attempts find nothing there; a time that is past: nobody says so any more
 
 
 class TimerExpired(Message, frozen=True):
     """A timer that this host set has come due."""
 
-    token: str
+    timer: str
 
 
 Event = (
--- a/shaletiller/messages/outcomes.py
+++ b/shaletiller/messages/outcomes.py
@@ -15,12 +15,12 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
     @property
     def never_ran(self) -> bool:
         """Whether this outcome proves that the node did none of the work."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
     @property
     def may_still_run(self) -> bool:
--- a/shaletiller/net/discovery.py
+++ b/shaletiller/net/discovery.py
@@ -117,7 +117,7 @@
     def start_from_known(self, source: Source = Source.GIVEN) -> None:
         """The list as this gateway last had it; it may be old."""
         try:
-            self._take(self._known, UpdateKind.REMEMBERED, source)
+            self._take(self._known, UpdateKind.CACHED, source)
         except EndpointListError as error:
             logger.warning(f"known list left out: {error}")
 
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -76,7 +76,7 @@
             # The platform numbers its gateways, and each reaches the others at addresses of its own.
             if not config.settings.peer_messages_allowed or not config.peers:
                 raise ConfigError("EDGE_OPERATOR: fleet.carrier: the settings allow gateways no datagrams")
-            return [str(number) for number in range(len(config.peers))], config.settings.position
+            return [str(number) for number in range(len(config.peers))], config.settings.gateway_index
         names = [member.name for member in part.member]
         return names, names.index(part.me or config.name)
 
--- a/shaletiller/net/http_server.py
+++ b/shaletiller/net/http_server.py
@@ -90,19 +90,19 @@
         raise TooLate
     return ClientCall(
         id=call_id,
-        service=_one(head, "Request-Class"),
+        request_class=_one(head, "Request-Class"),
         plan=_one(head, "Tier"),
         volume=info["volume"],
         key=target[1],
         units=_number(info.get("units", ""), "IO-Info units"),
         shard=_whole(info.get("shard", ""), "IO-Info shard"),
-        hosts=_whole(info.get("hosts", ""), "IO-Info hosts"),
+        volume_gateways=_whole(info.get("hosts", ""), "IO-Info hosts"),
         timeout_ms=min(most_ms, told_ms - waited_ms),
         write=head.method == "PUT",
         method=head.method,
         target=head.path,
         body=body,
-        repeat=head.headers.get("Client-Retry") == "1",
+        is_retry=head.headers.get("Client-Retry") == "1",
         idempotency_key=_idempotency_key(head),
     )
 
--- a/shaletiller/net/http_upstream.py
+++ b/shaletiller/net/http_upstream.py
@@ -264,9 +264,9 @@
         return AttemptResult(
             outcome,
             body if outcome is Outcome.OK and body is not None else b"",
-            used=0.0 if used is None else used + 1,
+            usage_percent_plus_one=0.0 if used is None else used + 1,
             other_gateways_units=whole(headers.get("Other-Hosts")) or 0.0,
-            report=read_report(load, self._settings.load_report_fields) if load else (),
+            load_report=read_report(load, self._settings.load_report_fields) if load else (),
             latency_ms=latency_ms,
         )
 
@@ -281,7 +281,9 @@
                         response.close()
                     text = (found or b"").decode(errors="replace")
                     outcome = Outcome.OK if response.status == 200 else Outcome.ERROR
-                    return AttemptResult(outcome, report=read_report(text, self._settings.load_report_fields))
+                    return AttemptResult(
+                        outcome, load_report=read_report(text, self._settings.load_report_fields)
+                    )
         except TimeoutError:
             return AttemptResult(Outcome.TIMEOUT)
         except Exception as error:
--- a/shaletiller/net/replication.py
+++ b/shaletiller/net/replication.py
@@ -262,7 +262,7 @@
 
     def _vow(self, exchange: Exchange) -> bool:
         call = exchange.call
-        if call.service not in self._copied or not call.write:
+        if call.request_class not in self._copied or not call.write:
             return False
         key = key_of(call)
         groups, peers = self.promises.groups, self._members.membership.peers
@@ -449,5 +449,5 @@
 
 def key_of(call: ClientCall) -> str:
     """What the repeats of a write share: its class, its volume, and its Idempotency-Key or its own id."""
-    key = f"w:{call.service}:{call.volume}:{call.idempotency_key or call.id}"
+    key = f"w:{call.request_class}:{call.volume}:{call.idempotency_key or call.id}"
     return key if len(key) <= MOST_KEY else f"w:{xxhash.xxh3_128_hexdigest(key.encode())}"
--- a/shaletiller/policy/admission_limits.py
+++ b/shaletiller/policy/admission_limits.py
@@ -30,7 +30,7 @@
             self._guarantee.count_asked(pending)
             return True
         plan, age_s = pending.volume.plan, (now_ms - pending.volume.limit_since_ms) / 1000
-        cap = min(plan.limit_burst, plan.limit_rate * age_s * AGE_PART) / pending.volume.hosts
+        cap = min(plan.limit_burst, plan.limit_rate * age_s * AGE_PART) / pending.volume.gateways
         left = self._level(pending, now_ms) - unsent_units(pending, known)
         if left < 0:
             return False
@@ -49,16 +49,18 @@
 
     def _level(self, pending: Pending, now_ms: float) -> float:
         """Where the fleet deals out the limit, by the share in hand at this moment: a lease may be over."""
-        plan, part = pending.volume.plan, 1 / pending.volume.hosts
+        plan, part = pending.volume.plan, 1 / pending.volume.gateways
         even = Quota(Amount(plan.limit_rate * part, plan.limit_burst * part))
         return pending.volume.limit.by_share(now_ms, self._volumes.share(pending.ask.volume) or even)
 
     def band(self, pending: Pending, upstream: Upstream, now_ms: float) -> int:
         """Whether the volume is inside its reserve, its weighted share of the node, or beyond."""
         volume, units, most = pending.volume, pending.ask.units, self._site.settings.max_units
-        if volume.plan.reserve > 0:
-            mine = max(volume.plan.reserve / volume.hosts, volume.plan.reserve - volume.others_rate)
-            if self._draw(pending, volume.reserve, mine, now_ms):
+        if volume.plan.reserved_rate > 0:
+            mine = max(
+                volume.plan.reserved_rate / volume.gateways, volume.plan.reserved_rate - volume.others_rate
+            )
+            if self._draw(pending, volume.reserved_rate, mine, now_ms):
                 return RESERVE
         upstream.excess.setdefault(pending.ask.volume, DecayingRate()).add(now_ms, units)
         rate = self._share_rate(upstream, volume, now_ms)
--- a/shaletiller/policy/concurrency_limit.py
+++ b/shaletiller/policy/concurrency_limit.py
@@ -34,7 +34,7 @@
     demands = [
         Demand(
             rounded_rate(asked.add(now_ms)),
-            site.worth[kind],
+            site.priority_weight[kind],
             site.settings.mean_units,
             site.rounds[kind // BANDS],
         )
@@ -50,7 +50,7 @@
     counts = [
         at
         for name, at in site.class_index.items()
-        if max(guarantee.requests.share(name), guarantee.worth.share(name)) >= COUNTS_FROM
+        if max(guarantee.requests.share(name), guarantee.priority_weight.share(name)) >= COUNTS_FROM
     ]
     aims = [site.settings.classes[at].latency_objective_ms / latency.ratio(at) for at in counts]
     return min(aims, default=site.tightest_aim_ms)
--- a/shaletiller/policy/fair_share.py
+++ b/shaletiller/policy/fair_share.py
@@ -17,7 +17,7 @@
 
     def __init__(self, site: Site, latency: Latency) -> None:
         self._site, self._latency = site, latency
-        self.requests, self.worth = (
+        self.requests, self.priority_weight = (
             DecayingShares(ASKED_REQUESTS),
             DecayingShares(ASKED_REQUESTS),
         )  # what is asked for, by class
@@ -26,12 +26,12 @@
     def count_asked(self, pending: Pending) -> None:
         """A request has come that its volume's limit leaves room for."""
         self.requests.count(pending.spec.name)
-        self.worth.count(pending.spec.name, pending.ask.units * pending.spec.worth)
+        self.priority_weight.count(pending.spec.name, pending.ask.units * pending.spec.priority_weight)
 
     def count_released(self, pending: Pending) -> None:
         """A request goes out for the first time."""
         most = CREDIT_REQUESTS * self._site.settings.mean_units
-        earns = [(name, GUARANTEED * share) for name, share in self.worth.shares()]
+        earns = [(name, GUARANTEED * share) for name, share in self.priority_weight.shares()]
         self._work.spend(pending.spec.name, self._latency.work(pending), earns, most)
         self._units.spend(pending.spec.name, pending.ask.units, earns, most)
 
--- a/shaletiller/policy/payoff.py
+++ b/shaletiller/policy/payoff.py
@@ -30,10 +30,10 @@
     return served, chance[top] / total
 
 
-def payoff_rate(arrival: float, batch: float, slots: int, rounds: int, worth: float) -> float:
+def payoff_rate(arrival: float, batch: float, slots: int, rounds: int, priority_weight: float) -> float:
     """What a class earns a second with so many slots (equations 4 and 5 of the paper)."""
     served, full = batch_queue(arrival, batch, slots, rounds)
-    return worth * served - PENALTY * arrival * full
+    return priority_weight * served - PENALTY * arrival * full
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
     """A class as the split sees it."""
 
     arrival: float  # requests a second
-    worth: float  # of one request
+    priority_weight: float  # of one request
     units: float  # of one request
     rounds: int
 
@@ -50,13 +50,13 @@
     """Slots for each class: always the step that adds most payoff for its units.
 
     The paper's search fixes one class after the other; payoff flattens, so this reaches at least as far."""
-    slots, worth, room = [0] * len(demands), [0.0] * len(demands), capacity
+    slots, priority_weight, room = [0] * len(demands), [0.0] * len(demands), capacity
 
     def step(at: int) -> tuple[float, float]:
         """The payoff of one slot more for a class, and the gain for its units."""
         demand = demands[at]
-        rate = payoff_rate(demand.arrival, batch, slots[at] + 1, demand.rounds, demand.worth)
-        return rate, (rate - worth[at]) / demand.units
+        rate = payoff_rate(demand.arrival, batch, slots[at] + 1, demand.rounds, demand.priority_weight)
+        return rate, (rate - priority_weight[at]) / demand.units
 
     steps = {at: step(at) for at, demand in enumerate(demands) if demand.arrival > 0}
     while True:
@@ -67,7 +67,7 @@
         if best < 0:
             return slots
         slots[best] += 1
-        worth[best] = steps[best][0]
+        priority_weight[best] = steps[best][0]
         room -= demands[best].units
         steps[best] = step(best)  # no other class's step has changed
 
--- a/shaletiller/policy/retries.py
+++ b/shaletiller/policy/retries.py
@@ -38,7 +38,7 @@
             return False
         node = pending.upstream.node
         zone = nodes[node].zone if node else ""
-        return pending.spec.scope is not DeduplicationScope.ZONE or zone == pending.risky.zone
+        return pending.spec.deduplication_scope is not DeduplicationScope.ZONE or zone == pending.risky.zone
 
     def allow(self, pending: Pending, nodes: Mapping[str, EndpointEntry], now_ms: float) -> bool:
         return self.effect_allows(pending, nodes, now_ms) and self.budget_allows(now_ms)
@@ -59,4 +59,7 @@
     """Whether its client may try again without harm: no attempt may have run, or a repeat is discarded."""
     if pending.spec.effect is Idempotency.SAFE or (pending.risky is None and pending.out == 0):
         return True
-    return pending.spec.effect is Idempotency.KEYED and pending.spec.scope is DeduplicationScope.ALL
+    return (
+        pending.spec.effect is Idempotency.KEYED
+        and pending.spec.deduplication_scope is DeduplicationScope.ALL
+    )
--- a/shaletiller/policy/scheduler.py
+++ b/shaletiller/policy/scheduler.py
@@ -60,7 +60,7 @@
         self._limits = Limits(self._site, self._volumes, self._guarantee)
         self._bearable_ms = self._site.tightest_aim_ms
         self._upstreams: dict[int, Upstream] = {}  # by shard
-        self._testers = float(settings.hosts)  # hosts that meet a node
+        self._testers = float(settings.gateways)  # hosts that meet a node
         self._nodes: dict[str, EndpointEntry] = {}
         self._drains: dict[str, float] = {}  # until when a draining node may still get work
         self._pending: dict[str, Pending] = {}
@@ -118,7 +118,7 @@
             self._actions.append(WatchEndpoints())
 
     def _on_timer(self, event: TimerExpired) -> None:
-        token, _, rest = event.token.partition(" ")
+        token, _, rest = event.timer.partition(" ")
         if token == "round":
             self._round()
         elif token == "turn":
@@ -135,7 +135,7 @@
         self._volumes.forget(self._upstreams.values(), self._now)
         self._bearable_ms = concurrency_limit.bearable_ms(self._site, self._latency, self._guarantee)
         near = sum(self._now - upstream.heard_ms < FORGET_MS for upstream in self._upstreams.values())
-        self._testers = self.settings.hosts * min(1.0, near / (self.settings.shards or near or 1))
+        self._testers = self.settings.gateways * min(1.0, near / (self.settings.shards or near or 1))
         for upstream in self._upstreams.values():
             concurrency_limit.settle_round(upstream, self.settings.mean_units)
             concurrency_limit.split_slots(upstream, self._site, self._now)
@@ -215,7 +215,9 @@
         queue, head = upstream.queues[kind], upstream.queues[kind][0]
         if not self._fits(head, upstream):
             return False
-        for each in [each for each in queue if each is head or each.ask.extent == head.ask.extent != ""]:
+        for each in [
+            each for each in queue if each is head or each.ask.object_key == head.ask.object_key != ""
+        ]:
             if each is head or self._fits(each, upstream, joins=True):
                 queue.remove(each)
                 self._occupy(each, upstream, batch)
@@ -240,13 +242,13 @@
         return batch
 
     def _send_batch(self, batch: list[Pending]) -> None:
-        for pending in sorted(batch, key=lambda each: each.ask.extent):
+        for pending in sorted(batch, key=lambda each: each.ask.object_key):
             upstream, node, request = pending.upstream, pending.upstream.node or "", pending.ask.request
             zone = self._nodes[node].zone
             self._attempts[request, pending.sends] = Attempt(pending, upstream, node, zone, self._now)
             pending.sends, pending.out = pending.sends + 1, pending.out + 1
-            if pending.spec.ordered and pending.ask.extent:
-                self._key_queues[pending.ask.extent].busy += 1
+            if pending.spec.ordered and pending.ask.object_key:
+                self._key_queues[pending.ask.object_key].busy += 1
             window_ms = self._retries.window_ms(pending, self._now)
             self._actions.append(SendAttempt(request, node, start_within_ms=window_ms))
             overdue_in_ms = concurrency_limit.patience_ms(pending, self._latency)
@@ -255,7 +257,7 @@
 
     def _on_request(self, ask: Request) -> None:
         self._retries.count(self._retries.requests, self._now)
-        spec = self.settings.classes[self._site.class_index[ask.service]]
+        spec = self.settings.classes[self._site.class_index[ask.request_class]]
         volume = self._volumes.of(ask, self._now, self._start_ms)
         due_ms = self._now + min(spec.latency_objective_ms, ask.deadline_in_ms)
         upstream, half_ms = self._upstream_for(ask.shard), self._now + ask.deadline_in_ms / 2
@@ -265,11 +267,11 @@
         self._pending[ask.request] = pending
         if not self._limits.allows(pending, self._pending.values(), self._now):
             self._give_up(pending)
-        elif spec.ordered and ask.extent:
-            queue = self._key_queues.setdefault(ask.extent, KeyQueue())
+        elif spec.ordered and ask.object_key:
+            queue = self._key_queues.setdefault(ask.object_key, KeyQueue())
             queue.line.append(pending)
             if len(queue.line) == 1:
-                self._advance(ask.extent)
+                self._advance(ask.object_key)
         else:
             self._admit(pending)
 
@@ -277,8 +279,8 @@
         """Send at once while there is room, wait while the queue holds, else refuse at once."""
         ask, upstream = pending.ask, pending.upstream
         band = self._limits.band(pending, upstream, self._now)
-        kind = pending.kind = self._site.class_index[ask.service] * BANDS + band
-        if not ask.repeat:
+        kind = pending.kind = self._site.class_index[ask.request_class] * BANDS + band
+        if not ask.is_retry:
             upstream.asked[kind].add(self._now, 1)
         if not upstream.queues[kind] and self._fits(pending, upstream):
             self._send_batch(self._occupy(pending, upstream, []))
@@ -307,8 +309,10 @@
 
     def _wait_ms(self, pending: Pending, upstream: Upstream) -> float:
         """How long what waits ahead of a request takes a node that gets through what is out in its lag."""
-        worth = self._site.worth
-        ahead = upstream.waiting_units(at for at, each in enumerate(worth) if each >= worth[pending.kind])
+        priority_weight = self._site.priority_weight
+        ahead = upstream.waiting_units(
+            at for at, each in enumerate(priority_weight) if each >= priority_weight[pending.kind]
+        )
         return ahead / upstream.taken * upstream.latency_ms if upstream.taken > 0 else 0.0
 
     def _on_outcome(self, event: AttemptEnded) -> None:
@@ -322,9 +326,9 @@
         self._rest_key(pending, event)
         if not event.outcome.never_ran:
             pending.risky = pending.risky or attempt
-        if event.outcome not in (Outcome.CONNECT_FAILED, Outcome.MOOT):
+        if event.outcome not in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
             pending.half_ms = math.inf
-        if event.over or pending.ask.request not in self._pending:
+        if event.request_finished or pending.ask.request not in self._pending:
             self._finish(pending)
         else:
             self._again(pending)
@@ -339,7 +343,7 @@
             self._latency.learn_loss(event.outcome)
         if attempt.node != upstream.node or self._now == self._woke_ms:
             return
-        if event.outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.MOOT):
+        if event.outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT):
             upstream.failed.add(self._now, pending.ask.units)
         if event.outcome is Outcome.OK:
             upstream.silent = 0
@@ -423,10 +427,10 @@
         if pending.waiting:
             pending.upstream.queues[pending.kind].remove(pending)
             pending.waiting = False
-        queue = self._key_queues.get(pending.ask.extent) if pending.spec.ordered else None
+        queue = self._key_queues.get(pending.ask.object_key) if pending.spec.ordered else None
         if queue is not None and pending in queue.line:
             queue.line.remove(pending)
-            self._advance(pending.ask.extent)
+            self._advance(pending.ask.object_key)
 
     def _on_left(self, event: ClientDisconnected) -> None:
         if pending := self._pending.get(event.request):
@@ -438,35 +442,35 @@
 
     def _rest_key(self, pending: Pending, event: AttemptEnded) -> None:
         """Rule 6: a key rests while an attempt may still run."""
-        queue = self._key_queues.get(pending.ask.extent) if pending.spec.ordered else None
+        queue = self._key_queues.get(pending.ask.object_key) if pending.spec.ordered else None
         if queue is None:
             return
         queue.busy -= 1
         if event.outcome.may_still_run:
             queue.rest_until_ms = max(queue.rest_until_ms, self._now + self.settings.ordering_gap_ms)
         if pending.ask.request not in self._pending:
-            self._advance(pending.ask.extent)
+            self._advance(pending.ask.object_key)
 
-    def _advance(self, extent: str) -> None:
+    def _advance(self, object_key: str) -> None:
         """Let the first of a key's line go once the key is free."""
-        queue = self._key_queues.get(extent)
+        queue = self._key_queues.get(object_key)
         if queue is None or queue.busy:
             return
         if not queue.line:
             if queue.rest_until_ms <= self._now:
-                del self._key_queues[extent]
+                del self._key_queues[object_key]
             return
         head, wait_ms = queue.line[0], queue.rest_until_ms - self._now
         if head.sends or head.waiting:
             return
         if wait_ms > 0:
-            self._actions.append(StartTimer(wait_ms, f"turn {extent}"))
+            self._actions.append(StartTimer(wait_ms, f"turn {object_key}"))
         else:
             self._admit(head)
 
     def _on_seen(self, event: EndpointReportedDown) -> None:
         """Where others find a node gone nothing is sent to it, until something comes from it here."""
-        self._gone[event.node] = event.gone_until_ms
+        self._gone[event.node] = event.down_until_ms
         self._gone = {node: until_ms for node, until_ms in self._gone.items() if until_ms > self._now}
 
     def _on_list(self, event: EndpointListUpdate) -> None:
@@ -479,7 +483,7 @@
         told = {entry.node: entry for entry in event.entries}
         kept = before | told if event.kind is UpdateKind.CHANGES else told
         self._nodes = {node: at for node, at in kept.items() if at.state is not EndpointState.GONE}
-        self._learn_drains(before, self._now - event.late_ms)
+        self._learn_drains(before, self._now - event.staleness_ms)
         for upstream in self._upstreams.values():
             self._place(upstream)
             self._release(upstream)
--- a/shaletiller/policy/slow_start.py
+++ b/shaletiller/policy/slow_start.py
@@ -44,9 +44,9 @@
 def _part_without_share(upstream: Upstream, settings: Settings, borne: float, age_ms: float) -> float:
     """An even part.  Where that is under one request, hosts take turns of the stated span by their number,
     half of the budget a turn, for a span meets at most two."""
-    hosts, one = settings.hosts, settings.mean_units
-    if not 0 < borne < one * hosts:
-        return borne / hosts
-    groups = math.ceil(2 * one * hosts / borne)
-    turn = int(age_ms // max(1.0, settings.overload_window_ms)) + upstream.shard - settings.position
-    return borne / 2 / math.ceil(hosts / groups) if turn % groups == 0 else 0.0
+    gateways, one = settings.gateways, settings.mean_units
+    if not 0 < borne < one * gateways:
+        return borne / gateways
+    groups = math.ceil(2 * one * gateways / borne)
+    turn = int(age_ms // max(1.0, settings.overload_window_ms)) + upstream.shard - settings.gateway_index
+    return borne / 2 / math.ceil(gateways / groups) if turn % groups == 0 else 0.0
--- a/shaletiller/state/records.py
+++ b/shaletiller/state/records.py
@@ -25,8 +25,8 @@
     """What this host knows of a volume."""
 
     plan: PlanSpec
-    hosts: int
-    reserve: TokenBucket
+    gateways: int
+    reserved_rate: TokenBucket
     limit: QuotaBucket
     limit_since_ms: float  # when that store began, empty
     served: DecayingRate = field(default_factory=DecayingRate)
--- a/shaletiller/state/site.py
+++ b/shaletiller/state/site.py
@@ -23,21 +23,23 @@
         self.plans = {plan.name: plan for plan in settings.plans}
         # For each class those that are worth more.
         self.paid_more = {
-            spec.name: frozenset(each.name for each in classes if each.worth > spec.worth) for spec in classes
+            spec.name: frozenset(each.name for each in classes if each.priority_weight > spec.priority_weight)
+            for spec in classes
         }
         self.kinds = len(classes) * BANDS
         self.tightest_aim_ms = min(spec.latency_objective_ms for spec in settings.classes)
         self.round_ms = self.tightest_aim_ms * ROUND_PART
         self.rounds = [max(1, int(spec.latency_objective_ms // self.round_ms)) for spec in classes]
-        self.zones = (1.0, settings.fair_share_weight, settings.excess_weight)
-        self.worth = [spec.worth * zone for spec in classes for zone in self.zones]
+        self.zones = (1.0, settings.fair_share_tier_weight, settings.excess_tier_weight)
+        self.priority_weight = [spec.priority_weight * zone for spec in classes for zone in self.zones]
         rank = [
-            (-worth, classes[kind // BANDS].latency_objective_ms) for kind, worth in enumerate(self.worth)
+            (-priority_weight, classes[kind // BANDS].latency_objective_ms)
+            for kind, priority_weight in enumerate(self.priority_weight)
         ]
         self.best_paid_first = sorted(range(self.kinds), key=rank.__getitem__)  # not by where a site lists it
-        top = max(spec.worth for spec in settings.classes) * max(self.zones)
-        self._best_pay = max(top * max(plan.price for plan in settings.plans), 1e-9)
+        top = max(spec.priority_weight for spec in settings.classes) * max(self.zones)
+        self._best_pay = max(top * max(plan.value_factor for plan in settings.plans), 1e-9)
 
     def pay(self, pending: Pending) -> float:
         """A request's worth as a part of the most that any has here."""
-        return self.worth[pending.kind] * pending.volume.plan.price / self._best_pay
+        return self.priority_weight[pending.kind] * pending.volume.plan.value_factor / self._best_pay
--- a/shaletiller/state/volumes.py
+++ b/shaletiller/state/volumes.py
@@ -42,11 +42,11 @@
 
     def of(self, ask: Request, now_ms: float, start_ms: float) -> Volume:
         """The volume that a request is for.  The store of its limit begins empty when the host starts."""
-        plan, hosts = self._site.plans[ask.plan], max(1, ask.volume_gateways)
+        plan, gateways = self._site.plans[ask.plan], max(1, ask.volume_gateways)
         volume = self._volumes.get(ask.volume)
         if volume is None:
             stores = TokenBucket(math.inf, now_ms), QuotaBucket(0.0, start_ms)
-            volume = self._volumes[ask.volume] = Volume(plan, hosts, *stores, start_ms)
+            volume = self._volumes[ask.volume] = Volume(plan, gateways, *stores, start_ms)
         elif volume.plan != plan:  # of new settings: what was drawn under the old ones is not known of these
             volume.plan, volume.limit, volume.limit_since_ms = plan, QuotaBucket(0.0, now_ms), now_ms
         volume.asked_ms = now_ms
@@ -72,8 +72,8 @@
         """What the other hosts served of a volume, as far as its late total tells."""
         volume, served = pending.volume, event.outcome is Outcome.OK
         mine = volume.served.add(now_ms, pending.ask.units if served else 0.0)
-        if event.used > 0:
-            total = (event.used - 1) / 100 * volume.plan.base_rate
+        if event.usage_percent_plus_one > 0:
+            total = (event.usage_percent_plus_one - 1) / 100 * volume.plan.base_rate
             volume.others_rate = max(0.0, total - mine)
 
 
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -97,10 +97,10 @@
         now_ms = self._clock.now_ms()
         call = exchange.call
         answer = "left" if exchange.final is None else exchange.final.value
-        labels = {"class": call.service, "plan": call.plan, "answer": answer}
+        labels = {"class": call.request_class, "plan": call.plan, "answer": answer}
         self._duration.record(now_ms - exchange.taken_ms, labels)
         span = self._tracer.start_span(
-            call.service,
+            call.request_class,
             kind=SpanKind.SERVER,
             start_time=int(exchange.taken_ms * NS_PER_MS),
             attributes={**labels, "shard": call.shard, "units": call.units},
