--- a/shaletiller/adapter.py
+++ b/shaletiller/adapter.py
@@ -1,6 +1,7 @@
-"""The bench's wire on standard input and output, turned into the interface and back.
+"""The simulator's wire on standard input and output, mapped to events and actions.
 
-One Scheduler an instance; instances share nothing.  No decision is taken here.
+Each instance (a simulated gateway) has a scheduler of its own; instances share nothing.  No decision is taken
+here.  The strings of the wire stand in this module alone.
 """
 
 from __future__ import annotations
@@ -36,6 +37,13 @@
     TimerExpired,
 )
 from shaletiller.messages.outcomes import Outcome
+from shaletiller.messages.timers import (
+    AttemptOverdueTimer,
+    OrderingTimer,
+    RoundTimer,
+    Timer,
+    WatchRetryTimer,
+)
 from shaletiller.policy import Scheduler
 from shaletiller.settings.decoder import read_settings
 
@@ -49,24 +57,24 @@
     "recalled": Outcome.CANCELLED,
     "superseded": Outcome.NOT_SENT,
 }
-REPEAT_BIT, WRITE_BIT = 2, 4
+RETRY_BIT, WRITE_BIT = 2, 4  # flags of a "Submit"
 
 
 class WireError(Exception):
-    """A line that is not what the wire promises."""
+    """A line that is not in the format of the wire."""
 
 
-def _report(value: Any) -> tuple[tuple[str, float], ...]:
-    """A load report: an object, or pairs."""
+def _load_report(value: Any) -> tuple[tuple[str, float], ...]:
+    """Read a load report: an object, or pairs."""
     if not value:
         return ()
     pairs = value.items() if isinstance(value, dict) else value
     return tuple((str(name), float(figure)) for name, figure in pairs)
 
 
-def _at(values: list[Any], index: int, absent: Any) -> Any:
-    """A positional value, or what stands for its absence."""
-    return values[index] if index < len(values) and values[index] is not None else absent
+def _at(values: list[Any], index: int, default: Any) -> Any:
+    """Return a positional value, or a default where it is absent."""
+    return values[index] if index < len(values) and values[index] is not None else default
 
 
 def _entry(row: list[Any]) -> EndpointEntry:
@@ -81,7 +89,7 @@
     )
 
 
-def _node_list(v: list[Any]) -> Event:
+def _endpoint_list(v: list[Any]) -> Event:
     return EndpointListUpdate(
         UpdateKind(v[0]), tuple(_entry(row) for row in _at(v, 2, [])), int(_at(v, 1, 0))
     )
@@ -94,7 +102,7 @@
         shard=int(_at(v, 1, 0)),
         object_key=_at(v, 2, ""),
         plan=_at(v, 3, ""),
-        is_retry=bool(bits & REPEAT_BIT),
+        is_retry=bool(bits & RETRY_BIT),
         write=bool(bits & WRITE_BIT),
         deadline_in_ms=float(v[5]),
         volume=_at(v, 6, ""),
@@ -104,7 +112,7 @@
     )
 
 
-def _attempted(v: list[Any]) -> Event:
+def _attempt_ended(v: list[Any]) -> Event:
     return AttemptEnded(
         request=v[0],
         attempt=int(v[1]),
@@ -114,20 +122,51 @@
         request_finished=bool(_at(v, 5, False)),
         usage_percent_plus_one=float(_at(v, 6, 0)),
         other_gateways_units=float(_at(v, 7, 0)),
-        load_report=_report(_at(v, 8, None)),
+        load_report=_load_report(_at(v, 8, None)),
     )
 
 
-EVENTS: dict[str, Callable[[list[Any]], Event]] = {
-    "PeersKnown": _node_list,
+def write_timer(timer: Timer) -> str:
+    """Write a timer as the simulator's token."""
+    match timer:
+        case RoundTimer():
+            return "round"
+        case OrderingTimer(object_key=object_key):
+            return f"turn {object_key}"
+        case AttemptOverdueTimer(request=request, attempt=attempt):
+            return f"overdue {request} {attempt}"
+        case WatchRetryTimer():
+            return "ask"
+
+
+def read_timer(token: str) -> Timer | None:
+    """Read a timer from its token; None for a token that `write_timer` does not write."""
+    name, _, rest = token.partition(" ")
+    if name == "round":
+        return RoundTimer()
+    if name == "turn":
+        return OrderingTimer(rest)
+    if name == "overdue":
+        request, attempt = rest.rsplit(" ", 1)  # a request's id may hold spaces
+        return AttemptOverdueTimer(request, int(attempt))
+    return WatchRetryTimer() if name == "ask" else None
+
+
+def _timer_expired(v: list[Any]) -> Event | None:
+    timer = read_timer(v[0])
+    return TimerExpired(timer) if timer is not None else None
+
+
+EVENTS: dict[str, Callable[[list[Any]], Event | None]] = {
+    "PeersKnown": _endpoint_list,
     "Submit": _request,
-    "Alarm": lambda v: TimerExpired(v[0]),
-    "Done": _attempted,
+    "Alarm": _timer_expired,
+    "Done": _attempt_ended,
     "Headers": lambda v: ResponseStarted(v[0], int(v[1]), v[2], float(_at(v, 3, 0))),
     "NeighbourSays": lambda v: PeerMessageReceived(int(v[0]), _at(v, 1, "")),
     "Abandoned": lambda v: ClientDisconnected(v[0]),
     "ProbeResult": lambda v: HealthCheckEnded(
-        v[0], OUTCOMES[v[1]], float(_at(v, 2, 0)), _report(_at(v, 3, None))
+        v[0], OUTCOMES[v[1]], float(_at(v, 2, 0)), _load_report(_at(v, 3, None))
     ),
 }
 
@@ -136,7 +175,7 @@
     Reject: lambda a: ["TurnAway", a.request, a.retry_after_ms],
     Fail: lambda a: ["Surrender", a.request],
     CancelAttempt: lambda a: ["Revoke", a.request, a.attempt],
-    StartTimer: lambda a: ["Defer", a.wait_ms, a.timer],
+    StartTimer: lambda a: ["Defer", a.wait_ms, write_timer(a.timer)],
     SendHealthCheck: lambda a: ["AskLoad", a.node],
     SendPeerMessage: lambda a: ["BroadcastTo", a.peer, a.data],
     WatchEndpoints: lambda a: ["KeepInformed", a.active],
@@ -146,11 +185,15 @@
 }
 
 
-Happening = tuple[str, Any]
+Happening = tuple[str, Any]  # an event's name on the wire, and what it was read into
 
 
 def read_batch(line: str) -> tuple[float, list[tuple[str, list[Happening]]]]:
-    """The clock and, for each instance, what happened: all of it is read before any of it is acted on."""
+    """Read a line: all of it is read before any of it is acted on.
+
+    :returns: the clock in milliseconds and, for each instance, its events.
+    :raises WireError: where the line is malformed.
+    """
     try:
         batch = json.loads(line)
         now_ms = float(batch["time-ms"])
@@ -167,7 +210,7 @@
 
 
 def _happening(values: list[Any]) -> Happening:
-    """An event by its wire name, read into the interface where it is known."""
+    """Read an event; an unknown one is read into None, and skipped."""
     kind, rest = values[0], values[1:]
     if kind == "Up":
         return kind, (int(rest[0]), read_settings(rest[1]))
@@ -175,13 +218,14 @@
     return kind, reader(rest) if reader else None
 
 
-class Link:
+class Instances:
     """The instances of this process, each with a scheduler of its own."""
 
     def __init__(self) -> None:
+        """Start without instances."""
         self._schedulers: dict[str, Scheduler] = {}
 
-    def _group(self, now_ms: float, host: str, happened: list[Happening]) -> list[list[Any]]:
+    def _handle(self, now_ms: float, host: str, happened: list[Happening]) -> list[list[Any]]:
         output: list[list[Any]] = []
         for kind, value in happened:
             if kind == "Up":
@@ -196,26 +240,33 @@
         return output
 
     def reply(self, line: str) -> str:
-        """The reply line to one batch line."""
+        """Handle one line.
+
+        :returns: the line of the reply.
+        :raises WireError: where the line is malformed.
+        """
         now_ms, read = read_batch(line)
         groups = []
         for host, happened in read:
-            output = self._group(now_ms, host, happened)
+            output = self._handle(now_ms, host, happened)
             if output:
                 groups.append({"host": host, "output": output})
         return json.dumps({"groups": groups}, separators=(",", ":"), ensure_ascii=False)
 
 
-def main(source: TextIO = sys.stdin, target: TextIO = sys.stdout, trouble: TextIO = sys.stderr) -> int:
-    """Answer every batch until the input ends."""
-    link = Link()
+def main(source: TextIO = sys.stdin, target: TextIO = sys.stdout, errors: TextIO = sys.stderr) -> int:
+    """Reply to every line until the input ends.
+
+    :returns: the exit status: 2 after a malformed line.
+    """
+    instances = Instances()
     for number, line in enumerate(source, start=1):
         if not line.strip():
             continue
         try:
-            reply = link.reply(line)
+            reply = instances.reply(line)
         except WireError as error:
-            print(f"shaletiller: input line {number}: {error}", file=trouble)
+            print(f"shaletiller: input line {number}: {error}", file=errors)
             return 2
         target.write(reply + "\n")
         target.flush()
--- a/shaletiller/messages/__init__.py
+++ b/shaletiller/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between the scheduler and the program around it."""
+"""Typed messages between the scheduler and the program around it: events in, actions out."""
--- a/shaletiller/messages/actions.py
+++ b/shaletiller/messages/actions.py
@@ -5,26 +5,34 @@
 from math import inf
 
 from shaletiller.messages.base import Message
+from shaletiller.messages.timers import Timer
 
 
 class SendAttempt(Message, frozen=True):
-    """Start an attempt; a time-out of 0 lasts until the client's deadline."""
+    """Start an attempt of a request at a node.
+
+    :param timeout_ms: how long to wait for the response; 0 waits until the client's deadline.
+    :param start_within_ms: the request has to be written by then, or must not be written at all.
+    """
 
     request: str
     node: str
     timeout_ms: float = 0.0
-    start_within_ms: float = inf  # it has to be written by then, or not at all
+    start_within_ms: float = inf
 
 
 class Reject(Message, frozen=True):
-    """Final answer: no, and a repeat does no harm."""
+    """Final answer: rejected, and a retry by the client does no harm.
+
+    :param retry_after_ms: what Retry-After tells the client; 0 tells it nothing.
+    """
 
     request: str
     retry_after_ms: float = 0.0
 
 
 class Fail(Message, frozen=True):
-    """Final answer: failed, with no promise about what was done."""
+    """Final answer: failed, and a node may have done some of the work."""
 
     request: str
 
@@ -37,14 +45,14 @@
 
 
 class StartTimer(Message, frozen=True):
-    """Ask for a TimerExpired."""
+    """Return the timer in a TimerExpired after `wait_ms`."""
 
     wait_ms: float
-    timer: str
+    timer: Timer
 
 
 class SendHealthCheck(Message, frozen=True):
-    """Ask a node for its load."""
+    """Send a health check to a node."""
 
     node: str
 
@@ -57,13 +65,13 @@
 
 
 class WatchEndpoints(Message, frozen=True):
-    """Follow the changes of the node list."""
+    """Watch the endpoint list for changes, or stop watching it."""
 
     active: bool = True
 
 
 class FetchEndpointList(Message, frozen=True):
-    """Ask for the full node list once."""
+    """Fetch the full endpoint list once."""
 
 
 class CloseIdleConnections(Message, frozen=True):
@@ -73,7 +81,7 @@
 
 
 class WriteLog(Message, frozen=True):
-    """A line for the operators."""
+    """Write a line for the operators."""
 
     line: str
 
--- a/shaletiller/messages/base.py
+++ b/shaletiller/messages/base.py
@@ -1,4 +1,4 @@
-"""The base of every event and action."""
+"""The base of every event, action and timer."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class Message(msgspec.Struct, frozen=True, gc=False):
-    """An event or an action: thousands are made a second, and a frozen dataclass takes longer to make."""
+    """An immutable message.  Thousands are created a second, and a frozen dataclass takes longer."""
--- a/shaletiller/messages/endpoints.py
+++ b/shaletiller/messages/endpoints.py
@@ -7,7 +7,7 @@
 
 
 class EndpointState(Enum):
-    """A node's standing in the list."""
+    """The state of a node in the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -15,17 +15,21 @@
 
 
 class UpdateKind(Enum):
-    """What a message of the node list brings."""
+    """What an update of the endpoint list holds."""
 
-    CHANGES = 0
-    FULL = 1
-    CACHED = 2
-    FAILED = 3
+    CHANGES = 0  # the entries that changed
+    FULL = 1  # all entries
+    CACHED = 2  # all entries as they were when the list was last received
+    FAILED = 3  # nothing: the call failed
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointEntry:
-    """A line of the node list."""
+    """An entry of the endpoint list.
+
+    :param shard: the shard whose data the node holds.
+    :param started_ms: when the node started, 0 where that is not known.
+    """
 
     node: str
     zone: str
--- a/shaletiller/messages/events.py
+++ b/shaletiller/messages/events.py
@@ -1,6 +1,7 @@
-"""Events: what happens, as the scheduler is notified of it.
+"""Events: what the scheduler is notified of.
 
-Times are milliseconds; a figure of 0 means that none is known."""
+Times are milliseconds; a figure of 0 means that it is not known.
+"""
 
 from __future__ import annotations
 
@@ -8,19 +9,31 @@
 from shaletiller.messages.base import Message
 from shaletiller.messages.endpoints import EndpointEntry, UpdateKind
 from shaletiller.messages.outcomes import Outcome
+from shaletiller.messages.timers import Timer
 
 
 class EndpointListUpdate(Message, frozen=True):
-    """News of the nodes: changes, the full list, the list as remembered, or a failed call."""
+    """An update of the endpoint list.
+
+    :param staleness_ms: how old it may be: the watch was interrupted for so long before it.
+    """
 
     kind: UpdateKind
     entries: tuple[EndpointEntry, ...] = ()
     version: int = 0
-    staleness_ms: float = 0.0  # it may have been told so long ago: the watch was broken meanwhile
+    staleness_ms: float = 0.0
 
 
 class Request(Message, frozen=True):
-    """A client's request, now held by this host until it gives the final answer."""
+    """A client's request, which this gateway has to answer from now on.
+
+    :param request: its id.
+    :param shard: the shard that holds its object; below 0 for a new object, which any node may take.
+    :param object_key: the object, by which requests are ordered and batched; may be empty.
+    :param units: its size in cost units.
+    :param volume_gateways: the gateways that serve the volume.
+    :param is_retry: whether the client says that it sent the request before.
+    """
 
     request: str
     shard: int
@@ -36,7 +49,12 @@
 
 
 class AttemptEnded(Message, frozen=True):
-    """The one outcome of one attempt."""
+    """The one outcome of one attempt.
+
+    :param request_finished: whether the request has its final answer and needs nothing more.
+    :param usage_percent_plus_one: what the volume used of late over all gateways, in percent of its plan's
+        base rate and plus 1, as the node states it.
+    """
 
     request: str
     attempt: int
@@ -50,7 +68,7 @@
 
 
 class ResponseStarted(Message, frozen=True):
-    """The answer has begun; the client owns the attempt from here on."""
+    """The response has begun to reach the client, which owns the attempt from here on."""
 
     request: str
     attempt: int
@@ -59,13 +77,13 @@
 
 
 class ClientDisconnected(Message, frozen=True):
-    """The client gave up; nothing is owed to it."""
+    """The client disconnected: its request needs no answer any more."""
 
     request: str
 
 
 class HealthCheckEnded(Message, frozen=True):
-    """The outcome of one probe."""
+    """The outcome of one health check."""
 
     node: str
     outcome: Outcome
@@ -74,31 +92,37 @@
 
 
 class PeerMessageReceived(Message, frozen=True):
-    """A message of another host."""
+    """A message of another gateway."""
 
     origin: int
     data: str
 
 
 class QuotaUpdated(Message, frozen=True):
-    """What this host may spend from now on of a limit that the fleet holds together: a volume's, or the
-    budget of a cold node (as much of `cold_units` as the burst says)."""
+    """What this gateway may spend from now on of a limit that the fleet holds together.
 
-    name: str  # of the volume or the node
-    share: Quota
+    :param name: the volume whose rate limit it is, or the node whose warm-up budget it is.
+    :param quota: of a warm-up budget only the burst counts.
+    """
+
+    name: str
+    quota: Quota
 
 
 class EndpointReportedDown(Message, frozen=True):
-    """What several hosts say of a node, beside what this one sees of it itself."""
+    """Several gateways report a node down, whatever this one sees of it itself.
+
+    :param down_until_ms: until when the report holds; a time that is past withdraws it.
+    """
 
     node: str
-    down_until_ms: float  # attempts find nothing there; a time that is past: nobody says so any more
+    down_until_ms: float
 
 
 class TimerExpired(Message, frozen=True):
-    """A timer that this host set has come due."""
+    """A timer of the scheduler has expired; it comes back as it was started."""
 
-    timer: str
+    timer: Timer
 
 
 Event = (
--- a/shaletiller/messages/outcomes.py
+++ b/shaletiller/messages/outcomes.py
@@ -6,16 +6,16 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # the node rejected it for want of capacity
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"
+    NOT_SENT = "moot"  # the gateway did not start it: its node or its request was gone
 
     @property
     def never_ran(self) -> bool:
--- /dev/null
+++ b/shaletiller/policy/completion.py
@@ -0,0 +1,62 @@
+"""The end of a request: its final answer by the scheduler, and what is cleaned up behind it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from shaletiller.messages.actions import Fail, Reject
+from shaletiller.policy.key_ordering import KeyOrdering
+from shaletiller.policy.retries import client_may_retry
+from shaletiller.state.records import PendingRequest
+from shaletiller.state.runtime import PolicyState
+
+
+@dataclass(slots=True, eq=False)
+class RequestCompletion:
+    """Ends requests: each pending request is finished exactly once."""
+
+    state: PolicyState
+    ordering: KeyOrdering
+
+    def give_up(self, pending: PendingRequest) -> None:
+        """Answer a request that will not be served: rejected where a retry does no harm, else failed."""
+        if client_may_retry(pending):
+            self.state.actions.append(Reject(pending.id, self._retry_after_ms()))
+        else:
+            self.state.actions.append(Fail(pending.id))
+        self.finish(pending)
+
+    def _retry_after_ms(self) -> float:
+        """Return the time to the next round, which divides the node's capacity anew.
+
+        Sooner, a retry is only rejected again.  A tick more, as the round's timer may be late by one: half of
+        the clients would come just before it.
+        """
+        settings = self.state.site.settings
+        if not settings.retry_after_allowed:
+            return 0.0
+        wait_ms = max(0.0, self.state.next_round_ms - self.state.now_ms) + settings.tick_ms
+        return min(wait_ms, settings.max_retry_after_ms or wait_ms)
+
+    def finish(self, pending: PendingRequest) -> None:
+        """Forget a request that needs no answer any more; attempts in flight still report their outcomes."""
+        if self.state.pending.pop(pending.id, None) is None:
+            return
+        pending.return_tokens()
+        if pending.queued:
+            pending.queue.requests.remove(pending)
+            pending.queued = False
+        self.ordering.remove(pending)
+
+    def client_disconnected(self, request_id: str) -> None:
+        """Forget the request of a client that disconnected."""
+        if pending := self.state.pending.get(request_id):
+            self.finish(pending)
+
+    def answer_expiring(self) -> None:
+        """Give up what would pass its deadline unanswered before the next round, or in its timer's tick."""
+        last_ms = self.state.next_round_ms + self.state.site.settings.tick_ms
+        for pending in list(self.state.pending.values()):
+            waits = not pending.attempts_in_flight and not pending.response_started
+            if waits and pending.deadline_ms <= last_ms:
+                self.give_up(pending)
--- a/shaletiller/policy/concurrency_limit.py
+++ b/shaletiller/policy/concurrency_limit.py
@@ -1,74 +1,55 @@
-"""A node's capacity in units, the slots of its classes by the payoff split, and when its answers are late."""
+"""The adaptive concurrency limit of a node, and its division into slots for each queue.
+
+Additive increase, multiplicative decrease, as TCP congestion avoidance (V. Jacobson, 1988): once a round the
+limit grows by one request after responses in time, and shrinks by a part after late ones.
+"""
 
 from __future__ import annotations
 
-from shaletiller.policy.fair_share import Guarantee
 from shaletiller.policy.payoff import Demand, best_split, rounded_rate
-from shaletiller.state.latency import Latency
-from shaletiller.state.records import BANDS, Pending, Upstream
-from shaletiller.state.site import ROUND_PART, Site
-
-START_REQUESTS = 4  # a node's first capacity, in requests of each class
-SHOWN_REQUESTS, CEILING_REQUESTS = 6, 32  # a node's largest capacity, in requests: taken as shown, and at all
-LATE_LEAST, LATE_MOST = 0.1, 0.4  # an answer is late from this part of its aim, by what its zone is worth
-COUNTS_FROM = 0.05  # a class with less of the requests and of the worth has no say in what is late for all
-PATIENCE = 4.0  # an answer is overdue after so many times the usual lag of its class
-MOST_DOUBLED = 10  # how often patience doubles while a node stays silent
-FALL_PART, SHOWN_PART = 0.1, 0.25  # how far a round takes it: late, to what was served; any, to what is shown
-
-
-def settle_round(upstream: Upstream, mean_units: float) -> None:
-    """End a round: one request more after answers in time, down toward what was served after late ones."""
-    if upstream.verdict < 0:
-        upstream.capacity -= FALL_PART * max(0.0, upstream.capacity - upstream.served)
-    elif upstream.verdict > 0 and upstream.taken + upstream.served >= upstream.capacity / 2:
-        upstream.capacity += mean_units
-    shown = max(SHOWN_REQUESTS * mean_units, upstream.served / ROUND_PART)  # within the tightest aim
-    upstream.capacity -= SHOWN_PART * max(0.0, upstream.capacity - shown)
-    upstream.capacity = min(max(upstream.capacity, mean_units), CEILING_REQUESTS * mean_units)
-    upstream.served, upstream.verdict = 0.0, 0
-
-
-def split_slots(upstream: Upstream, site: Site, now_ms: float) -> None:
-    """The slots of each class by payoff, under the last arrival rates and the capacity as it is now."""
+from shaletiller.state.records import Upstream
+from shaletiller.state.site import ROUND_PART, SiteSettings
+
+# The first limit of a node, in mean requests for each class, so that each class can be sent and learned from.
+INITIAL_REQUESTS = 4
+# A node is taken to bear this many mean requests at once even if it has shown less: below, a node with little
+# traffic could not show more.  Empirical: more opens a node sooner, less keeps a surge from overloading it.
+UNPROVEN_REQUESTS = 6
+# The largest limit, in mean requests.  Empirical: bounds the cost of splitting slots against the use of
+# larger nodes.
+MAX_REQUESTS = 32
+# Parts by which a round lowers the limit, both empirical: more sheds load from an overloaded node sooner,
+# less keeps a node that paused once from losing its limit.
+LATE_DECREASE = 0.1  # towards what it served, after late responses
+UNPROVEN_DECREASE = 0.25  # towards what it has shown to serve, after any
+
+
+def adjust_limit(upstream: Upstream, mean_units: float) -> None:
+    """End a round: raise the limit after responses in time, lower it after late ones."""
+    limit = upstream.concurrency_limit
+    if upstream.on_time_balance < 0:
+        limit -= LATE_DECREASE * max(0.0, limit - upstream.served_units)
+    elif upstream.on_time_balance > 0 and upstream.in_flight_units + upstream.served_units >= limit / 2:
+        limit += mean_units  # only while the limit is used: idle rounds prove nothing
+    # What it serves within the tightest latency objective, as a round is a part of that.
+    proven = max(UNPROVEN_REQUESTS * mean_units, upstream.served_units / ROUND_PART)
+    limit -= UNPROVEN_DECREASE * max(0.0, limit - proven)
+    upstream.concurrency_limit = min(max(limit, mean_units), MAX_REQUESTS * mean_units)
+    upstream.served_units, upstream.on_time_balance = 0.0, 0
+
+
+def allocate_slots(upstream: Upstream, site: SiteSettings, now_ms: float) -> None:
+    """Divide the limit into slots for each queue by payoff, under the latest arrival rates."""
+    queues = upstream.queues.values()
     demands = [
         Demand(
-            rounded_rate(asked.add(now_ms)),
-            site.priority_weight[kind],
+            rounded_rate(queue.arrivals.add(now_ms)),
+            queue.spec.priority_weight,
             site.settings.mean_units,
-            site.rounds[kind // BANDS],
+            queue.spec.rounds,
         )
-        for kind, asked in enumerate(upstream.asked)
+        for queue in queues
     ]
-    upstream.slots = best_split(demands, upstream.capacity, 1000 / site.round_ms)
-
-
-def bearable_ms(site: Site, latency: Latency, guarantee: Guarantee) -> float:
-    """The lag of a mean request at which the class that bears least would take its whole aim.
-
-    A class counts with a twentieth of the requests or of the worth that are asked for."""
-    counts = [
-        at
-        for name, at in site.class_index.items()
-        if max(guarantee.requests.share(name), guarantee.priority_weight.share(name)) >= COUNTS_FROM
-    ]
-    aims = [site.settings.classes[at].latency_objective_ms / latency.ratio(at) for at in counts]
-    return min(aims, default=site.tightest_aim_ms)
-
-
-def late_ms(pending: Pending, site: Site, most_ms: float) -> float:
-    """From which lag of a mean request on a node is too slow for a request, if it may take `most_ms`.
-
-    Hosts meet only in the node's lag: where it grows, the host whose work is worth less gives way.  All go by
-    the class that bears least: else work that can wait keeps a node too slow for work that cannot."""
-    return most_ms * (LATE_LEAST + (LATE_MOST - LATE_LEAST) * site.pay(pending))
-
-
-def patience_ms(pending: Pending, latency: Latency) -> float:
-    """By the usual lag of the class and of this node; doubled as the node stays silent."""
-    upstream = pending.upstream
-    usual_ms = (
-        max(PATIENCE * latency.usual_ms(pending), 2 * upstream.latency_ms)
-        or pending.spec.latency_objective_ms
-    )
-    return float(usual_ms * 2 ** min(upstream.silent, MOST_DOUBLED))
+    slots = best_split(demands, upstream.concurrency_limit, 1000 / site.round_ms)
+    for queue, count in zip(queues, slots, strict=True):
+        queue.slots = count
--- /dev/null
+++ b/shaletiller/policy/dispatch.py
@@ -0,0 +1,133 @@
+"""Dispatch: queued requests are sent in batches, as slots and capacity become free."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+
+from shaletiller.messages.actions import SendAttempt, StartTimer
+from shaletiller.messages.timers import AttemptOverdueTimer
+from shaletiller.policy.capacity_check import CapacityCheck
+from shaletiller.policy.class_fairness import ClassFairness
+from shaletiller.policy.completion import RequestCompletion
+from shaletiller.policy.endpoint_table import EndpointTable
+from shaletiller.policy.key_ordering import KeyOrdering
+from shaletiller.policy.latency_threshold import attempt_timeout_ms
+from shaletiller.policy.retries import RetryPolicy
+from shaletiller.policy.volume_limits import VolumeLimits
+from shaletiller.state.records import Attempt, PendingRequest, RequestQueue, Upstream
+from shaletiller.state.runtime import PolicyState
+
+
+@dataclass(slots=True, eq=False)
+class Dispatcher:
+    """Sends requests to the nodes of their upstreams."""
+
+    state: PolicyState
+    endpoints: EndpointTable
+    capacity: CapacityCheck
+    limits: VolumeLimits
+    fairness: ClassFairness
+    retries: RetryPolicy
+    ordering: KeyOrdering
+    completion: RequestCompletion
+    random: Random
+
+    def release(self, upstream: Upstream) -> None:
+        """Send what an upstream can take: each queue its free slots by priority, then what is left over."""
+        batch: list[PendingRequest] = []
+        self._give_up_late(upstream)
+        for queue in upstream.by_priority:
+            while queue.requests and queue.in_flight < queue.slots:
+                if not self._take_head(upstream, queue, batch):
+                    break
+        self._share_leftover(upstream, batch)
+        self._give_up_unreached(upstream)
+        self._send(batch)
+
+    def send_now(self, pending: PendingRequest) -> None:
+        """Send one request outside of a round; the caller has checked the capacity."""
+        batch: list[PendingRequest] = []
+        self._take_slot(pending, batch)
+        self._send(batch)
+
+    def _give_up_late(self, upstream: Upstream) -> None:
+        """Give up queued requests that would miss their latency objective.
+
+        Sent, they would take slots from requests that can still meet theirs.
+        """
+        for queue in upstream.by_priority:
+            while queue.requests and self._would_be_late(queue.requests[0]):
+                self.completion.give_up(queue.requests[0])
+
+    def _would_be_late(self, pending: PendingRequest) -> bool:
+        expected_ms = pending.upstream.latency_ms * self.state.latency.request_factor(pending)
+        return self.state.now_ms + expected_ms > pending.latency_objective_due_ms
+
+    def _give_up_unreached(self, upstream: Upstream) -> None:
+        """Give up what no node has received while its client still has time to retry elsewhere."""
+        next_round_ms = self.state.next_round_ms
+        for queue in upstream.by_priority:
+            for pending in [each for each in queue.requests if each.unreached_deadline_ms < next_round_ms]:
+                self.completion.give_up(pending)
+
+    def _share_leftover(self, upstream: Upstream, batch: list[PendingRequest]) -> None:
+        """Give capacity that is left over to queues at random, each in proportion to its slots."""
+        blocked: set[RequestQueue] = set()
+        while True:
+            queues = [each for each in upstream.by_priority if each.requests and each not in blocked]
+            if not queues:
+                return
+            slots = [queue.slots for queue in queues]
+            queue = self.random.choices(queues, slots)[0] if any(slots) else queues[0]
+            if not self._take_head(upstream, queue, batch):
+                blocked.add(queue)
+
+    def _take_head(self, upstream: Upstream, queue: RequestQueue, batch: list[PendingRequest]) -> bool:
+        """Move the head of a queue, and what waits there for the same object, into the batch."""
+        head = queue.requests[0]
+        if not self.capacity.allows(head, upstream):
+            return False
+        key = head.request.object_key
+        run = [each for each in queue.requests if each is head or each.request.object_key == key != ""]
+        for each in run:
+            if each is head or self.capacity.allows(each, upstream, joins_batch=True):
+                queue.requests.remove(each)
+                self._take_slot(each, batch)
+        return True
+
+    def _take_slot(self, pending: PendingRequest, batch: list[PendingRequest]) -> None:
+        """Put a request into the batch with its slot, or give up a retry that is not allowed."""
+        upstream = pending.upstream
+        pending.queued = False
+        if pending.attempts_started:
+            if not self.retries.allows(pending):
+                self.completion.give_up(pending)
+                return
+            self.retries.record_retry()
+        else:
+            self.limits.draw_rate_limit(pending)
+            self.fairness.record_first_attempt(pending)
+        upstream.in_flight_units += pending.units
+        pending.queue.in_flight += 1
+        if upstream.warming_up_since_ms is not None:
+            upstream.warm_up_sends.add(self.state.now_ms, pending.units)
+        batch.append(pending)
+
+    def _send(self, batch: list[PendingRequest]) -> None:
+        """Start an attempt of each request, those of one object beside each other."""
+        for pending in sorted(batch, key=lambda each: each.request.object_key):
+            self._start_attempt(pending)
+
+    def _start_attempt(self, pending: PendingRequest) -> None:
+        state, upstream, node = self.state, pending.upstream, pending.upstream.node or ""
+        zone, number = self.endpoints.zone_of(node), pending.attempts_started
+        state.attempts[pending.id, number] = Attempt(pending, upstream, node, zone, state.now_ms)
+        pending.attempts_started += 1
+        pending.attempts_in_flight += 1
+        self.ordering.record_sent(pending)
+        window_ms = self.retries.start_window_ms(pending)
+        state.actions.append(SendAttempt(pending.id, node, start_within_ms=window_ms))
+        timeout_ms = attempt_timeout_ms(pending, state.latency)
+        if state.now_ms + timeout_ms < pending.deadline_ms:  # by its deadline the attempt has ended anyway
+            state.actions.append(StartTimer(timeout_ms, AttemptOverdueTimer(pending.id, number)))
--- /dev/null
+++ b/shaletiller/policy/endpoint_table.py
@@ -0,0 +1,137 @@
+"""The endpoint table: which node serves a shard, and which nodes take no work now."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping, ValuesView
+
+from shaletiller.messages.actions import WriteLog
+from shaletiller.messages.endpoints import EndpointEntry, EndpointState, UpdateKind
+from shaletiller.messages.events import EndpointListUpdate, EndpointReportedDown
+from shaletiller.policy.concurrency_limit import INITIAL_REQUESTS
+from shaletiller.state.records import Upstream
+from shaletiller.state.runtime import PolicyState
+
+
+class EndpointTable:
+    """The endpoint list as this gateway knows it, and the upstream of each shard.
+
+    A shard is held by one node.  While that is draining or gone, work waits for the next one to be ready.
+    """
+
+    def __init__(self, state: PolicyState) -> None:
+        """Start with an empty list."""
+        self._state = state
+        self._endpoints: dict[str, EndpointEntry] = {}
+        self._upstreams: dict[int, Upstream] = {}  # by shard
+        self._draining_until_ms: dict[str, float] = {}  # by node: until when it may still get work
+        self._down_until_ms: dict[str, float] = {}  # by node, as other gateways report
+
+    def zone_of(self, node: str) -> str:
+        """Return the zone of a node of the list."""
+        return self._endpoints[node].zone
+
+    def upstreams(self) -> ValuesView[Upstream]:
+        """Return the upstreams of all shards that had requests."""
+        return self._upstreams.values()
+
+    def update(self, event: EndpointListUpdate) -> None:
+        """Take an update of the endpoint list; `place` each upstream afterwards."""
+        before = self._endpoints
+        updated = {entry.node: entry for entry in event.entries}
+        listed = before | updated if event.kind is UpdateKind.CHANGES else updated
+        self._endpoints = {node: at for node, at in listed.items() if at.state is not EndpointState.GONE}
+        self._learn_draining(before, self._state.now_ms - event.staleness_ms)
+
+    def _learn_draining(self, before: Mapping[str, EndpointEntry], notified_ms: float) -> None:
+        """Set until when draining nodes get work.
+
+        A draining node serves requests for its grace time, and no other holds its data.  It gets work until
+        shortly before that time is up, as a send may wait for its connection, or until it rejects some.
+        Only where this gateway saw it ready: else it may have been draining long before this process started.
+
+        :param notified_ms: when the drain was announced at the earliest.
+        """
+        settings, site = self._state.site.settings, self._state.site
+        margin_ms = settings.connect_timeout_ms + 2 * site.round_ms
+        until_ms = notified_ms + settings.drain_grace_ms - margin_ms
+        draining = {node for node, entry in self._endpoints.items() if entry.state is EndpointState.DRAINING}
+        for node in draining - self._draining_until_ms.keys():
+            seen_ready = node in before and before[node].state is EndpointState.READY
+            self._draining_until_ms[node] = until_ms if seen_ready else self._state.now_ms
+        for node in self._draining_until_ms.keys() - draining:
+            del self._draining_until_ms[node]
+
+    def record_rejection(self, node: str) -> None:
+        """Send no more work to a draining node that rejected an attempt or refused its connection."""
+        if node in self._draining_until_ms:
+            self._draining_until_ms[node] = self._state.now_ms
+
+    def report_down(self, event: EndpointReportedDown) -> None:
+        """Send nothing to a node that others report down, until it responds to this gateway."""
+        self._down_until_ms[event.node] = event.down_until_ms
+        known, now_ms = self._down_until_ms.items(), self._state.now_ms
+        self._down_until_ms = {node: until_ms for node, until_ms in known if until_ms > now_ms}
+
+    def record_response(self, node: str) -> None:
+        """Take a node that responded here for up, whatever others report."""
+        self._down_until_ms.pop(node, None)
+
+    def takes_work(self, upstream: Upstream) -> bool:
+        """Whether a shard has a node that is neither done draining nor reported down."""
+        node, now_ms = upstream.node, self._state.now_ms
+        if node is None or now_ms >= self._draining_until_ms.get(node, math.inf):
+            return False
+        return now_ms >= self._down_until_ms.get(node, 0.0)
+
+    def place(self, upstream: Upstream) -> None:
+        """Find the node of a shard: the ready one that holds it, else a draining one that may get work."""
+        holders = [entry for entry in self._endpoints.values() if entry.shard == upstream.shard]
+        candidates = [entry for entry in holders if entry.state is EndpointState.READY] or [
+            entry for entry in holders if self._draining_until_ms.get(entry.node, 0.0) > self._state.now_ms
+        ]
+        entry = max(candidates, key=lambda each: (each.started_ms, each.node)) if candidates else None
+        node = entry.node if entry else None
+        if node != upstream.node:
+            if upstream.node:
+                moved = WriteLog(f"shard {upstream.shard}: node {upstream.node} -> {node}")
+                self._state.actions.append(moved)
+            upstream.migrate_to(node, self._state.attempts.values())
+        if entry and self._is_warming_up(entry):
+            upstream.warming_up_since_ms = entry.started_ms
+
+    def _is_warming_up(self, entry: EndpointEntry) -> bool:
+        age_ms = self._state.now_ms - entry.started_ms
+        return entry.started_ms > 0 and age_ms < self._state.site.settings.slow_start_ms
+
+    def upstream_for(self, shard: int) -> Upstream:
+        """Return the upstream of a shard; a new object (shard below 0) may go to any."""
+        if shard < 0:
+            return self._least_loaded()
+        upstream = self._upstreams.get(shard)
+        if upstream is None:
+            settings = self._state.site.settings
+            limit = INITIAL_REQUESTS * len(settings.classes) * settings.mean_units
+            upstream = self._upstreams[shard] = Upstream(shard, limit)
+            upstream.arrange_queues(self._state.site.queue_specs, INITIAL_REQUESTS)
+            self.place(upstream)
+        return upstream
+
+    def _least_loaded(self) -> Upstream:
+        """Return the upstream with the most free capacity; among equals the lowest shard.
+
+        What a node failed of late counts as load: one that fails at once would seem free all the time.
+        """
+        ready = {entry.shard for entry in self._endpoints.values() if entry.state is EndpointState.READY}
+        shards = sorted(ready) or sorted(self._upstreams) or [0]
+        upstreams = [self.upstream_for(shard) for shard in shards]
+        return max(upstreams, key=lambda each: (self._free_units(each), -each.shard))
+
+    def _free_units(self, upstream: Upstream) -> float:
+        failed = upstream.failed_units.add(self._state.now_ms)
+        return upstream.concurrency_limit - upstream.in_flight_units - failed
+
+    def rearrange_queues(self) -> None:
+        """Follow the classes of new settings."""
+        for upstream in self._upstreams.values():
+            upstream.arrange_queues(self._state.site.queue_specs, INITIAL_REQUESTS)
--- /dev/null
+++ b/shaletiller/policy/key_ordering.py
@@ -0,0 +1,78 @@
+"""Per-key ordering: ordered requests for one object are served one at a time, in order of arrival."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from shaletiller.messages.actions import StartTimer
+from shaletiller.messages.outcomes import Outcome
+from shaletiller.messages.timers import OrderingTimer
+from shaletiller.state.records import KeyQueue, PendingRequest
+from shaletiller.state.runtime import PolicyState
+
+
+class KeyOrdering:
+    """A queue for each object key.
+
+    After an attempt that may still run at its node (it timed out, was reset or cancelled) the key has a quiet
+    period: sent at once, the next request could overtake it there.
+
+    :param admit: admits the request at the head of a key's queue.
+    """
+
+    def __init__(self, state: PolicyState, admit: Callable[[PendingRequest], None]) -> None:
+        """Start with no key taken."""
+        self._state, self._admit = state, admit
+        self._queues = state.key_queues
+
+    def enqueue(self, pending: PendingRequest) -> None:
+        """Queue an ordered request; it is admitted once all before it have their final answers."""
+        object_key = pending.request.object_key
+        queue = self._queues.setdefault(object_key, KeyQueue())
+        queue.requests.append(pending)
+        if len(queue.requests) == 1:
+            self.advance(object_key)
+
+    def advance(self, object_key: str) -> None:
+        """Admit the head of a key's queue where the key is free; drop a queue that is done."""
+        queue = self._queues.get(object_key)
+        if queue is None or queue.in_flight:
+            return
+        if not queue.requests:
+            if queue.quiet_until_ms <= self._state.now_ms:
+                del self._queues[object_key]
+            return
+        head, wait_ms = queue.requests[0], queue.quiet_until_ms - self._state.now_ms
+        if head.attempts_started or head.queued:
+            return
+        if wait_ms > 0:
+            self._state.actions.append(StartTimer(wait_ms, OrderingTimer(object_key)))
+        else:
+            self._admit(head)
+
+    def record_sent(self, pending: PendingRequest) -> None:
+        """Take the key of a started attempt until its outcome."""
+        if pending.spec.ordered and pending.request.object_key:
+            self._queues[pending.request.object_key].in_flight += 1
+
+    def record_outcome(self, pending: PendingRequest, outcome: Outcome) -> None:
+        """Free the key; where the request has its final answer already, the next may follow."""
+        queue = self._queue_of(pending)
+        if queue is None:
+            return
+        queue.in_flight -= 1
+        if outcome.may_still_run:
+            gap_ms = self._state.site.settings.ordering_gap_ms
+            queue.quiet_until_ms = max(queue.quiet_until_ms, self._state.now_ms + gap_ms)
+        if pending.id not in self._state.pending:
+            self.advance(pending.request.object_key)
+
+    def remove(self, pending: PendingRequest) -> None:
+        """Take a request that has its final answer out of its key's queue."""
+        queue = self._queue_of(pending)
+        if queue is not None and pending in queue.requests:
+            queue.requests.remove(pending)
+            self.advance(pending.request.object_key)
+
+    def _queue_of(self, pending: PendingRequest) -> KeyQueue | None:
+        return self._queues.get(pending.request.object_key) if pending.spec.ordered else None
--- a/shaletiller/policy/payoff.py
+++ b/shaletiller/policy/payoff.py
@@ -1,4 +1,4 @@
-"""The payoff split of Chen and Verma: the slots of each class that earn the most a second."""
+"""The payoff split of Chen and Verma: the slots of each queue that earn the most a second."""
 
 from __future__ import annotations
 
@@ -6,73 +6,95 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-LEAST_RATE = 0.05  # a class asked for less often than this, in requests a second, gets only leftover
-PENALTY = 0.0  # what a refusal costs in the payoff; the worth lost is counted by not earning it
+# Requests a second below which a queue gets no slots of its own, only capacity left over: slots for it would
+# stand empty most of the time.
+MIN_ARRIVAL_RATE = 0.05
+# The paper's cost of a rejection.  None here: the weight that a rejection loses is not earned, which counts.
+REJECTION_COST = 0.0
+# Probabilities are computed relative to each other; larger figures are scaled down, or they would overflow.
+OVERFLOW_GUARD, SCALE_DOWN = 1e200, 1e-200
 
 
 @lru_cache(maxsize=1 << 13)
-def batch_queue(arrival: float, batch: float, slots: int, rounds: int) -> tuple[float, float]:
-    """Served rate and full-queue probability of M/M/1^[n]/Kn.
-
-    Cutting between states gives arrival*P[j] = batch*(P[j+1]+...+P[min(j+n, Kn)]), run downward from full."""
-    if slots == 0 or arrival <= 0:
+def batch_queue(arrival_rate: float, batch_rate: float, slots: int, rounds: int) -> tuple[float, float]:
+    """Solve the paper's queue with batch service, M/M/1^[n]/Kn.
+
+    Cutting between states gives arrival*P[j] = batch*(P[j+1]+...+P[min(j+n, Kn)]), computed downward from the
+    full queue.
+
+    :param arrival_rate: requests a second.
+    :param batch_rate: batches a second, one a round.
+    :param slots: n, the requests of a batch.
+    :param rounds: K, the batches that fit into the queue.
+    :returns: the requests served a second, and the probability that the queue is full.
+    """
+    if slots == 0 or arrival_rate <= 0:
         return 0.0, 1.0 if slots == 0 else 0.0
-    top, ratio = slots * rounds, batch / arrival
+    top, ratio = slots * rounds, batch_rate / arrival_rate
     chance, window = [0.0] * top + [1.0], 1.0
     for j in range(top - 1, -1, -1):
         chance[j] = ratio * window
         window += chance[j] - (chance[j + slots] if j + slots <= top else 0.0)
-        if window > 1e200:
-            chance = [each * 1e-200 for each in chance]
-            window *= 1e-200
+        if window > OVERFLOW_GUARD:
+            chance = [each * SCALE_DOWN for each in chance]
+            window *= SCALE_DOWN
     total = math.fsum(chance)
-    served = batch * sum(min(j, slots) * each for j, each in enumerate(chance)) / total
+    served = batch_rate * sum(min(j, slots) * each for j, each in enumerate(chance)) / total
     return served, chance[top] / total
 
 
-def payoff_rate(arrival: float, batch: float, slots: int, rounds: int, priority_weight: float) -> float:
-    """What a class earns a second with so many slots (equations 4 and 5 of the paper)."""
-    served, full = batch_queue(arrival, batch, slots, rounds)
-    return priority_weight * served - PENALTY * arrival * full
+def payoff_rate(
+    arrival_rate: float, batch_rate: float, slots: int, rounds: int, priority_weight: float
+) -> float:
+    """Return what a queue earns a second with so many slots (equations 4 and 5 of the paper)."""
+    served, full = batch_queue(arrival_rate, batch_rate, slots, rounds)
+    return priority_weight * served - REJECTION_COST * arrival_rate * full
 
 
 @dataclass(slots=True)
 class Demand:
-    """A class as the split sees it."""
+    """A queue as the split sees it: arrivals a second, the weight and units of a request, its rounds."""
 
-    arrival: float  # requests a second
-    priority_weight: float  # of one request
-    units: float  # of one request
+    arrival_rate: float
+    priority_weight: float
+    units: float
     rounds: int
 
 
-def best_split(demands: list[Demand], capacity: float, batch: float) -> list[int]:
-    """Slots for each class: always the step that adds most payoff for its units.
+def best_split(demands: list[Demand], capacity: float, batch_rate: float) -> list[int]:
+    """Divide a capacity in units into slots for each demand.
 
-    The paper's search fixes one class after the other; payoff flattens, so this reaches at least as far."""
-    slots, priority_weight, room = [0] * len(demands), [0.0] * len(demands), capacity
+    Greedy: always the slot that adds most payoff for its units.  The paper's search fixes one class after the
+    other; payoff flattens with each slot, so this finds at least as good a split.
+    """
+    slots, payoffs, free = [0] * len(demands), [0.0] * len(demands), capacity
 
-    def step(at: int) -> tuple[float, float]:
-        """The payoff of one slot more for a class, and the gain for its units."""
+    def next_slot(at: int) -> tuple[float, float]:
+        """Return the payoff of a demand with one slot more, and the gain for each of its units."""
         demand = demands[at]
-        rate = payoff_rate(demand.arrival, batch, slots[at] + 1, demand.rounds, demand.priority_weight)
-        return rate, (rate - priority_weight[at]) / demand.units
+        rate = payoff_rate(
+            demand.arrival_rate, batch_rate, slots[at] + 1, demand.rounds, demand.priority_weight
+        )
+        return rate, (rate - payoffs[at]) / demand.units
 
-    steps = {at: step(at) for at, demand in enumerate(demands) if demand.arrival > 0}
+    candidates = {at: next_slot(at) for at, demand in enumerate(demands) if demand.arrival_rate > 0}
     while True:
         best, best_gain = -1, 1e-9
-        for at, (_, gain) in steps.items():
-            if gain > best_gain and demands[at].units <= room:
+        for at, (_, gain) in candidates.items():
+            if gain > best_gain and demands[at].units <= free:
                 best, best_gain = at, gain
         if best < 0:
             return slots
         slots[best] += 1
-        priority_weight[best] = steps[best][0]
-        room -= demands[best].units
-        steps[best] = step(best)  # no other class's step has changed
+        payoffs[best] = candidates[best][0]
+        free -= demands[best].units
+        candidates[best] = next_slot(best)  # no other demand's next slot has changed
 
 
 def rounded_rate(rate: float) -> float:
-    """A rate to about a tenth, so that equal work is remembered.  One that has died away is none: on its way
-    to zero it would pass ever new figures, each to be worked out and remembered."""
-    return 0.0 if rate < LEAST_RATE else math.exp(round(math.log(rate) * 10) / 10)
+    """Round a rate to about a tenth, so that results of `batch_queue` are found in its cache.
+
+    A rate that has decayed counts as none: on its way to zero it would pass ever new figures, each of which
+    would be computed and cached.
+    """
+    return 0.0 if rate < MIN_ARRIVAL_RATE else math.exp(round(math.log(rate) * 10) / 10)
--- a/shaletiller/policy/retries.py
+++ b/shaletiller/policy/retries.py
@@ -1,65 +1,81 @@
-"""What may be repeated, when and where: effects (rule 2) and the budget of attempts (rule 7)."""
+"""Retries: which requests may be sent again, when and where, by idempotency and by the retry budget."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Mapping
 
-from shaletiller.messages.endpoints import EndpointEntry
+from shaletiller.policy.endpoint_table import EndpointTable
 from shaletiller.rate_counters import SlidingWindowSum
 from shaletiller.settings.model import DeduplicationScope, Idempotency
-from shaletiller.state.records import Pending
-from shaletiller.state.site import Site
+from shaletiller.state.records import PendingRequest
+from shaletiller.state.runtime import PolicyState
 
 
-class Retries:
-    """Judges repeats by their class's effect and by how many attempts this host has made of late."""
+class RetryPolicy:
+    """Judges retries by the idempotency of their class and by the attempts of this gateway of late."""
 
-    def __init__(self, site: Site) -> None:
-        self._site = site
-        self.requests, self.repeats = SlidingWindowSum(), SlidingWindowSum()
+    def __init__(self, state: PolicyState, endpoints: EndpointTable) -> None:
+        """Start with nothing counted."""
+        self._state, self._endpoints = state, endpoints
+        self._requests, self._retries = SlidingWindowSum(), SlidingWindowSum()
 
-    def count(self, times: SlidingWindowSum, now_ms: float) -> None:
-        """Count a request or a repeat, as far as the site states a budget."""
-        if self._site.settings.retry_budget_free is not None:
-            times.add(now_ms)
-            times.forget(now_ms, self._site.settings.retry_budget_window_ms)
+    def record_request(self) -> None:
+        """Count a request towards the budget."""
+        self._count(self._requests)
 
-    def window_ms(self, pending: Pending, now_ms: float) -> float:
-        """What is left of the time in which a repeat must start: a connection that comes late may pass it."""
-        risky = pending.risky if pending.spec.effect is Idempotency.KEYED else None
-        return risky.sent_ms + pending.spec.key_ttl_ms - now_ms if risky else math.inf
+    def record_retry(self) -> None:
+        """Count a retry or a hedged request against the budget."""
+        self._count(self._retries)
 
-    def effect_allows(self, pending: Pending, nodes: Mapping[str, EndpointEntry], now_ms: float) -> bool:
-        """Rule 2: a repeat of what may have run goes only where, and while, its effect is discarded."""
-        if pending.risky is None or pending.spec.effect is Idempotency.SAFE:
+    def _count(self, counted: SlidingWindowSum) -> None:
+        settings = self._state.site.settings
+        if settings.retry_budget_free is not None:  # without a budget nothing would ever be dropped
+            counted.add(self._state.now_ms)
+            counted.forget(self._state.now_ms, settings.retry_budget_window_ms)
+
+    def allows(self, pending: PendingRequest) -> bool:
+        """Whether a request may be sent again now."""
+        return self.idempotency_allows(pending) and self.budget_allows()
+
+    def idempotency_allows(self, pending: PendingRequest) -> bool:
+        """Whether its work would not be done twice: what may have run is only repeated where it is discarded.
+
+        A keyed request is discarded while its idempotency key is known, and in its deduplication scope.
+        """
+        first = pending.possibly_executed
+        if first is None or pending.spec.effect is Idempotency.SAFE:
             return True
-        if pending.spec.effect is Idempotency.UNSAFE or self.window_ms(pending, now_ms) < 0:
+        if pending.spec.effect is Idempotency.UNSAFE or self.start_window_ms(pending) < 0:
             return False
         node = pending.upstream.node
-        zone = nodes[node].zone if node else ""
-        return pending.spec.deduplication_scope is not DeduplicationScope.ZONE or zone == pending.risky.zone
+        zone = self._endpoints.zone_of(node) if node else ""
+        return pending.spec.deduplication_scope is not DeduplicationScope.ZONE or zone == first.zone
+
+    def start_window_ms(self, pending: PendingRequest) -> float:
+        """Return the time in which a retry has to start, as its idempotency key expires; else infinity.
+
+        The attempt is held to it as well: its connection may come up after the key has expired.
+        """
+        first = pending.possibly_executed if pending.spec.effect is Idempotency.KEYED else None
+        return first.sent_ms + pending.spec.key_ttl_ms - self._state.now_ms if first else math.inf
 
-    def allow(self, pending: Pending, nodes: Mapping[str, EndpointEntry], now_ms: float) -> bool:
-        return self.effect_allows(pending, nodes, now_ms) and self.budget_allows(now_ms)
+    def budget_allows(self) -> bool:
+        """Retry budget: retries within the window are at most a free number and a share of the requests.
 
-    def budget_allows(self, now_ms: float) -> bool:
-        """Rule 7, counted for this host alone; without a stated budget the attempts of a request suffice."""
-        settings = self._site.settings
+        Counted for this gateway alone.  Without a budget the attempts of each request are bounded alone.
+        """
+        settings, now_ms = self._state.site.settings, self._state.now_ms
         if settings.retry_budget_free is None:
             return True
-        span_ms = settings.retry_budget_window_ms
-        allowed = settings.retry_budget_free + settings.retry_budget_share * self.requests.within(
-            now_ms, span_ms
-        )
-        return self.repeats.within(now_ms, span_ms) + 1 <= allowed
+        requests = self._requests.within(now_ms, settings.retry_budget_window_ms)
+        allowed = settings.retry_budget_free + settings.retry_budget_share * requests
+        return self._retries.within(now_ms, settings.retry_budget_window_ms) + 1 <= allowed
 
 
-def is_harmless(pending: Pending) -> bool:
-    """Whether its client may try again without harm: no attempt may have run, or a repeat is discarded."""
-    if pending.spec.effect is Idempotency.SAFE or (pending.risky is None and pending.out == 0):
+def client_may_retry(pending: PendingRequest) -> bool:
+    """Whether a retry by the client does no harm: no attempt may have run, or every node discards it."""
+    spec = pending.spec
+    never_ran = pending.possibly_executed is None and pending.attempts_in_flight == 0
+    if spec.effect is Idempotency.SAFE or never_ran:
         return True
-    return (
-        pending.spec.effect is Idempotency.KEYED
-        and pending.spec.deduplication_scope is DeduplicationScope.ALL
-    )
+    return spec.effect is Idempotency.KEYED and spec.deduplication_scope is DeduplicationScope.ALL
--- a/shaletiller/policy/slow_start.py
+++ b/shaletiller/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Cold nodes: this host's part of what a node that has just started certainly bears."""
+"""Slow start: this gateway's part of the warm-up budget of a node that has just started."""
 
 from __future__ import annotations
 
@@ -9,44 +9,51 @@
 from shaletiller.state.records import Upstream
 
 
-def ramp_is_over(upstream: Upstream, settings: Settings, now_ms: float) -> bool:
-    """Whether a node that was cold is warm now; it is not held for cold from then on."""
-    if upstream.warming_up_since_ms is None or now_ms - upstream.warming_up_since_ms < settings.slow_start_ms:
+def finish_slow_start(upstream: Upstream, settings: Settings, now_ms: float) -> bool:
+    """End the slow start of a node once its time is over.
+
+    :returns: whether it has ended with this call.
+    """
+    started_ms = upstream.warming_up_since_ms
+    if started_ms is None or now_ms - started_ms < settings.slow_start_ms:
         return False
     upstream.warming_up_since_ms = None
     return True
 
 
-def cold_allows(
-    upstream: Upstream,
-    settings: Settings,
-    units: float,
-    share: Quota | None,
-    now_ms: float,
+def warm_up_allows(
+    upstream: Upstream, settings: Settings, units: float, quota: Quota | None, now_ms: float
 ) -> bool:
-    """Rule 4: whether this host's part of a cold node's budget, rising with the ramp, leaves so many units.
+    """Whether this gateway's part of a node's warm-up budget leaves so many units.
+
+    The budget (units in the overload window) rises linearly from what the node bears at its start to what it
+    bears warm.  What the node rejects counts as well.  What it serves of this gateway's requests pays back
+    half the overload multiple (see `OutcomeHandler`): all gateways together then send it the safe budget and
+    half the multiple of what it serves, while none of them alone would notice an overload in time.
 
-    What is turned away counts as well.  What the node served of this host's within the span pays back half
-    the rule's multiple: all hosts together then send it the safe part and half the multiple of what it can
-    do, where alone each would learn it too late."""
+    :param quota: the part that the fleet assigns to this gateway; None without a fleet.
+    """
     if upstream.warming_up_since_ms is None:
         return True
     age_ms = max(0.0, now_ms - upstream.warming_up_since_ms)
     start = settings.initial_capacity_share
-    borne = settings.warm_up_units * (start + (1 - start) * age_ms / settings.slow_start_ms) / start
-    if share is not None:
-        part = share.at(now_ms).burst * borne / settings.warm_up_units
+    budget = settings.warm_up_units * (start + (1 - start) * age_ms / settings.slow_start_ms) / start
+    if quota is not None:
+        part = quota.at(now_ms).burst * budget / settings.warm_up_units
     else:
-        part = _part_without_share(upstream, settings, borne, age_ms)
+        part = _even_part(upstream, settings, budget, age_ms)
     return upstream.warm_up_sends.within(now_ms, settings.overload_window_ms) + units <= part
 
 
-def _part_without_share(upstream: Upstream, settings: Settings, borne: float, age_ms: float) -> float:
-    """An even part.  Where that is under one request, hosts take turns of the stated span by their number,
-    half of the budget a turn, for a span meets at most two."""
-    gateways, one = settings.gateways, settings.mean_units
-    if not 0 < borne < one * gateways:
-        return borne / gateways
-    groups = math.ceil(2 * one * gateways / borne)
+def _even_part(upstream: Upstream, settings: Settings, budget: float, age_ms: float) -> float:
+    """Return an even part of the budget, in units.
+
+    Where that is less than one request, gateways take turns by their index.  A turn lasts one overload window
+    and has half of the budget, as any window overlaps two turns at most.
+    """
+    gateways, one_request = settings.gateways, settings.mean_units
+    if not 0 < budget < one_request * gateways:
+        return budget / gateways
+    groups = math.ceil(2 * one_request * gateways / budget)
     turn = int(age_ms // max(1.0, settings.overload_window_ms)) + upstream.shard - settings.gateway_index
-    return borne / 2 / math.ceil(gateways / groups) if turn % groups == 0 else 0.0
+    return budget / 2 / math.ceil(gateways / groups) if turn % groups == 0 else 0.0
--- a/shaletiller/rate_counters.py
+++ b/shaletiller/rate_counters.py
@@ -1,4 +1,7 @@
-"""Counters that the decisions and the fleet share: a leaking store of units, and a rate that forgets."""
+"""Counters shared by the policy and the fleet: token bucket, decaying rate, sliding-window sum.
+
+Times are milliseconds, rates are amounts a second.
+"""
 
 from __future__ import annotations
 
@@ -6,18 +9,25 @@
 from collections import deque
 from dataclasses import dataclass
 
-MEMORY_MS = 1000.0  # how long a rate is remembered, unless said otherwise
+# The time constant of a decaying rate.  Empirical: shorter follows a change of load sooner, longer is moved
+# less by single requests.
+RATE_MEMORY_MS = 1000.0
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A leaking store of units: it fills at a rate (units a second) up to a cap."""
+    """A token bucket (J. Turner, 1986): it fills at a rate up to a cap; spending takes from its level."""
 
     level: float
     at_ms: float
 
     def fill(self, now_ms: float, rate: float, cap: float) -> float:
-        """Bring the store to `now_ms` and give its level."""
+        """Bring the bucket up to date.
+
+        :param rate: tokens a second.
+        :param cap: the most tokens that it holds.
+        :returns: its level.
+        """
         self.level = min(cap, self.level + rate * (now_ms - self.at_ms) / 1000)
         self.at_ms = now_ms
         return self.level
@@ -25,36 +35,43 @@
 
 @dataclass(slots=True)
 class DecayingRate:
-    """A rate that forgets."""
+    """An exponentially decaying rate, as Unix load averages: counts lose weight by e^(-t/memory)."""
 
     total: float = 0.0
     at_ms: float = 0.0
-    memory_ms: float = MEMORY_MS
+    memory_ms: float = RATE_MEMORY_MS
 
     def add(self, now_ms: float, amount: float = 0.0) -> float:
-        """Count and give the rate a second."""
+        """Count an amount.
+
+        :returns: the rate a second, the amount included.
+        """
         self.total = self.total * math.exp((self.at_ms - now_ms) / self.memory_ms) + amount
         self.at_ms = now_ms
         return self.total * 1000 / self.memory_ms
 
 
 class SlidingWindowSum:
-    """The exact sum of what was counted within a span that ends now."""
+    """A sliding-window log: the exact sum of what was counted within a window that ends now."""
 
     def __init__(self) -> None:
+        """Start empty."""
         self._counted: deque[tuple[float, float]] = deque()  # time in milliseconds, amount
 
     def add(self, now_ms: float, amount: float = 1.0) -> None:
+        """Count an amount."""
         self._counted.append((now_ms, amount))
 
-    def within(self, now_ms: float, span_ms: float) -> float:
-        """The sum over the last `span_ms`; what is older is forgotten."""
-        self.forget(now_ms, span_ms)
+    def within(self, now_ms: float, window_ms: float) -> float:
+        """Return the sum over the last `window_ms`; what is older is dropped."""
+        self.forget(now_ms, window_ms)
         return sum(amount for _, amount in self._counted)
 
-    def forget(self, now_ms: float, span_ms: float) -> None:
-        while self._counted and self._counted[0][0] <= now_ms - span_ms:
+    def forget(self, now_ms: float, window_ms: float) -> None:
+        """Drop what is older than the window."""
+        while self._counted and self._counted[0][0] <= now_ms - window_ms:
             self._counted.popleft()
 
     def clear(self) -> None:
+        """Drop all counts."""
         self._counted.clear()
--- a/shaletiller/settings/__init__.py
+++ b/shaletiller/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings of a site: their types, and the one decoder of the settings document."""
+"""The settings of a site: their types, and the one decoder that reads them."""
--- a/shaletiller/settings/decoder.py
+++ b/shaletiller/settings/decoder.py
@@ -1,5 +1,8 @@
-"""The one decode of the settings object: the simulator's first message and a real gateway's configuration
-hold the same one."""
+"""The one decoder of the settings object.
+
+The simulator's first message and a real gateway's configuration hold the same object.  Its keys are the
+site's own; they stand in the tables of this module alone.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +12,10 @@
 
 import msgspec
 
+from shaletiller.settings.errors import SettingsError
 from shaletiller.settings.model import Settings
 
+# Class and plan names are sent in HTTP header fields.
 NAME = re.compile(r"[!-~](?:[ -~]{0,62}[!-~])?", re.ASCII)
 EFFECTS = {"read_like": "safe", "idempotency_key": "keyed", "non_idempotent": "unsafe"}
 CLASS_KEYS = {
@@ -75,7 +80,7 @@
     "deductions": {"probe": "health_check_cost", "peer": "peer_message_cost", "waste": "wasted_work_cost"},
     "load-info": {"columns": "load_report_fields"},
 }
-# What the keys above are called in the site's own words, to name a faulty one.
+# The site's key of each field, to name a faulty one.
 SITE_NAMES = {
     ours: f"{section}.{theirs}" if section else theirs
     for section, keys in SETTING_KEYS.items()
@@ -87,48 +92,57 @@
 }
 
 
-def _picked(source: Any, keys: Mapping[str, str], where: str) -> dict[str, Any]:
-    """The known keys that are present, under the interface's names."""
+def _known_keys(source: Any, keys: Mapping[str, str], where: str) -> dict[str, Any]:
+    """Return the known keys that are present, under the names of the code.
+
+    :raises SettingsError: where the source is no object.
+    """
     if not isinstance(source, Mapping):
-        raise ValueError(f"{where}: wants an object")
+        raise SettingsError(f"{where}: wants an object")
     return {ours: source[theirs] for theirs, ours in keys.items() if source.get(theirs) is not None}
 
 
-def _rows(info: Mapping[str, Any], name: str) -> list[Any]:
+def _list(info: Mapping[str, Any], name: str) -> list[Any]:
     rows = info.get(name) or []
     if not isinstance(rows, list):
-        raise ValueError(f"{name}: wants a list")
+        raise SettingsError(f"{name}: wants a list")
     return rows
 
 
 def _class(source: Any, at: int, writes: list[Any]) -> dict[str, Any]:
-    known = _picked(source, CLASS_KEYS, f"classes[{at}]")
-    if "effect" not in known:  # taken for unsafe, its reads would never be repeated
-        raise ValueError(f"classes[{at}].effect: is missing")
+    known = _known_keys(source, CLASS_KEYS, f"classes[{at}]")
+    if "effect" not in known:  # a default of unsafe would keep its reads from ever being retried
+        raise SettingsError(f"classes[{at}].effect: is missing")
     if known["effect"] not in EFFECTS:
-        raise ValueError(f"classes[{at}].effect: unknown value {known['effect']!r}")
+        raise SettingsError(f"classes[{at}].effect: unknown value {known['effect']!r}")
     known["effect"] = EFFECTS[known["effect"]]
     return {**known, "writes": bool(writes[at]) if at < len(writes) else False}
 
 
 def _check_names(names: list[Any], where: str) -> None:
-    """Requests bear the names in their heads: one that cannot stand there, or stands for two, serves none."""
+    """Check that names fit into a header field and are unique.
+
+    Requests name their class and plan in header fields: any other name could not be used, or be ambiguous.
+    """
     for at, name in enumerate(names):
         if isinstance(name, str) and (not NAME.fullmatch(name) or name in names[:at]):
             why = "stands there twice" if name in names[:at] else "wants 1 to 64 printable ASCII characters"
-            raise ValueError(f"{where}[{at}].name: {name!r} {why}")
+            raise SettingsError(f"{where}[{at}].name: {name!r} {why}")
 
 
 def read_settings(info: Mapping[str, Any]) -> Settings:
-    """The settings; absent and unknown keys are no fault, a ValueError names a faulty one."""
+    """Read the settings; absent keys have defaults, unknown ones are ignored.
+
+    :raises SettingsError: its text begins with the site's key of the first faulty value.
+    """
     known: dict[str, Any] = {}
     for section, keys in SETTING_KEYS.items():
-        known.update(_picked(info.get(section) or {} if section else info, keys, section or "settings"))
+        known.update(_known_keys(info.get(section) or {} if section else info, keys, section or "settings"))
     domain: Mapping[str, Any] = info.get("domain") or {}
-    writes = _rows(domain, "writes")
-    known["classes"] = [_class(each, at, writes) for at, each in enumerate(_rows(info, "classes"))]
+    writes = _list(domain, "writes")
+    known["classes"] = [_class(each, at, writes) for at, each in enumerate(_list(info, "classes"))]
     known["plans"] = [
-        _picked(each, PLAN_KEYS, f"contracts[{at}]") for at, each in enumerate(_rows(info, "contracts"))
+        _known_keys(each, PLAN_KEYS, f"contracts[{at}]") for at, each in enumerate(_list(info, "contracts"))
     ]
     for section in ("classes", "plans"):
         _check_names([each.get("name") for each in known[section]], LIST_NAMES[section][0])
@@ -136,11 +150,11 @@
     try:
         return msgspec.convert(known, Settings)
     except msgspec.ValidationError as error:
-        raise ValueError(_in_site_words(str(error))) from error
+        raise SettingsError(_with_site_key(str(error))) from error
 
 
-def _in_site_words(text: str) -> str:
-    """msgspec's message, with the faulty key first and named as the site names it."""
+def _with_site_key(text: str) -> str:
+    """Rewrite msgspec's message: the faulty key first, and as the site names it."""
     message, _, path = text.partition(" - at `$")
     found = re.fullmatch(r"\.?(\w*)(\[(?:\d+|\.\.\.)\])?(?:\.(\w+))?`", path)
     if found is None:
--- a/shaletiller/state/__init__.py
+++ b/shaletiller/state/__init__.py
@@ -1,3 +1,4 @@
-"""What the decisions know: requests and nodes, the settings in force, and what answers have taught.
+"""State of the decisions: requests, upstreams and volumes, the settings in force, and learned estimates.
 
-Nothing is decided here; the decisions are in `shaletiller.policy`."""
+Nothing is decided here; the decisions are in `shaletiller.policy`.
+"""
--- a/shaletiller/state/latency.py
+++ b/shaletiller/state/latency.py
@@ -1,64 +1,77 @@
-"""How long answers take: by class over all nodes, and of a mean request at each node."""
+"""Estimates of response latency: by class over all nodes, and of a mean request at each node."""
 
 from __future__ import annotations
 
 import math
 
 from shaletiller.messages.outcomes import Outcome
-from shaletiller.state.records import BANDS, Pending
-from shaletiller.state.site import Site
+from shaletiller.state.records import PendingRequest
+from shaletiller.state.site import SiteSettings
 
-LAG_PART = 0.1  # an answer's part in the node's lag, at least
-USUAL_PART = 0.02  # and in its class's usual lag
-LAG_MEMORY_MS = 2000.0  # and all of it after a multiple of this without an answer
-LOSS_PART = 0.2  # an overdue attempt's part in the estimate that overdue answers are lost
+# Smoothing factors of exponentially weighted moving averages, all empirical: a larger factor follows a change
+# sooner, a smaller one is moved less by a single response.
+NODE_SMOOTHING = 0.1  # of a node's latency, at least
+CLASS_SMOOTHING = 0.02  # of a class's latency over all nodes
+LOST_SMOOTHING = 0.2  # of the share of overdue attempts that are never answered
+# The time constant by which a node's estimate ages while no response comes: after a pause the first response
+# replaces what was known, as a gateway with little traffic sees a node too rarely to average.
+NODE_MEMORY_MS = 2000.0
 
 
-class Latency:
-    """Learns lags (milliseconds) from answers."""
+class LatencyEstimates:
+    """Exponentially weighted moving averages (J. S. Hunter, 1986) of latencies in milliseconds."""
 
-    def __init__(self, site: Site) -> None:
+    def __init__(self, site: SiteSettings) -> None:
+        """Start with nothing known."""
         self._site = site
-        self._usual = [0.0] * len(site.class_index)  # lag by class over all nodes, for the mean units
-        self._mean_usual = 0.0  # of all classes, as often as they are answered
-        self.losing = 0.0  # the part of overdue answers that never come
-
-    def retune(self, was: list[int]) -> None:
-        """New classes: `was` has the place that each had before, -1 where it is new."""
-        self._usual = [self._usual[at] if at >= 0 else 0.0 for at in was]
-
-    def by_units(self, pending: Pending) -> float:
-        """How a request's lag goes by its units, against its class's mean: half of it does."""
-        return (1 + pending.ask.units / self._site.settings.mean_units) / 2
-
-    def ratio(self, at: int) -> float:
-        """A class's usual lag against that of the mean request; 1 until it is known."""
-        return self._usual[at] / self._mean_usual if self._usual[at] else 1.0
-
-    def work(self, pending: Pending) -> float:
-        """Its units of mean work, as far as lags tell: those of a class that is answered sooner are less."""
-        return pending.ask.units * self.ratio(self._site.class_index[pending.spec.name])
-
-    def size(self, pending: Pending) -> float:
-        """A request's usual lag against the mean request's, by its class and its units."""
-        return self.by_units(pending) * self.ratio(pending.kind // BANDS)
-
-    def usual_ms(self, pending: Pending) -> float:
-        """The class's usual lag over all nodes: the answers of one node are too few at a sliver."""
-        return self._usual[pending.kind // BANDS] * self.by_units(pending)
-
-    def learn(self, pending: Pending, latency_ms: float, now_ms: float) -> None:
-        """The older the node's last answer, the more the new one counts: at a sliver answers are rare."""
-        upstream, at = pending.upstream, pending.kind // BANDS
-        part = max(LAG_PART, 1 - math.exp((upstream.heard_ms - now_ms) / LAG_MEMORY_MS))
-        upstream.latency_ms += (latency_ms / self.size(pending) - upstream.latency_ms) * part
-        upstream.heard_ms = now_ms
-        latency_ms /= self.by_units(pending)
-        self._usual[at] += (latency_ms - self._usual[at]) * (USUAL_PART if self._usual[at] else 1.0)
-        self._mean_usual += (latency_ms - self._mean_usual) * (USUAL_PART if self._mean_usual else 1.0)
-
-    def learn_loss(self, outcome: Outcome) -> None:
-        """Overdue answers that come in the end say slow, those that never come say lost."""
+        self._class_ms = dict.fromkeys(site.class_specs, 0.0)  # of a request of mean units; 0: not known
+        self._all_classes_ms = 0.0  # weighted by how often each class is answered
+        self.lost_share = 0.0  # of overdue attempts, those that are never answered
+
+    def retune(self) -> None:
+        """Follow the classes of new settings."""
+        self._class_ms = {name: self._class_ms.get(name, 0.0) for name in self._site.class_specs}
+
+    def units_factor(self, pending: PendingRequest) -> float:
+        """Return a request's expected latency against its class's mean: half of it grows with the units."""
+        return (1 + pending.units / self._site.settings.mean_units) / 2
+
+    def class_factor(self, request_class: str) -> float:
+        """Return a class's latency against that of the mean request; 1 until it is known."""
+        class_ms = self._class_ms[request_class]
+        return class_ms / self._all_classes_ms if class_ms else 1.0
+
+    def request_factor(self, pending: PendingRequest) -> float:
+        """Return a request's expected latency against the mean request's, by its class and units."""
+        return self.units_factor(pending) * self.class_factor(pending.spec.name)
+
+    def work_units(self, pending: PendingRequest) -> float:
+        """Return a request's units, weighted by how long its class takes: what it costs the node."""
+        return pending.units * self.class_factor(pending.spec.name)
+
+    def expected_ms(self, pending: PendingRequest) -> float:
+        """Return the latency to expect, 0 where it is not known.
+
+        Over all nodes: a gateway with little traffic has too few responses of one node to tell.
+        """
+        return self._class_ms[pending.spec.name] * self.units_factor(pending)
+
+    def record_response(self, pending: PendingRequest, latency_ms: float, now_ms: float) -> None:
+        """Learn from a response; the older the node's previous one, the more this one counts."""
+        upstream, name = pending.upstream, pending.spec.name
+        aged = 1 - math.exp((upstream.last_response_ms - now_ms) / NODE_MEMORY_MS)
+        mean_request_ms = latency_ms / self.request_factor(pending)
+        upstream.latency_ms += (mean_request_ms - upstream.latency_ms) * max(NODE_SMOOTHING, aged)
+        upstream.last_response_ms = now_ms
+        latency_ms /= self.units_factor(pending)
+        known_ms = self._class_ms[name]
+        self._class_ms[name] = known_ms + (latency_ms - known_ms) * (CLASS_SMOOTHING if known_ms else 1.0)
+        self._all_classes_ms += (latency_ms - self._all_classes_ms) * (
+            CLASS_SMOOTHING if self._all_classes_ms else 1.0
+        )
+
+    def record_overdue(self, outcome: Outcome) -> None:
+        """Learn how an overdue attempt ended: a late response means a slow node, none at all lost answers."""
         lost = {Outcome.OK: 0.0, Outcome.TIMEOUT: 1.0}.get(outcome)
         if lost is not None:
-            self.losing += (lost - self.losing) * LOSS_PART
+            self.lost_share += (lost - self.lost_share) * LOST_SMOOTHING
--- /dev/null
+++ b/shaletiller/state/runtime.py
@@ -0,0 +1,52 @@
+"""All that the policy knows: the settings, the requests and attempts under way, and learned estimates."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field
+
+from shaletiller.messages.actions import Action
+from shaletiller.settings.model import Settings
+from shaletiller.state.latency import LatencyEstimates
+from shaletiller.state.records import Attempt, KeyQueue, PendingRequest
+from shaletiller.state.site import SiteSettings
+from shaletiller.state.volumes import VolumeTable
+
+
+@dataclass(slots=True, eq=False)
+class PolicyState:
+    """What all parts of the policy share.  Times are milliseconds on the clock of the events.
+
+    :param actions: what the event that is being handled calls for, in order.
+    :param started_ms: the time of the first event.
+    :param resumed_ms: when the process last ran again after it had missed a whole round.
+    """
+
+    site: SiteSettings
+    latency: LatencyEstimates
+    volumes: VolumeTable
+    now_ms: float = 0.0
+    started_ms: float = 0.0
+    resumed_ms: float = -math.inf
+    next_round_ms: float = math.inf
+    pending: dict[str, PendingRequest] = field(default_factory=dict)  # by request id
+    attempts: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # by request id and number
+    key_queues: dict[str, KeyQueue] = field(default_factory=dict)  # by object key
+    actions: list[Action] = field(default_factory=list)
+
+    @classmethod
+    def create(cls, settings: Settings) -> PolicyState:
+        """Create the state of a gateway that has just started."""
+        site = SiteSettings(settings)
+        return cls(site, LatencyEstimates(site), VolumeTable(site))
+
+    def retune(self, settings: Settings) -> None:
+        """Take new settings under load.
+
+        What is pending keeps its class; one that is removed is known for as long as requests or attempts of
+        it are under way, and does not count in figures of the whole site.
+        """
+        under_way = [*self.pending.values(), *(attempt.pending for attempt in self.attempts.values())]
+        specs = (*(pending.spec for pending in under_way), *settings.classes)
+        self.site.update(settings, tuple({spec.name: spec for spec in specs}.values()))
+        self.latency.retune()
--- a/shaletiller/state/site.py
+++ b/shaletiller/state/site.py
@@ -1,45 +1,61 @@
-"""The settings in force and the figures that follow from them."""
+"""The settings in force and the figures derived from them."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 from shaletiller.settings.model import ClassSpec, Settings
-from shaletiller.state.records import BANDS, Pending
+from shaletiller.state.records import PendingRequest
+from shaletiller.state.tiers import QueueKey, QueueSpec, Tier
 
-ROUND_PART = 0.5  # a round lasts this part of the tightest aim
+# A scheduling round lasts this part of the tightest latency objective: a request that waits for the next
+# round still has half of its objective left for the node.
+ROUND_PART = 0.5
 
 
-class Site:
-    """One object that all parts of the decisions share; new settings change it in place."""
+class SiteSettings:
+    """Shared by all parts of the policy; new settings change it in place."""
 
     def __init__(self, settings: Settings) -> None:
+        """Take the first settings."""
         self.update(settings, settings.classes)
 
     def update(self, settings: Settings, classes: tuple[ClassSpec, ...]) -> None:
-        """Take new settings.  `classes` may hold more than theirs: those of requests under way."""
+        """Take new settings.
+
+        :param classes: those of the settings, and removed ones of which requests are still under way.
+        """
         self.settings = replace(settings, classes=classes)
-        self.class_index = {spec.name: at for at, spec in enumerate(classes)}
+        self.class_specs = {spec.name: spec for spec in classes}
         self.plans = {plan.name: plan for plan in settings.plans}
-        # For each class those that are worth more.
-        self.paid_more = {
-            spec.name: frozenset(each.name for each in classes if each.priority_weight > spec.priority_weight)
+        self.higher_priority_classes = {
+            spec.name: frozenset(
+                other.name for other in classes if other.priority_weight > spec.priority_weight
+            )
             for spec in classes
         }
-        self.kinds = len(classes) * BANDS
-        self.tightest_aim_ms = min(spec.latency_objective_ms for spec in settings.classes)
-        self.round_ms = self.tightest_aim_ms * ROUND_PART
-        self.rounds = [max(1, int(spec.latency_objective_ms // self.round_ms)) for spec in classes]
-        self.zones = (1.0, settings.fair_share_tier_weight, settings.excess_tier_weight)
-        self.priority_weight = [spec.priority_weight * zone for spec in classes for zone in self.zones]
-        rank = [
-            (-priority_weight, classes[kind // BANDS].latency_objective_ms)
-            for kind, priority_weight in enumerate(self.priority_weight)
-        ]
-        self.best_paid_first = sorted(range(self.kinds), key=rank.__getitem__)  # not by where a site lists it
-        top = max(spec.priority_weight for spec in settings.classes) * max(self.zones)
-        self._best_pay = max(top * max(plan.value_factor for plan in settings.plans), 1e-9)
-
-    def pay(self, pending: Pending) -> float:
-        """A request's worth as a part of the most that any has here."""
-        return self.priority_weight[pending.kind] * pending.volume.plan.value_factor / self._best_pay
+        self.tightest_objective_ms = min(spec.latency_objective_ms for spec in settings.classes)
+        self.round_ms = self.tightest_objective_ms * ROUND_PART
+        tier_weights = {
+            Tier.RESERVED: 1.0,
+            Tier.FAIR_SHARE: settings.fair_share_tier_weight,
+            Tier.EXCESS: settings.excess_tier_weight,
+        }
+        self.queue_specs = tuple(
+            self._queue_spec(spec, tier, weight) for spec in classes for tier, weight in tier_weights.items()
+        )
+        top = max(spec.priority_weight for spec in settings.classes) * max(tier_weights.values())
+        self.highest_value = max(top * max(plan.value_factor for plan in settings.plans), 1e-9)
+
+    def _queue_spec(self, spec: ClassSpec, tier: Tier, tier_weight: float) -> QueueSpec:
+        return QueueSpec(
+            QueueKey(spec.name, tier),
+            spec.priority_weight * tier_weight,
+            tier_weight,
+            spec.latency_objective_ms,
+            max(1, int(spec.latency_objective_ms // self.round_ms)),
+        )
+
+    def relative_value(self, pending: PendingRequest) -> float:
+        """Return the value of a request as a part of the highest that any request has at this site."""
+        return pending.queue.spec.priority_weight * pending.volume.plan.value_factor / self.highest_value
--- a/shaletiller/state/volumes.py
+++ b/shaletiller/state/volumes.py
@@ -1,4 +1,4 @@
-"""The volumes that have asked of late, and what this host may spend of the fleet's limits."""
+"""The volumes with recent requests, and this gateway's quotas of limits that the fleet holds together."""
 
 from __future__ import annotations
 
@@ -9,79 +9,88 @@
 from shaletiller.messages.events import AttemptEnded, QuotaUpdated, Request
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.rate_counters import TokenBucket
-from shaletiller.state.records import Pending, Upstream, Volume
-from shaletiller.state.site import Site
+from shaletiller.state.records import PendingRequest, Upstream, VolumeState
+from shaletiller.state.site import SiteSettings
 
-FORGET_MS = 15_000.0  # a volume that asks for nothing so long is forgotten: its stores are full again
+# A volume without requests for so long is dropped, so that volumes that come and go take no memory.  It is
+# kept longer while its rate limit may not be full again: dropping it would refill the bucket.
+VOLUME_EXPIRY_MS = 15_000.0
 
 
-class Volumes:
-    """A table of volumes by name, and of shares by the name of a volume or of a cold node."""
+class VolumeTable:
+    """Volumes by name, and quotas by the name of a volume or of a node that warms up."""
 
-    def __init__(self, site: Site) -> None:
+    def __init__(self, site: SiteSettings) -> None:
+        """Start empty."""
         self._site = site
-        self._volumes: dict[str, Volume] = {}
-        self._shares: dict[str, Quota] = {}
-        self._forget_ms = 0.0
+        self._volumes: dict[str, VolumeState] = {}
+        self._quotas: dict[str, Quota] = {}
+        self._next_expiry_ms = 0.0
 
     def __len__(self) -> int:
+        """Return the number of volumes that are remembered."""
         return len(self._volumes)
 
     def __contains__(self, name: str) -> bool:
+        """Whether a volume is remembered."""
         return name in self._volumes
 
-    def __getitem__(self, name: str) -> Volume:
+    def __getitem__(self, name: str) -> VolumeState:
+        """Return a volume by its name."""
         return self._volumes[name]
 
-    def share(self, name: str) -> Quota | None:
-        """This host's share of a volume's limit or a cold node's budget, where the fleet deals it out."""
-        return self._shares.get(name)
+    def quota(self, name: str) -> Quota | None:
+        """Return the quota of a volume's rate limit or a node's warm-up budget; None without a fleet."""
+        return self._quotas.get(name)
 
-    def take_share(self, event: QuotaUpdated) -> None:
-        self._shares[event.name] = event.share
+    def set_quota(self, event: QuotaUpdated) -> None:
+        """Take the quota that the fleet assigns to this gateway."""
+        self._quotas[event.name] = event.quota
 
-    def of(self, ask: Request, now_ms: float, start_ms: float) -> Volume:
-        """The volume that a request is for.  The store of its limit begins empty when the host starts."""
-        plan, gateways = self._site.plans[ask.plan], max(1, ask.volume_gateways)
-        volume = self._volumes.get(ask.volume)
+    def for_request(self, request: Request, now_ms: float, started_ms: float) -> VolumeState:
+        """Return the volume of a request.  The bucket of its rate limit starts empty with the gateway."""
+        plan, gateways = self._site.plans[request.plan], max(1, request.volume_gateways)
+        volume = self._volumes.get(request.volume)
         if volume is None:
-            stores = TokenBucket(math.inf, now_ms), QuotaBucket(0.0, start_ms)
-            volume = self._volumes[ask.volume] = Volume(plan, gateways, *stores, start_ms)
-        elif volume.plan != plan:  # of new settings: what was drawn under the old ones is not known of these
-            volume.plan, volume.limit, volume.limit_since_ms = plan, QuotaBucket(0.0, now_ms), now_ms
-        volume.asked_ms = now_ms
+            buckets = TokenBucket(math.inf, now_ms), QuotaBucket(0.0, started_ms)
+            volume = self._volumes[request.volume] = VolumeState(plan, gateways, *buckets, started_ms)
+        elif volume.plan != plan:
+            # What was drawn under the previous plan is not known of the new one: its bucket starts empty.
+            volume.plan, volume.rate_limit = plan, QuotaBucket(0.0, now_ms)
+            volume.rate_limit_since_ms = now_ms
+        volume.last_request_ms = now_ms
         return volume
 
-    def forget(self, upstreams: Collection[Upstream], now_ms: float) -> None:
-        """Volumes come and go for as long as a host lives."""
-        if now_ms < self._forget_ms:
+    def expire(self, upstreams: Collection[Upstream], now_ms: float) -> None:
+        """Drop volumes without recent requests, at most once in VOLUME_EXPIRY_MS."""
+        if now_ms < self._next_expiry_ms:
             return
-        self._forget_ms = now_ms + FORGET_MS
-        for name in [name for name, each in self._volumes.items() if self._is_old(each, now_ms)]:
+        self._next_expiry_ms = now_ms + VOLUME_EXPIRY_MS
+        for name in [name for name, volume in self._volumes.items() if self._is_expired(volume, now_ms)]:
             del self._volumes[name]
-            self._shares.pop(name, None)
+            self._quotas.pop(name, None)
             for upstream in upstreams:
-                upstream.excess.pop(name, None)
+                upstream.excess_demand.pop(name, None)
 
     @staticmethod
-    def _is_old(volume: Volume, now_ms: float) -> bool:
-        fills = volume.plan.limit_rate * FORGET_MS / 1000 >= volume.plan.limit_burst
-        return fills and now_ms - volume.asked_ms >= FORGET_MS
+    def _is_expired(volume: VolumeState, now_ms: float) -> bool:
+        refills = volume.plan.limit_rate * VOLUME_EXPIRY_MS / 1000 >= volume.plan.limit_burst
+        return refills and now_ms - volume.last_request_ms >= VOLUME_EXPIRY_MS
 
-    def learn_served(self, pending: Pending, event: AttemptEnded, now_ms: float) -> None:
-        """What the other hosts served of a volume, as far as its late total tells."""
+    def record_outcome(self, pending: PendingRequest, event: AttemptEnded, now_ms: float) -> None:
+        """Learn what other gateways serve of a volume, from the usage stated with an answer."""
         volume, served = pending.volume, event.outcome is Outcome.OK
-        mine = volume.served.add(now_ms, pending.ask.units if served else 0.0)
+        own_rate = volume.served_rate.add(now_ms, pending.units if served else 0.0)
         if event.usage_percent_plus_one > 0:
-            total = (event.usage_percent_plus_one - 1) / 100 * volume.plan.base_rate
-            volume.others_rate = max(0.0, total - mine)
+            total_rate = (event.usage_percent_plus_one - 1) / 100 * volume.plan.base_rate
+            volume.other_gateways_rate = max(0.0, total_rate - own_rate)
 
 
-def unsent_units(pending: Pending, known: Iterable[Pending]) -> float:
-    """The units of a request and of all others of its volume that have not been sent yet."""
+def unsent_units(pending: PendingRequest, requests: Iterable[PendingRequest]) -> float:
+    """Return the units of a request and of all others of its volume without an attempt so far."""
     others = (
-        each.ask.units
-        for each in known
-        if each.volume is pending.volume and not each.sends and each is not pending
+        each.units
+        for each in requests
+        if each.volume is pending.volume and not each.attempts_started and each is not pending
     )
-    return pending.ask.units + sum(others)
+    return pending.units + sum(others)
--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -32,7 +32,7 @@
 from shaletiller.operator_file import OperatorFileError, read
 from shaletiller.settings.model import PlanSpec, Settings
 from tests.core.test_engine import CALL, ScriptedUpstream
-from tests.support.scheduler_host import Host, entry, settings
+from tests.support.scheduler_host import ScriptedGateway, entry, settings
 
 CAPPED = PlanSpec("basic", base_rate=4, reserved_rate=2, limit_rate=10, limit_burst=16)
 
@@ -41,54 +41,54 @@
 
 
 def test_a_limit_is_spent_by_the_share_in_hand_and_not_by_the_even_part() -> None:
-    host = Host(plans=(CAPPED,))
-    host.give(QuotaUpdated("v1", Quota(Amount(0.0, 0.0))))
+    host = ScriptedGateway(plans=(CAPPED,))
+    host.handle(QuotaUpdated("v1", Quota(Amount(0.0, 0.0))))
     host.run_to(10_000)
-    host.ask("none", units=2, volume_gateways=1)
+    host.request("none", units=2, volume_gateways=1)
     assert host.finals("none") and not host.sent()  # its even part would have been all of it
-    host.give(QuotaUpdated("v1", Quota(Amount(0.0, 0.0), ((20_000.0, Amount(10.0, 16.0)),))))
+    host.handle(QuotaUpdated("v1", Quota(Amount(0.0, 0.0), ((20_000.0, Amount(10.0, 16.0)),))))
     host.run_to(11_000)
-    host.ask("some", units=8, volume_gateways=1)
+    host.request("some", units=8, volume_gateways=1)
     assert host.sent() == ["some"]
 
 
 def test_a_process_that_wakes_after_its_lease_spends_nothing_of_it() -> None:
-    host = Host(plans=(CAPPED,))
-    host.give(QuotaUpdated("v1", Quota(Amount(0.0, 0.0), ((2_000.0, Amount(10.0, 16.0)),))))
+    host = ScriptedGateway(plans=(CAPPED,))
+    host.handle(QuotaUpdated("v1", Quota(Amount(0.0, 0.0), ((2_000.0, Amount(10.0, 16.0)),))))
     host.run_to(1_900)
     host.now = 30_000.0  # it stood still: no tick has told it anything
-    host.ask("late", units=1, volume_gateways=1)
+    host.request("late", units=1, volume_gateways=1)
     assert host.finals("late") and not host.sent()
 
 
 def test_a_cold_node_is_sent_the_share_in_hand() -> None:
     cold = entry(started_ms=1.0)
-    host = Host(
+    host = ScriptedGateway(
         cold, gateways=100, gateway_index=50, warm_up_units=40.0
     )  # by turns it would wait for its own
     host.run_to(100)
-    host.ask("r1", units=8)
+    host.request("r1", units=8)
     assert not host.sent()
-    host.scheduler._upstreams[0].capacity = 60.0  # it has room for more than its budget
-    host.give(QuotaUpdated("n1", Quota(Amount(0.0, 20.0))))
+    host.upstream().concurrency_limit = 60.0  # it has room for more than its budget
+    host.handle(QuotaUpdated("n1", Quota(Amount(0.0, 20.0))))
     for n in range(2, 7):
-        host.ask(f"r{n}", units=8)
+        host.request(f"r{n}", units=8)
     host.run_to(200)
     assert len(host.sent()) == 2  # 16 of 20 units
 
 
 def test_nothing_is_sent_to_a_node_that_others_find_gone_until_it_speaks() -> None:
-    host = Host()
-    host.ask("r1")
-    host.give(EndpointReportedDown("n1", 5_000.0))
-    host.ask("r2")
+    host = ScriptedGateway()
+    host.request("r1")
+    host.handle(EndpointReportedDown("n1", 5_000.0))
+    host.request("r2")
     assert host.sent() == ["r1"]
-    host.answer("r1")  # what comes from it here outweighs what others say
-    host.ask("r3")
+    host.end_attempt("r1")  # what comes from it here outweighs what others say
+    host.request("r3")
     assert "r3" in host.sent()
-    host.give(EndpointReportedDown("n1", 5_000.0))
+    host.handle(EndpointReportedDown("n1", 5_000.0))
     host.run_to(5_001)
-    host.ask("r4")
+    host.request("r4")
     assert "r4" in host.sent()  # a word of others ends by itself
 
 
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -22,7 +22,7 @@
 from shaletiller.settings.model import DeduplicationScope, Idempotency
 from tests.net.test_endings import PATCH, Endings, Wire, ask, cut, reset, until
 from tests.support.scenario import PATIENCE_S, SETTINGS, VOLUME, Server
-from tests.support.scheduler_host import SAFE, Host
+from tests.support.scheduler_host import SAFE, ScriptedGateway
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 KEYED = {
@@ -234,12 +234,14 @@
 class Windows(Endings):
     """A repeat at, just inside and just past the end of a short window."""
 
-    def repeat(self, at_ms: float, ttl_ms: float = 300.0, later: float | None = None) -> tuple[bool, Host]:
+    def repeat(
+        self, at_ms: float, ttl_ms: float = 300.0, later: float | None = None
+    ) -> tuple[bool, ScriptedGateway]:
         keyed = dataclasses.replace(
             SAFE, effect=Idempotency.KEYED, deduplication_scope=DeduplicationScope.ALL, key_ttl_ms=ttl_ms
         )
-        host = Host(classes=(keyed,))
-        host.ask("k")
+        host = ScriptedGateway(classes=(keyed,))
+        host.request("k")
         if later is not None:
             host.scheduler.retune(
                 dataclasses.replace(
@@ -247,7 +249,7 @@
                 )
             )
         host.run_to(at_ms)
-        host.answer("k", Outcome.RESET, request_finished=False)
+        host.end_attempt("k", Outcome.RESET, request_finished=False)
         host.run_to(at_ms + 1.0)
         return host.sent().count("k") == 2, host
 
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures found on the bench, each by scripted events against the module alone."""
+"""Failures found in service and in simulations, each by scripted events to the scheduler alone."""
 
 from __future__ import annotations
 
@@ -9,273 +9,363 @@
 from shaletiller.messages.endpoints import EndpointState, UpdateKind
 from shaletiller.messages.events import EndpointListUpdate
 from shaletiller.messages.outcomes import Outcome
-from shaletiller.policy.concurrency_limit import settle_round
+from shaletiller.messages.timers import AttemptOverdueTimer
+from shaletiller.policy.concurrency_limit import adjust_limit
 from shaletiller.policy.payoff import rounded_rate
 from shaletiller.settings.model import ClassSpec, DeduplicationScope, Idempotency, PlanSpec
-from tests.support.scheduler_host import PLAN, SAFE, Host, entry, settings
+from shaletiller.state.records import Upstream
+from shaletiller.state.tiers import QueueKey, Tier
+from tests.support.scheduler_host import PLAN, SAFE, ScriptedGateway, entry, settings
 
 
-def fill(host: Host, count: int, **changes: object) -> None:
-    """So many requests at once."""
+def in_flight(upstream: Upstream) -> int:
+    """The requests in flight of all queues."""
+    return sum(queue.in_flight for queue in upstream.queues.values())
+
+
+def fill(gateway: ScriptedGateway, count: int, **changes: object) -> None:
+    """Send so many requests at once."""
     for n in range(count):
-        host.ask(f"f{n}", **changes)
+        gateway.request(f"f{n}", **changes)
+
 
+def test_queued_requests_that_would_miss_their_objective_are_rejected_before_they_take_a_slot() -> None:
+    """More requests come than a node has slots, and its responses take longer than the latency objective.
 
-def test_waiting_work_that_would_miss_its_aim_is_refused_before_it_takes_a_slot() -> None:
-    host = Host()
-    fill(host, 12)
-    waiting = [f"f{n}" for n in range(12) if f"f{n}" not in host.sent() and not host.finals(f"f{n}")]
+    What is queued can no longer be in time: it must be rejected, and none of it sent.
+    """
+    gateway = ScriptedGateway()
+    fill(gateway, 12)
+    waiting = [f"f{n}" for n in range(12) if f"f{n}" not in gateway.sent() and not gateway.finals(f"f{n}")]
     assert waiting
-    host.run_to(260)
-    for name in list(host.sent()):
-        host.answer(name, lag=260)
-    assert all(isinstance(host.finals(name)[0], Reject) for name in waiting)
-    assert not set(waiting) & set(host.sent())
+    gateway.run_to(260)
+    for name in list(gateway.sent()):
+        gateway.end_attempt(name, latency_ms=260)
+    assert all(isinstance(gateway.finals(name)[0], Reject) for name in waiting)
+    assert not set(waiting) & set(gateway.sent())
 
 
-def test_resets_of_a_sound_node_do_not_shrink_its_capacity() -> None:
-    host = Host()
+def test_resets_of_a_sound_node_do_not_lower_its_concurrency_limit() -> None:
+    """A third of the attempts at a node that is quick otherwise are reset and retried.
+
+    Resets say nothing about load: its concurrency limit must not fall, or the node would be starved.
+    """
+    gateway = ScriptedGateway()
     for n in range(60):
-        host.ask(f"r{n}")
+        gateway.request(f"r{n}")
         reset = n % 3 == 0
-        host.answer(f"r{n}", Outcome.RESET if reset else Outcome.OK, lag=20)
+        gateway.end_attempt(f"r{n}", Outcome.RESET if reset else Outcome.OK, latency_ms=20)
         if reset:
-            host.answer(f"r{n}", Outcome.OK, attempt=1)
-        host.run_to(host.now + 30)
-    assert host.scheduler._upstreams[0].capacity >= 8.0
+            gateway.end_attempt(f"r{n}", Outcome.OK, attempt=1)
+        gateway.run_to(gateway.now + 30)
+    assert gateway.upstream().concurrency_limit >= 8.0
+
 
+def test_a_rejected_request_that_was_never_sent_uses_nothing_of_the_rate_limit() -> None:
+    """A volume with a rate limit sends a request while no node is there, and it is rejected.
 
-def test_refused_request_that_was_never_sent_gives_its_part_of_the_limit_back() -> None:
+    When a node is back the next request of the volume must find all of its tokens.
+    """
     plan = PlanSpec("basic", base_rate=4, limit_rate=10, limit_burst=20)
-    host = Host(plans=(plan,))
-    host.give(EndpointListUpdate(UpdateKind.FULL, ()))
-    host.run_to(1000)
-    host.ask("r1", units=8)
-    host.run_to(1400)
-    assert host.finals("r1")
-    host.give(EndpointListUpdate(UpdateKind.FULL, (entry(),)))
-    host.ask("r2", units=8)
-    assert host.sent() == ["r2"]
-
-
-def test_what_waits_under_a_limit_is_drawn_when_it_is_sent() -> None:
+    gateway = ScriptedGateway(plans=(plan,))
+    gateway.handle(EndpointListUpdate(UpdateKind.FULL, ()))
+    gateway.run_to(1000)
+    gateway.request("r1", units=8)
+    gateway.run_to(1400)
+    assert gateway.finals("r1")
+    gateway.handle(EndpointListUpdate(UpdateKind.FULL, (entry(),)))
+    gateway.request("r2", units=8)
+    assert gateway.sent() == ["r2"]
+
+
+def test_tokens_of_the_rate_limit_are_drawn_when_a_queued_request_is_sent() -> None:
+    """A request of a limited volume waits for a node until the bucket is full again.
+
+    Had it been drawn on arrival, the next request would find a full bucket as well, and both together would
+    exceed the limit.
+    """
     plan = PlanSpec("basic", base_rate=4, limit_rate=10, limit_burst=10)
-    host = Host(plans=(plan,), classes=(ClassSpec("read", 2000, 4000, effect=Idempotency.SAFE),))
-    host.give(EndpointListUpdate(UpdateKind.FULL, ()))
-    host.run_to(2000)
-    host.ask("r1", units=8, deadline_in_ms=4000)
-    host.run_to(3000)
-    host.give(EndpointListUpdate(UpdateKind.FULL, (entry(),)))
-    host.ask("r2", units=8, deadline_in_ms=4000)
-    host.run_to(3010)
-    host.answer("r1")
-    host.run_to(3700)
-    assert host.sent() == ["r1"]
-    assert host.finals("r2")
-
-
-def cut(host: Host) -> None:
-    """A node that went silent for a while and answers again."""
+    gateway = ScriptedGateway(
+        plans=(plan,), classes=(ClassSpec("read", 2000, 4000, effect=Idempotency.SAFE),)
+    )
+    gateway.handle(EndpointListUpdate(UpdateKind.FULL, ()))
+    gateway.run_to(2000)
+    gateway.request("r1", units=8, deadline_in_ms=4000)
+    gateway.run_to(3000)
+    gateway.handle(EndpointListUpdate(UpdateKind.FULL, (entry(),)))
+    gateway.request("r2", units=8, deadline_in_ms=4000)
+    gateway.run_to(3010)
+    gateway.end_attempt("r1")
+    gateway.run_to(3700)
+    assert gateway.sent() == ["r1"]
+    assert gateway.finals("r2")
+
+
+def cut(gateway: ScriptedGateway) -> None:
+    """Let a node time out for a while and respond again."""
     for n in range(5):
-        host.ask(f"c{n}")
-        host.run_to(host.now + 1200)
-        if f"c{n}" in host.sent():
-            host.answer(f"c{n}", Outcome.TIMEOUT)
-    host.ask("back")
-    host.answer("back", lag=20)
+        gateway.request(f"c{n}")
+        gateway.run_to(gateway.now + 1200)
+        if f"c{n}" in gateway.sent():
+            gateway.end_attempt(f"c{n}", Outcome.TIMEOUT)
+    gateway.request("back")
+    gateway.end_attempt("back", latency_ms=20)
+
 
+def test_lost_responses_of_a_sound_node_do_not_put_it_into_slow_start() -> None:
+    """A node does not respond for a while and then responds again, and the endpoint list knows of no restart.
 
-def test_lost_answers_of_a_sound_node_do_not_hold_it_for_cold() -> None:
-    host = Host(warm_up_units=8.0, slow_start_ms=60000.0, gateways=50)
-    cut(host)
-    host.run_to(host.now + 200)
-    host.ask("next")
-    assert "next" in host.sent()
+    It must get its usual work, not that of a node that warms up.
+    """
+    gateway = ScriptedGateway(warm_up_units=8.0, slow_start_ms=60000.0, gateways=50)
+    cut(gateway)
+    gateway.run_to(gateway.now + 200)
+    gateway.request("next")
+    assert "next" in gateway.sent()
 
 
-def test_node_that_the_list_says_started_stays_cold_for_its_ramp() -> None:
-    host = Host(entry(started_ms=1.0), slow_start_ms=60000.0)
+def test_a_node_that_the_list_names_as_just_started_stays_in_slow_start() -> None:
+    """The endpoint list names a node that has just started.
+
+    However fast it responds, it is in slow start until its time is over.
+    """
+    gateway = ScriptedGateway(entry(started_ms=1.0), slow_start_ms=60000.0)
     for n in range(200):
-        host.ask(f"w{n}")
-        if f"w{n}" in host.sent():
-            host.answer(f"w{n}", lag=20)
-        host.run_to(host.now + 60)
-    assert host.scheduler._upstreams[0].warming_up_since_ms == 1.0
-
-
-def test_log_lines_name_the_node_and_what_it_entered() -> None:
-    host = Host(entry(started_ms=1.0), slow_start_ms=2000.0, drain_grace_ms=0.0)
-    host.ask("cold")
-    host.answer("cold")
-    host.run_to(host.now + 4000)
-    host.ask("warm")
-    host.give(EndpointListUpdate(UpdateKind.CHANGES, (entry(state=EndpointState.DRAINING),)))
-    lines = [action.line for _, action in host.log if isinstance(action, WriteLog)]
+        gateway.request(f"w{n}")
+        if f"w{n}" in gateway.sent():
+            gateway.end_attempt(f"w{n}", latency_ms=20)
+        gateway.run_to(gateway.now + 60)
+    assert gateway.upstream().warming_up_since_ms == 1.0
+
+
+def test_log_lines_name_the_node_and_what_happened_to_it() -> None:
+    """A node's slow start ends, and later it drains without a successor.
+
+    Each writes one line that names the node.
+    """
+    gateway = ScriptedGateway(entry(started_ms=1.0), slow_start_ms=2000.0, drain_grace_ms=0.0)
+    gateway.request("first")
+    gateway.end_attempt("first")
+    gateway.run_to(gateway.now + 4000)
+    gateway.request("warm")
+    gateway.handle(EndpointListUpdate(UpdateKind.CHANGES, (entry(state=EndpointState.DRAINING),)))
+    lines = [action.line for _, action in gateway.log if isinstance(action, WriteLog)]
     assert lines == ["node n1: ramp over, no longer held for cold", "shard 0: node n1 -> None"]
 
 
-def slow_node(host: Host) -> None:
-    """One answer that shows the node far behind."""
-    host.ask("slow", volume="v0", plan="basic")
-    host.answer("slow", lag=240)
+def slow_node(gateway: ScriptedGateway) -> None:
+    """One response that shows the node far behind."""
+    gateway.request("slow", volume="v0", plan="basic")
+    gateway.end_attempt("slow", latency_ms=240)
 
 
-def tests_of_a_slow_node(**changes: int) -> int:
-    """How many requests beyond their share a slow node gets in three seconds of one every 50 ms."""
-    host = Host(plans=(PlanSpec("basic", base_rate=4, weight=0.0),), **changes)
-    slow_node(host)
+def trials_of_a_slow_node(**changes: int) -> int:
+    """Count the excess requests that a slow node gets in three seconds, of one every 50 ms."""
+    gateway = ScriptedGateway(plans=(PlanSpec("basic", base_rate=4, weight=0.0),), **changes)
+    slow_node(gateway)
     for n in range(60):
-        host.ask(f"b{n}", volume="v0")
-        if f"b{n}" in host.sent():
-            host.answer(f"b{n}", lag=240)
-        host.run_to(host.now + 50)
-    return len([name for name in host.sent() if name.startswith("b")])
+        gateway.request(f"b{n}", volume="v0")
+        if f"b{n}" in gateway.sent():
+            gateway.end_attempt(f"b{n}", latency_ms=240)
+        gateway.run_to(gateway.now + 50)
+    return len([name for name in gateway.sent() if name.startswith("b")])
 
 
-def test_slow_idle_node_gets_beyond_share_work_only_as_a_test_now_and_then() -> None:
-    assert 1 <= tests_of_a_slow_node(gateways=60) <= 12
+def test_a_slow_idle_node_gets_excess_work_only_as_a_trial_now_and_then() -> None:
+    """A node is slower than the threshold, and sixty gateways have excess work for it.
 
+    Each may only try now and then whether it has recovered, or together they would keep it slow.
+    """
+    assert 1 <= trials_of_a_slow_node(gateways=60) <= 12
 
-def test_slow_idle_node_still_gets_fully_paid_work() -> None:
-    host = Host()
-    slow_node(host)
-    host.ask("paid", volume="v1")
-    assert "paid" in host.sent()
 
+def test_a_slow_idle_node_still_gets_reserved_work() -> None:
+    """A node has shown one slow response and nothing is in flight there.
 
-def test_a_lone_answer_after_a_pause_replaces_what_was_known_of_the_lag() -> None:
-    host = Host()
-    slow_node(host)
-    host.run_to(10_000)
-    host.ask("later", volume="v1")
-    host.answer("later", lag=20)
-    assert host.scheduler._upstreams[0].latency_ms < 30
+    A request within its volume's reservation is sent at once.
+    """
+    gateway = ScriptedGateway()
+    slow_node(gateway)
+    gateway.request("paid", volume="v1")
+    assert "paid" in gateway.sent()
 
 
-def losing(host: Host, count: int = 8) -> None:
-    """Usual answers, then as many that never come, each followed by one that does."""
-    for n in range(count):
-        host.ask(f"u{n}")
-        host.run_to(host.now + 20)
-        host.answer(f"u{n}", lag=20)
-    for n in range(count):
-        host.ask(f"l{n}", shard=1)
-        host.run_to(host.now + 1200)
-        for name, attempt in list(host.scheduler._attempts):
-            host.answer(name, Outcome.TIMEOUT, attempt=attempt, node="n2", lag=1200, request_finished=False)
-        host.ask(f"o{n}", shard=1)
-        host.answer(f"o{n}", node="n2", lag=20)
-
-
-def test_lost_answers_bring_a_second_copy_while_it_can_be_in_time() -> None:
-    host = Host(entry(), entry("n2", 1), hedging_allowed=True)
-    losing(host)
-    host.ask("again")
-    host.run_to(host.now + 200)
-    assert host.sent().count("again") >= 2
-    for name, attempt in reversed(list(host.scheduler._attempts)):
-        host.answer(name, attempt=attempt, request_finished=True)
-    assert not host.scheduler._attempts
-    assert host.finals("again") == []
-
-
-def test_without_copies_an_overdue_attempt_is_called_off_before_its_repeat() -> None:
-    host = Host(entry(), entry("n2", 1), cancellation_allowed=True)
-    losing(host)
-    host.ask("again")
-    host.run_to(host.now + 200)
-    assert [a for _, a in host.log if isinstance(a, CancelAttempt)][-1:] == [CancelAttempt("again", 0)]
-    assert host.sent().count("again") == 1
-    host.answer("again", Outcome.CANCELLED)
-    assert host.sent().count("again") == 2
-
-
-def test_slow_answers_that_come_bring_no_copies() -> None:
-    host = Host(hedging_allowed=True)
-    for n in range(12):
-        host.ask(f"s{n}")
-        host.run_to(host.now + 400)
-        host.answer(f"s{n}", lag=400 if n % 2 else 20)
-    assert len(host.sent()) == len(set(host.sent()))
-
-
-def test_a_request_whose_two_copies_fail_is_queued_once() -> None:
-    host = Host(entry(), entry("n2", 1), hedging_allowed=True)
-    losing(host)
-    host.ask("again")
-    host.run_to(host.now + 200)
-    host.give(EndpointListUpdate(UpdateKind.FULL, ()))
-    for name, attempt in list(host.scheduler._attempts):
-        host.answer(name, Outcome.ERROR, attempt=attempt)
-    host.run_to(host.now + 2000)
-    assert len(host.finals("again")) == 1
+def test_a_single_response_after_a_pause_replaces_the_known_latency() -> None:
+    """A node was slow ten seconds ago, and nothing was sent to it since.
 
+    One fast response must count for more than all that was known: a gateway with little traffic sees too
+    few to average.
+    """
+    gateway = ScriptedGateway()
+    slow_node(gateway)
+    gateway.run_to(10_000)
+    gateway.request("later", volume="v1")
+    gateway.end_attempt("later", latency_ms=20)
+    assert gateway.upstream().latency_ms < 30
 
-def test_nothing_is_sent_at_once_to_a_node_that_has_just_turned_work_away() -> None:
-    host = Host(max_attempts=4)
-    host.ask("r1")
-    host.answer("r1", Outcome.FULL)
-    assert host.sent() == ["r1"]
-    host.run_to(host.now + 130)
-    assert host.sent() == ["r1", "r1"]
 
-
-def turn_away(host: Host) -> None:
-    """The node is full for all that is out."""
-    for name, attempt in list(host.scheduler._attempts):
-        host.answer(name, Outcome.FULL, attempt=attempt)
-
-
-def test_cold_node_hosts_take_turns_that_sum_to_no_more_than_is_borne() -> None:
-    hosts, borne, span, ramp = 60, 40.0, 3000.0, 12000.0
+def losing(gateway: ScriptedGateway, count: int = 8) -> None:
+    """Bring usual responses, then as many attempts that are never answered, each followed by a response."""
+    for n in range(count):
+        gateway.request(f"u{n}")
+        gateway.run_to(gateway.now + 20)
+        gateway.end_attempt(f"u{n}", latency_ms=20)
+    for n in range(count):
+        gateway.request(f"l{n}", shard=1)
+        gateway.run_to(gateway.now + 1200)
+        for name, attempt in list(gateway.scheduler.state.attempts):
+            gateway.end_attempt(
+                name, Outcome.TIMEOUT, attempt=attempt, node="n2", latency_ms=1200, request_finished=False
+            )
+        gateway.request(f"o{n}", shard=1)
+        gateway.end_attempt(f"o{n}", node="n2", latency_ms=20)
+
+
+def test_lost_responses_bring_a_hedged_request_while_it_can_be_in_time() -> None:
+    """The responses of one shard's node get lost, so that its overdue attempts are never answered.
+
+    A further overdue request must be hedged while the hedge can be in time, and both outcomes must be
+    accounted for without a final answer by the scheduler.
+    """
+    gateway = ScriptedGateway(entry(), entry("n2", 1), hedging_allowed=True)
+    losing(gateway)
+    gateway.request("again")
+    gateway.run_to(gateway.now + 200)
+    assert gateway.sent().count("again") >= 2
+    for name, attempt in reversed(list(gateway.scheduler.state.attempts)):
+        gateway.end_attempt(name, attempt=attempt, request_finished=True)
+    assert not gateway.scheduler.state.attempts
+    assert gateway.finals("again") == []
+
+
+def test_without_hedging_an_overdue_attempt_is_cancelled_before_its_retry() -> None:
+    """Responses get lost at a site that allows cancellation but no hedging.
+
+    The overdue attempt must be cancelled first, and its request sent again only after the outcome of that.
+    """
+    gateway = ScriptedGateway(entry(), entry("n2", 1), cancellation_allowed=True)
+    losing(gateway)
+    gateway.request("again")
+    gateway.run_to(gateway.now + 200)
+    assert [a for _, a in gateway.log if isinstance(a, CancelAttempt)][-1:] == [CancelAttempt("again", 0)]
+    assert gateway.sent().count("again") == 1
+    gateway.end_attempt("again", Outcome.CANCELLED)
+    assert gateway.sent().count("again") == 2
+
+
+def test_slow_responses_that_arrive_bring_no_hedged_requests() -> None:
+    """Every other response is late but comes.
+
+    A hedge would only add work to a node that is slow: each request must be sent once.
+    """
+    gateway = ScriptedGateway(hedging_allowed=True)
+    for n in range(12):
+        gateway.request(f"s{n}")
+        gateway.run_to(gateway.now + 400)
+        gateway.end_attempt(f"s{n}", latency_ms=400 if n % 2 else 20)
+    assert len(gateway.sent()) == len(set(gateway.sent()))
+
+
+def test_a_request_whose_attempts_both_fail_is_queued_once() -> None:
+    """A hedged request's attempts both fail after its node left the endpoint list.
+
+    It must be queued once and get one final answer, not two.
+    """
+    gateway = ScriptedGateway(entry(), entry("n2", 1), hedging_allowed=True)
+    losing(gateway)
+    gateway.request("again")
+    gateway.run_to(gateway.now + 200)
+    gateway.handle(EndpointListUpdate(UpdateKind.FULL, ()))
+    for name, attempt in list(gateway.scheduler.state.attempts):
+        gateway.end_attempt(name, Outcome.ERROR, attempt=attempt)
+    gateway.run_to(gateway.now + 2000)
+    assert len(gateway.finals("again")) == 1
+
+
+def test_nothing_is_sent_to_a_node_that_has_just_rejected_work_before_the_next_round() -> None:
+    """A node rejects an attempt for want of capacity.
+
+    The retry must wait for the next round: sent at once it would only be rejected again.
+    """
+    gateway = ScriptedGateway(max_attempts=4)
+    gateway.request("r1")
+    gateway.end_attempt("r1", Outcome.FULL)
+    assert gateway.sent() == ["r1"]
+    gateway.run_to(gateway.now + 130)
+    assert gateway.sent() == ["r1", "r1"]
+
+
+def reject_all(gateway: ScriptedGateway) -> None:
+    """Let the node reject all that is in flight."""
+    for name, attempt in list(gateway.scheduler.state.attempts):
+        gateway.end_attempt(name, Outcome.FULL, attempt=attempt)
+
+
+def test_gateways_take_turns_at_a_node_that_warms_up_within_its_budget() -> None:
+    """Sixty gateways meet a node that has just started, and all of them have more work than it bears.
+
+    None knows of the others, and an even part is less than one request. What all of them send in any window
+    must stay within the budget, and most of it must be used.
+    """
+    count, budget, span, ramp = 60, 40.0, 3000.0, 12000.0
     sends: list[float] = []
-    for gateway_index in range(hosts):
-        host = Host(entry(started_ms=1.0), gateways=hosts, gateway_index=gateway_index, warm_up_units=borne)
+    for gateway_index in range(count):
+        gateway = ScriptedGateway(
+            entry(started_ms=1.0), gateways=count, gateway_index=gateway_index, warm_up_units=budget
+        )
         for n in range(120):
-            host.ask(f"r{n}")
-            turn_away(host)  # nothing served: no host earns more
-            host.run_to(host.now + 100)
-            turn_away(host)
-        sends += [at for at, action in host.log if isinstance(action, SendAttempt)]
+            gateway.request(f"r{n}")
+            reject_all(gateway)  # nothing served: no gateway earns more
+            gateway.run_to(gateway.now + 100)
+            reject_all(gateway)
+        sends += [at for at, action in gateway.log if isinstance(action, SendAttempt)]
     inside = sorted(at for at in sends if at < ramp)
     for first in inside:
         warm = (0.25 + 0.75 * min(first + span, ramp) / ramp) / 0.25
-        assert 2.0 * sum(first <= at < first + span for at in inside) <= borne * warm
-    assert len(inside) > hosts / 4
+        assert 2.0 * sum(first <= at < first + span for at in inside) <= budget * warm
+    assert len(inside) > count / 4
+
 
+def test_outcomes_found_after_the_process_stood_still_do_not_count_against_the_node() -> None:
+    """The process stands still for 900 ms and then finds a response that came long before.
 
-def test_answers_that_come_at_once_after_the_host_stood_still_blame_no_node() -> None:
-    host = Host()
-    host.ask("r1")
-    host.answer("r1", lag=20)
-    host.ask("r2")
-    host.now += 900
-    host.answer("r2", lag=900)
-    lane = host.scheduler._upstreams[0]
-    assert lane.latency_ms == 20
-    assert lane.verdict >= 0
+    Its latency is the process's own: neither the node's latency nor its concurrency limit may suffer.
+    """
+    gateway = ScriptedGateway()
+    gateway.request("r1")
+    gateway.end_attempt("r1", latency_ms=20)
+    gateway.request("r2")
+    gateway.now += 900
+    gateway.end_attempt("r2", latency_ms=900)
+    upstream = gateway.upstream()
+    assert upstream.latency_ms == 20
+    assert upstream.on_time_balance >= 0
 
 
-def test_what_a_host_remembers_ends_with_what_it_belongs_to() -> None:
-    """Clients, volumes, requests and nodes that are always new, as on a long day."""
-    host = Host()
+def test_memory_does_not_grow_with_the_volumes_and_nodes_of_a_long_day() -> None:
+    """Clients, volumes, requests and nodes are always new, as on a long day.
+
+    Whatever is kept of them must end with them: the second half of the day may not hold more than the
+    first.
+    """
+    gateway = ScriptedGateway()
     sizes = []
     for n in range(1200):
         if n % 40 == 0:
-            host.give(EndpointListUpdate(UpdateKind.FULL, (entry(f"n{n}"),)))
-        host.ask(f"r{n}", volume=f"v{n}", units=8.0)
-        if f"r{n}" in host.sent():
-            host.answer(f"r{n}", node=host.scheduler._upstreams[0].node)
-        host.run_to(host.now + 50)
-        told = host.scheduler
+            gateway.handle(EndpointListUpdate(UpdateKind.FULL, (entry(f"n{n}"),)))
+        gateway.request(f"r{n}", volume=f"v{n}", units=8.0)
+        if f"r{n}" in gateway.sent():
+            gateway.end_attempt(f"r{n}", node=gateway.upstream().node)
+        gateway.run_to(gateway.now + 50)
+        scheduler, state = gateway.scheduler, gateway.scheduler.state
         sizes.append(
             (
-                len(told._volumes),
-                len(told._upstreams[0].excess),
-                len(told._nodes),
-                len(told._pending),
-                len(told._attempts),
-                len(host.timers),
+                len(state.volumes),
+                len(gateway.upstream().excess_demand),
+                len(scheduler.endpoints._endpoints),
+                len(state.pending),
+                len(state.attempts),
+                len(gateway.timers),
             )
         )
     first, second = (map(max, *part) for part in (sizes[:700], sizes[700:]))
@@ -283,240 +373,336 @@
         assert late <= early + 12
 
 
-def test_a_volume_that_has_drawn_on_its_limit_is_remembered_until_its_store_is_full() -> None:
-    host = Host(plans=(PlanSpec("basic", limit_rate=1, limit_burst=100),))
-    host.ask("r1")
-    host.run_to(50_000)
-    assert "v1" in host.scheduler._volumes
+def test_a_volume_that_used_its_rate_limit_is_remembered_until_its_bucket_is_full() -> None:
+    """A volume draws on a rate limit that takes longer to refill than idle volumes are remembered.
+
+    Forgotten, it would find a full bucket again and exceed its limit.
+    """
+    gateway = ScriptedGateway(plans=(PlanSpec("basic", limit_rate=1, limit_burst=100),))
+    gateway.request("r1")
+    gateway.run_to(50_000)
+    assert "v1" in gateway.scheduler.state.volumes
 
 
-def test_a_rate_that_dies_away_takes_no_slot_and_no_memory() -> None:
+def test_a_rate_that_decays_takes_no_slot_and_no_memory() -> None:
+    """A class that is no longer requested leaves a rate that halves for ever.
+
+    It must count as none: each new figure would be computed and cached for nothing.
+    """
     assert {rounded_rate(0.04 * 0.5**n) for n in range(1000)} == {0.0}
     assert rounded_rate(5.0) > 4.0
 
 
-def test_an_attempt_whose_outcome_comes_first_is_not_watched() -> None:
-    host = Host()
+def test_no_timer_is_started_for_an_attempt_that_ends_before_it_is_overdue() -> None:
+    """The deadlines of these requests come before their attempts could be overdue.
+
+    No timer may be started for them: thousands a second would expire for nothing.
+    """
+    gateway = ScriptedGateway()
     for n in range(20):
-        host.ask(f"w{n}", deadline_in_ms=100.0)
-    assert not [token for _, _, token in host.timers if token.startswith("overdue")]
+        gateway.request(f"w{n}", deadline_in_ms=100.0)
+    assert not [timer for _, _, timer in gateway.timers if isinstance(timer, AttemptOverdueTimer)]
 
 
-def test_a_node_too_slow_for_reads_takes_no_exports_that_keep_it_so() -> None:
+def test_a_node_too_slow_for_reads_takes_no_exports_that_keep_it_slow() -> None:
+    """A node's responses are in time for exports, whose objective is two seconds, but not for reads.
+
+    Exports must yield: else they would keep the node too slow for reads for good.
+    """
     export = ClassSpec(
         "export", latency_objective_ms=2000, deadline_ms=4000, priority_weight=1, effect=Idempotency.SAFE
     )
-    host = Host(classes=(SAFE, export))
+    gateway = ScriptedGateway(classes=(SAFE, export))
     for n in range(8):
-        host.ask(f"x{n}", request_class="export", deadline_in_ms=4000.0)
-    for name in host.sent():
-        host.answer(name, lag=240)  # in time for exports, not for reads
-    lane, before = host.scheduler._upstreams[0], len(host.sent())
-    assert lane.verdict < 0
-    host.ask("held", deadline_in_ms=4000.0)  # something is out, so that no test of the node is due
-    host.ask("more", request_class="export", deadline_in_ms=4000.0)
-    assert "more" not in host.sent()
-    assert len(host.sent()) <= before + 1
-
-
-def test_a_late_round_takes_a_capacity_only_part_of_the_way_down() -> None:
-    host = Host()
-    lane = host.scheduler._upstream_for(0)
-    lane.capacity, lane.served, lane.verdict = 40.0, 4.0, -1
-    settle_round(lane, 2.0)
-    assert 30.0 < lane.capacity < 40.0  # a node that paused once serves as much as before
-
-
-def test_what_waits_is_hopeless_by_the_lag_of_its_own_size() -> None:
-    host = Host()
-    fill(host, 12, units=8.0)
-    host.scheduler._upstreams[0].latency_ms = 110.0
-    host.run_to(130)
-    waiting = [f"f{n}" for n in range(12) if not host.finals(f"f{n}") and f"f{n}" not in host.sent()]
+        gateway.request(f"x{n}", request_class="export", deadline_in_ms=4000.0)
+    for name in gateway.sent():
+        gateway.end_attempt(name, latency_ms=240)  # in time for exports, not for reads
+    upstream, before = gateway.upstream(), len(gateway.sent())
+    assert upstream.on_time_balance < 0
+    gateway.request("pending", deadline_in_ms=4000.0)  # something is in flight, so that no trial is due
+    gateway.request("more", request_class="export", deadline_in_ms=4000.0)
+    assert "more" not in gateway.sent()
+    assert len(gateway.sent()) <= before + 1
+
+
+def test_a_late_round_lowers_a_concurrency_limit_only_in_part() -> None:
+    """A node with a high limit pauses once, so that one round serves little and late.
+
+    Its limit may fall only in part: it will serve as much as before.
+    """
+    gateway = ScriptedGateway()
+    upstream = gateway.upstream()
+    upstream.concurrency_limit, upstream.served_units, upstream.on_time_balance = 40.0, 4.0, -1
+    adjust_limit(upstream, 2.0)
+    assert 30.0 < upstream.concurrency_limit < 40.0  # a node that paused once serves as much as before
+
+
+def test_queued_requests_are_given_up_by_the_latency_of_their_own_size() -> None:
+    """Requests of eight units are queued at a node whose mean request takes 110 ms.
+
+    By that mean they would be in time; by their own size they can not, and must be rejected now.
+    """
+    gateway = ScriptedGateway()
+    fill(gateway, 12, units=8.0)
+    gateway.upstream().latency_ms = 110.0
+    gateway.run_to(130)
+    waiting = [f"f{n}" for n in range(12) if not gateway.finals(f"f{n}") and f"f{n}" not in gateway.sent()]
     assert not waiting  # eight units take two and a half times as long as the mean: not in 250 ms
 
 
-def test_what_would_wait_past_its_aim_is_refused_at_once_and_holds_no_connection() -> None:
-    host = Host()
-    lane = host.scheduler._upstream_for(0)
-    lane.capacity, lane.slots = 8.0, [4] * len(lane.slots)
-    fill(host, 6)
-    assert not [n for n in range(6) if host.finals(f"f{n}")]  # four are out, two wait: there is room
-    lane.latency_ms = 200.0  # half a lag for the two, and one for itself, is more than an aim of 250
-    host.ask("late")
-    assert host.finals("late")
-    lane.latency_ms = 10.0
-    host.ask("soon")
-    assert not host.finals("soon")
-
-
-def test_a_node_that_returns_is_given_back_nothing_that_it_had_before() -> None:
-    host = Host()
-    fill(host, 3)
-    out = host.sent()
+def test_a_request_that_would_wait_past_its_objective_is_rejected_at_once() -> None:
+    """Four requests are in flight and two queued.
+
+    While the node is slow a further one would wait past its objective: it is rejected on arrival, not after
+    its client has waited. Once the node is fast again the next one may wait.
+    """
+    gateway = ScriptedGateway()
+    upstream = gateway.upstream()
+    upstream.concurrency_limit = 8.0
+    for queue in upstream.queues.values():
+        queue.slots = 4
+    fill(gateway, 6)
+    assert not [n for n in range(6) if gateway.finals(f"f{n}")]  # four are out, two wait: there is room
+    upstream.latency_ms = 200.0  # half of it for the two, and one for itself, is more than 250
+    gateway.request("late")
+    assert gateway.finals("late")
+    upstream.latency_ms = 10.0
+    gateway.request("soon")
+    assert not gateway.finals("soon")
+
+
+def test_a_node_that_returns_gets_no_slots_back_for_earlier_attempts() -> None:
+    """A node drains and is ready again while attempts are in flight.
+
+    Their outcomes must give back no slots, as their slots were cleared: the counts stood at nothing and at
+    -2, and the node got too much work.
+    """
+    gateway = ScriptedGateway()
+    fill(gateway, 3)
+    out = gateway.sent()
     for state in (EndpointState.DRAINING, EndpointState.READY):
-        host.give(EndpointListUpdate(UpdateKind.CHANGES, (entry(state=state),)))
-    host.ask("new")
+        gateway.handle(EndpointListUpdate(UpdateKind.CHANGES, (entry(state=state),)))
+    gateway.request("new")
     for name in out:
-        host.answer(name)
-    lane = host.scheduler._upstreams[0]
-    assert (lane.taken, sum(lane.out)) == (2.0, 1)  # the new one alone; it stood at nothing and at -2
-
-
-def test_what_no_node_has_seen_is_given_up_before_half_of_its_time() -> None:
-    host = Host()
-    host.ask("far")
-    host.run_to(400)
-    host.answer("far", Outcome.CONNECT_FAILED, lag=250)
-    assert host.finals("far")  # the next try would not be known before 600
-    host.ask("near")
-    host.run_to(500)
-    host.answer("near", Outcome.CONNECT_FAILED, lag=1)
-    host.run_to(630)
-    assert host.sent().count("near") == 2
-    host.answer("near", Outcome.ERROR, attempt=1)
-    host.run_to(1300)
-    assert host.sent().count("near") == 3  # a node has seen it: its time is worth using
-
-
-def test_what_waits_for_a_node_is_given_up_before_half_of_a_short_time() -> None:
-    host = Host()
-    host.give(EndpointListUpdate(UpdateKind.FULL, ()))
-    host.ask("short", deadline_in_ms=300.0)
-    host.run_to(126)
-    assert host.finals("short")  # the next round comes at 250
-
-
-def test_a_node_that_fails_at_once_draws_no_new_objects() -> None:
-    host = Host(entry(), entry("n2", 1))
+        gateway.end_attempt(name)
+    upstream = gateway.upstream()
+    assert (upstream.in_flight_units, in_flight(upstream)) == (
+        2.0,
+        1,
+    )  # the new one alone; it stood at nothing and at -2
+
+
+def test_a_request_that_no_node_received_is_given_up_before_half_of_its_time() -> None:
+    """Connections to a node fail.
+
+    A request that no node received must be rejected early enough for its client to try again elsewhere; one
+    that a node has received is worth the rest of its time.
+    """
+    gateway = ScriptedGateway()
+    gateway.request("far")
+    gateway.run_to(400)
+    gateway.end_attempt("far", Outcome.CONNECT_FAILED, latency_ms=250)
+    assert gateway.finals("far")  # the next try would not be known before 600
+    gateway.request("near")
+    gateway.run_to(500)
+    gateway.end_attempt("near", Outcome.CONNECT_FAILED, latency_ms=1)
+    gateway.run_to(630)
+    assert gateway.sent().count("near") == 2
+    gateway.end_attempt("near", Outcome.ERROR, attempt=1)
+    gateway.run_to(1300)
+    assert gateway.sent().count("near") == 3  # a node has received it: the rest of its time may be used
+
+
+def test_a_request_that_waits_for_a_node_is_given_up_before_half_of_a_short_time() -> None:
+    """No node holds the shard, and the client waits for 300 ms only.
+
+    The request must be rejected in the round before half of that, as the next round comes too late.
+    """
+    gateway = ScriptedGateway()
+    gateway.handle(EndpointListUpdate(UpdateKind.FULL, ()))
+    gateway.request("short", deadline_in_ms=300.0)
+    gateway.run_to(126)
+    assert gateway.finals("short")  # the next round comes at 250
+
+
+def test_a_node_that_fails_at_once_attracts_no_new_objects() -> None:
+    gateway = ScriptedGateway(entry(), entry("n2", 1))
     for n in range(20):
-        host.ask(f"o{n}", shard=-1)
-        node = [a.node for _, a in host.log if isinstance(a, SendAttempt)][-1]
-        host.answer(
-            f"o{n}", Outcome.ERROR if node == "n1" else Outcome.OK, node=node, lag=1, request_finished=True
+        gateway.request(f"o{n}", shard=-1)
+        node = [a.node for _, a in gateway.log if isinstance(a, SendAttempt)][-1]
+        gateway.end_attempt(
+            f"o{n}",
+            Outcome.ERROR if node == "n1" else Outcome.OK,
+            node=node,
+            latency_ms=1,
+            request_finished=True,
         )
-        host.run_to(host.now + 20)
-    nodes = [a.node for _, a in host.log if isinstance(a, SendAttempt)]
+        gateway.run_to(gateway.now + 20)
+    nodes = [a.node for _, a in gateway.log if isinstance(a, SendAttempt)]
     assert nodes.count("n1") <= 4
 
 
-def test_what_a_cold_node_serves_lets_hosts_send_more_but_never_past_half_the_multiple() -> None:
-    """Forty hosts, each alone with a sliver of the traffic, at one cold node that serves 30 units a span."""
-    hosts, borne, span, can = 40, 8.0, 3000.0, 30.0
+def test_what_a_warming_node_serves_lets_gateways_send_more_but_never_past_half_the_multiple() -> None:
+    """Forty gateways with little traffic each meet one node that warms up and serves 30 units a window.
+
+    What it serves lets each send more than its turns allow, but all together never more than the budget and
+    half of the overload multiple.
+    """
+    count, budget, span, can = 40, 8.0, 3000.0, 30.0
     fleet = [
-        Host(entry(started_ms=1.0), gateways=hosts, gateway_index=at, warm_up_units=borne)
-        for at in range(hosts)
+        ScriptedGateway(entry(started_ms=1.0), gateways=count, gateway_index=at, warm_up_units=budget)
+        for at in range(count)
     ]
     sent: list[float] = []
     served: list[float] = []
     for step in range(100):
-        for host in fleet:
-            host.run_to(step * 100.0)
-            host.ask(f"r{step}")
-            if f"r{step}" in host.sent():
-                sent.append(host.now)
-                room = 2.0 * sum(host.now - span < each <= host.now for each in served) + 2.0 <= can
-                served += [host.now] if room else []
-                host.answer(f"r{step}", Outcome.OK if room else Outcome.FULL)
+        for gateway in fleet:
+            gateway.run_to(step * 100.0)
+            gateway.request(f"r{step}")
+            if f"r{step}" in gateway.sent():
+                sent.append(gateway.now)
+                room = 2.0 * sum(gateway.now - span < each <= gateway.now for each in served) + 2.0 <= can
+                served += [gateway.now] if room else []
+                gateway.end_attempt(f"r{step}", Outcome.OK if room else Outcome.FULL)
     for first in sent:
         inside = sum(first <= each < first + span for each in sent)
-        assert 2.0 * inside <= borne * (0.25 + 0.75 * (first + span) / 12000.0) / 0.25 + 4.0 / 2 * can
+        assert 2.0 * inside <= budget * (0.25 + 0.75 * (first + span) / 12000.0) / 0.25 + 4.0 / 2 * can
     most = max(sum(first <= each < first + span for each in sent) for first in sent)
-    assert 2.0 * most > borne * (0.25 + 0.75 * 6000.0 / 12000.0) / 0.25  # past what the turns alone allow
+    assert 2.0 * most > budget * (0.25 + 0.75 * 6000.0 / 12000.0) / 0.25  # past what the turns alone allow
 
 
-def test_a_burst_of_answers_in_time_does_not_open_a_node_beyond_what_it_has_shown() -> None:
-    # Growing by a request a round as long as answers come in time, a capacity stood at 25 units at nodes that
-    # clear a dozen within the aim: the next surge went out whole, all of it late.
-    host = Host()
-    lane, one = host.scheduler._upstream_for(0), 2.0
+def test_a_concurrency_limit_does_not_grow_beyond_what_its_node_has_shown() -> None:
+    """A node serves little, but always in time.
+
+    Growing by a request a round, a limit stood at 25 units at nodes that serve a dozen within the objective:
+    the next surge went out complete, all of it late. A limit must stay near what its node has served, and
+    follow where a larger node serves more.
+    """
+    gateway = ScriptedGateway()
+    upstream, one = gateway.upstream(), 2.0
     for _ in range(40):
-        lane.served, lane.verdict = 4.0, 1  # so little, in time each round
-        lane.taken = lane.capacity
-        settle_round(lane, 2.0)
-    assert lane.capacity <= 9 * one
+        upstream.served_units, upstream.on_time_balance = 4.0, 1  # so little, in time each round
+        upstream.in_flight_units = upstream.concurrency_limit
+        adjust_limit(upstream, 2.0)
+    assert upstream.concurrency_limit <= 9 * one
     for _ in range(40):
-        lane.served, lane.verdict = 30.0, 1  # a larger node shows what it can do, and gets it
-        settle_round(lane, 2.0)
-    assert lane.capacity > 25 * one
+        upstream.served_units, upstream.on_time_balance = (
+            30.0,
+            1,
+        )  # a larger node shows what it can do, and gets it
+        adjust_limit(upstream, 2.0)
+    assert upstream.concurrency_limit > 25 * one
+
 
+def test_excess_work_does_not_wait_for_a_node_that_is_too_slow_for_it() -> None:
+    """Excess work waited behind all other work at a slow node, and was rejected after its objective.
 
-def test_work_beyond_its_share_does_not_wait_for_a_node_that_is_slow_for_it() -> None:
-    # It waited behind all other work until its aim was past, and was refused then.
+    It must be rejected at once; work within its fair share may wait.
+    """
     plan = PlanSpec("basic", base_rate=4, reserved_rate=0.001)
-    host = Host(plans=(plan,))
-    fill(host, 3)
-    lane = host.scheduler._upstreams[0]
-    lane.latency_ms = 60.0  # it would not miss its aim for that
-    held = host.scheduler._pending["f2"]
-    for band, waits in ((1, True), (2, False)):
-        held.kind = band
-        assert host.scheduler._may_wait(held, lane) is waits
+    gateway = ScriptedGateway(plans=(plan,))
+    fill(gateway, 3)
+    upstream = gateway.upstream()
+    upstream.latency_ms = 60.0  # with that alone it would be in time
+    pending = gateway.scheduler.state.pending["f2"]
+    for tier, waits in ((Tier.FAIR_SHARE, True), (Tier.EXCESS, False)):
+        pending.queue = upstream.queues[QueueKey("read", tier)]
+        assert gateway.scheduler.admission.may_queue(pending, upstream) is waits
+
+
+def test_the_wait_for_a_slow_node_counts_the_time_to_its_next_trial() -> None:
+    """A node is too slow, and something is in flight.
+
+    A request would be in time on its own, but not behind half of what is in flight on average: it must not
+    wait.
+    """
+    gateway = ScriptedGateway()
+    fill(gateway, 3)
+    upstream, pending = gateway.upstream(), gateway.scheduler.state.pending["f2"]
+    upstream.latency_ms = 180.0  # on its own it is in time, after half of what is out before it it is not
+    assert gateway.now + upstream.latency_ms < pending.latency_objective_due_ms
+    assert not gateway.scheduler.admission.may_queue(pending, upstream)
 
 
-def test_the_wait_for_a_slow_node_counts_the_time_to_its_next_test() -> None:
-    host = Host()
-    fill(host, 3)
-    lane, held = host.scheduler._upstreams[0], host.scheduler._pending["f2"]
-    lane.latency_ms = 180.0  # on its own it is in time, after half of what is out before it it is not
-    assert host.scheduler._now + lane.latency_ms < held.due_ms
-    assert not host.scheduler._may_wait(held, lane)
+def test_tests_of_a_slow_node_are_counted_by_the_hosts_that_meet_it() -> None:
+    """Of 200 gateways each uses one node in twenty, and waited as if all of them tried every node:
 
+    work that can wait was given up before its turn. The pause between trials must go by the gateways that
+    use the node.
+    """
+    assert trials_of_a_slow_node(gateways=200, shards=1) <= 1  # all 200 meet the one node there is
+    assert trials_of_a_slow_node(gateways=200, shards=20) >= 4  # ten meet it
 
-def test_tests_of_a_slow_node_are_counted_by_the_hosts_that_meet_it() -> None:
-    # With 200 hosts of which each meets one node in twenty, each waited as if all of them tested every node:
-    # work that can wait was dropped before its turn, and a day with a zone away missed its floor.
-    assert tests_of_a_slow_node(gateways=200, shards=1) <= 1  # all 200 meet the one node there is
-    assert tests_of_a_slow_node(gateways=200, shards=20) >= 4  # ten meet it
 
+def test_a_drain_announced_while_the_watch_was_interrupted_leaves_less_of_its_time() -> None:
+    """A drain may have been announced 400 ms before its update came, as the watch was interrupted.
 
-def test_a_drain_that_was_told_while_the_watch_was_broken_leaves_less_of_its_time() -> None:
+    Its grace time counts from then: the request at 150 ms must not be sent.
+    """
     for staleness_ms, sends in ((0.0, True), (400.0, False)):
-        host = Host(drain_grace_ms=1000.0)
-        host.give(
+        gateway = ScriptedGateway(drain_grace_ms=1000.0)
+        gateway.handle(
             EndpointListUpdate(
                 UpdateKind.CHANGES, (entry(state=EndpointState.DRAINING),), staleness_ms=staleness_ms
             )
         )
-        host.run_to(150.0)  # 1,000 less 250 for a connection and 250 for two rounds: 500 after it was told
-        host.ask("r1")
-        assert ("r1" in host.sent()) is sends
+        gateway.run_to(
+            150.0
+        )  # 1,000 less 250 for a connection and 250 for two rounds: 500 after the announcement
+        gateway.request("r1")
+        assert ("r1" in gateway.sent()) is sends
 
 
-def test_a_repeat_of_a_keyed_request_is_told_how_long_it_may_still_start() -> None:
+def test_the_retry_of_a_keyed_request_has_to_start_within_its_key_ttl() -> None:
+    """A keyed request is reset 100 ms after its first attempt, and its key is known for 300 ms.
+
+    The retry has 200 ms to start: on a connection that comes up later its work might be done twice.
+    """
     keyed = replace(
         SAFE, effect=Idempotency.KEYED, deduplication_scope=DeduplicationScope.ALL, key_ttl_ms=300.0
     )
-    host = Host(classes=(keyed,))
-    host.ask("k1")
-    host.run_to(100.0)
-    host.answer("k1", Outcome.RESET, request_finished=False)
-    sends = [(at, each.start_within_ms) for at, each in host.log if isinstance(each, SendAttempt)]
+    gateway = ScriptedGateway(classes=(keyed,))
+    gateway.request("k1")
+    gateway.run_to(100.0)
+    gateway.end_attempt("k1", Outcome.RESET, request_finished=False)
+    sends = [(at, each.start_within_ms) for at, each in gateway.log if isinstance(each, SendAttempt)]
     assert sends == [(0.0, math.inf), (100.0, 200.0)]
 
 
 def test_new_settings_leave_nothing_of_the_old_ones_but_what_is_held() -> None:
+    """Settings change under load:
+
+    a class is removed while one of its requests is in flight, another is added, and a plan gets a rate
+    limit. Figures must be those of the new settings; the removed class is known as long as its request is;
+    the new limit starts with an empty bucket.
+    """
     quick = replace(SAFE, name="quick", latency_objective_ms=20.0, deadline_ms=100.0, priority_weight=50.0)
     limited = PlanSpec("basic", base_rate=4, limit_rate=1.0, limit_burst=4.0)
-    host = Host(classes=(quick, SAFE), plans=(PLAN,))
-    host.ask("held", request_class="quick", deadline_in_ms=5000.0)
-    host.ask("known", volume="v9")
-    host.answer("known")
-    scheduler = host.scheduler
-    round_ms = scheduler._site.round_ms
+    gateway = ScriptedGateway(classes=(quick, SAFE), plans=(PLAN,))
+    gateway.request("pending", request_class="quick", deadline_in_ms=5000.0)
+    gateway.request("known", volume="v9")
+    gateway.end_attempt("known")
+    scheduler = gateway.scheduler
+    round_ms = scheduler.state.site.round_ms
     new = settings(classes=(replace(SAFE, name="other"), SAFE), plans=(limited,))
     scheduler.retune(new)
     assert (
-        scheduler._site.round_ms > round_ms
-        and scheduler._site._best_pay == SAFE.priority_weight * limited.value_factor
+        scheduler.state.site.round_ms > round_ms
+        and scheduler.state.site.highest_value == SAFE.priority_weight * limited.value_factor
     )
-    assert set(scheduler._site.class_index) == {"other", "read", "quick"}  # the last for what is held of it
-    lane = scheduler._upstreams[0]
-    assert len(lane.queues) == len(lane.slots) == len(lane.asked) == len(lane.out) == 9
-    assert sum(lane.out) == 1 and lane.out[scheduler._pending["held"].kind] == 1
-    host.ask("limited", volume="v9", units=4.0)  # its store is empty: what went before is not known
-    assert host.finals("limited") and "limited" not in host.sent()
-    host.answer("held")
+    assert set(scheduler.state.site.class_specs) == {
+        "other",
+        "read",
+        "quick",
+    }  # the last for its pending request
+    upstream = gateway.upstream()
+    assert len(upstream.queues) == len(upstream.by_priority) == 9 and len(upstream.reserved_queues) == 3
+    assert in_flight(upstream) == 1 and scheduler.state.pending["pending"].queue.in_flight == 1
+    scheduler.validate_state()
+    gateway.request("limited", volume="v9", units=4.0)  # its store is empty: what went before is not known
+    assert gateway.finals("limited") and "limited" not in gateway.sent()
+    gateway.end_attempt("pending")
     scheduler.retune(new)
-    assert set(scheduler._site.class_index) == {"other", "read"} and len(lane.queues) == 6
-    assert sum(lane.out) == 0 and lane.taken == 0
+    assert set(scheduler.state.site.class_specs) == {"other", "read"} and len(upstream.queues) == 6
+    assert in_flight(upstream) == 0 and upstream.in_flight_units == 0
+    scheduler.validate_state()
--- a/tests/policy/test_guarantee.py
+++ b/tests/policy/test_guarantee.py
@@ -1,7 +1,9 @@
-"""Each class with demand gets its stated part, whatever the settings and the mix.
+"""Each class with demand gets its guaranteed part, whatever the settings and the mix.
 
-The node of this test does the work: it takes what comes in turn, `workers` at a time, and its answers take
-what the drawn classes say.  No limit is passed, no cold node overdrawn and no write run twice on the way."""
+The node of this test does the work: it serves requests in order of arrival, `workers` at a time, each for as
+long as the drawn classes say.  No rate limit is exceeded, no node in slow start overloaded and no unsafe
+request sent twice on the way.
+"""
 
 from __future__ import annotations
 
@@ -19,9 +21,9 @@
 from shaletiller.messages.events import AttemptEnded, EndpointListUpdate, Event, Request, TimerExpired
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.policy import Scheduler
-from shaletiller.policy.fair_share import CREDIT_REQUESTS, GUARANTEED
+from shaletiller.policy.class_fairness import CREDIT_REQUESTS, GUARANTEED
 from shaletiller.settings.model import ClassSpec, DeduplicationScope, Idempotency, PlanSpec, Settings
-from tests.support.scheduler_host import Host
+from tests.support.scheduler_host import ScriptedGateway
 
 DAY_MS = 6_000.0
 UNITS = (1.0, 2.0, 3.0)
@@ -87,14 +89,14 @@
 
 @dataclass
 class Day:
-    """One host before one node; what came, what went out and what was given up."""
+    """One gateway before one node; what came, what went out and what was given up."""
 
     customer: Customer
     workers: int = 4
     cold: bool = False
     sent: list[tuple[float, str, float]] = field(default_factory=list)  # time, class, units
     asked: list[tuple[float, str, float]] = field(default_factory=list)
-    denied: list[str] = field(default_factory=list)  # refused as they came, their class's account being full
+    denied: list[str] = field(default_factory=list)  # on arrival, while their class was owed the most
     served: list[tuple[float, float]] = field(default_factory=list)  # time, units
     repeated: set[str] = field(default_factory=set)
 
@@ -162,7 +164,7 @@
             if isinstance(event, Request):
                 units[event.request] = event.units
                 self.asked.append((now, event.request_class, event.units))
-                owed = scheduler._guarantee._work.of(event.request_class)
+                owed = scheduler.fairness._work.deficit(event.request_class)
             elif isinstance(event, AttemptEnded) and event.outcome is Outcome.OK:
                 self.served.append((now, units[event.request]))
             for action in scheduler.handle(now, event):
@@ -206,6 +208,8 @@
     return {name: part / max(sum(asked.values()), 1e-9) for name, part in asked.items()}
 
 
+# The examples are drawn by a digest of the test's own text (`derandomize`): an edit of one of the three tests
+# below, of its name or docstring too, draws others.  Comments do not count.
 FEW = settings(
     max_examples=15,
     deadline=None,
@@ -215,6 +219,8 @@
 )
 
 
+# Whatever the classes, their weights and the load: of all units that are sent each class with demand gets its
+# guaranteed share, but for what its deficit counter may be off by.
 @FEW
 @given(customers())
 def test_each_class_with_demand_gets_its_part_of_what_is_released(customer: Customer) -> None:
@@ -229,6 +235,8 @@
     assert customer.plan.limit_rate or not day.denied
 
 
+# Whatever the classes and the load: in any span of time no volume sends more than its burst and rate allow,
+# and no unsafe request whose attempt failed is sent again.
 @FEW
 @given(customers())
 def test_no_limit_is_passed_and_no_write_runs_twice(customer: Customer) -> None:
@@ -246,6 +254,8 @@
             assert total <= 3 * (plan.limit_burst + plan.limit_rate * (now - from_ms) / 1000) + 1e-6
 
 
+# Whatever the classes and the load: within the overload window a node that warms up gets its safe budget and
+# half the overload multiple of what it served, and no more.
 @FEW
 @given(customers())
 def test_a_cold_node_gets_no_more_than_it_bears(customer: Customer) -> None:
@@ -271,9 +281,12 @@
 
 
 @pytest.mark.parametrize(("load", "least"), [(1.5, 0.8), (3.0, 0.6)])
-def test_light_and_dear_work_is_not_crowded_out_by_heavy_work(load: float, least: float) -> None:
-    # Half of all requests, worth most, 5 ms of work due in 60 ms, beside 90 ms of work due in 3 s: the node's
-    # lag is that of the heavy work, and every request of the light class was taken for late.
+def test_light_work_of_high_priority_is_not_crowded_out_by_heavy_work(load: float, least: float) -> None:
+    """Half of all requests weigh most and take 5 ms of work due in 60 ms, beside 90 ms due in 3 s.
+
+    The node's latency is that of the heavy work, and every request of the light class was taken for late.
+    Most of the light class must be sent.
+    """
     plan = PlanSpec("p", base_rate=20, reserved_rate=10)
     customer = Customer((DEAR, CHEAP), (5.0, 90.0), (0.5, 0.5), plan, {"max_attempts": 2}, load, 7)
     day = Day(customer).play()
@@ -285,41 +298,52 @@
 TIGHT = PlanSpec("basic", base_rate=4, limit_rate=4.0, limit_burst=40.0)
 
 
-def asked_by_both(host: Host, until_ms: float, dear_every_ms: float = 250.0) -> None:
+def request_both(gateway: ScriptedGateway, until_ms: float, dear_every_ms: float = 250.0) -> None:
     """A volume whose classes ask for more together than its limit lets through."""
-    while host.now < until_ms:
-        for request_class in ("cheap", "dear") if host.now % dear_every_ms == 0 else ("cheap",):
-            name = f"{request_class} {host.now}"
-            host.ask(name, request_class=request_class, deadline_in_ms=3000.0)
-            if name in host.sent():
-                host.answer(name, lag=5)
-        host.run_to(host.now + 250)
-
-
-def test_a_limit_goes_to_the_class_worth_more_and_not_to_whoever_comes_first() -> None:
-    # Whoever came first spent it: the class worth most got no more of it than any other.
-    host = Host(classes=(CHEAP, DEAR), plans=(TIGHT,))
-    asked_by_both(host, 60_000.0)
-    sent = [name.split()[0] for name in host.sent()]
+    while gateway.now < until_ms:
+        for request_class in ("cheap", "dear") if gateway.now % dear_every_ms == 0 else ("cheap",):
+            name = f"{request_class} {gateway.now}"
+            gateway.request(name, request_class=request_class, deadline_in_ms=3000.0)
+            if name in gateway.sent():
+                gateway.end_attempt(name, latency_ms=5)
+        gateway.run_to(gateway.now + 250)
+
+
+def test_a_rate_limit_goes_to_the_higher_class_and_not_to_whoever_comes_first() -> None:
+    """The classes of a volume request more together than its rate limit lets through.
+
+    Whoever came first spent it: the highest class got no more of it than any other. It must get most; the
+    lower one has its guaranteed part.
+    """
+    gateway = ScriptedGateway(classes=(CHEAP, DEAR), plans=(TIGHT,))
+    request_both(gateway, 60_000.0)
+    sent = [name.split()[0] for name in gateway.sent()]
     assert sent.count("dear") > 3 * sent.count("cheap") > 0  # the cheap one has its guaranteed part
 
 
-def test_a_store_that_has_just_begun_is_not_kept_back() -> None:
-    # With a whole burst kept back, a process of a minute's age let nothing of the others through.
-    host = Host(classes=(CHEAP, DEAR), plans=(TIGHT,))
-    asked_by_both(host, 4_000.0, dear_every_ms=1000.0)
-    sent = [name.split()[0] for name in host.sent()]
+def test_a_bucket_that_has_just_started_is_not_kept_as_headroom() -> None:
+    """With a full burst kept as headroom, a process a minute old let nothing of lower classes through.
+
+    Some of them must be sent within seconds.
+    """
+    gateway = ScriptedGateway(classes=(CHEAP, DEAR), plans=(TIGHT,))
+    request_both(gateway, 4_000.0, dear_every_ms=1000.0)
+    sent = [name.split()[0] for name in gateway.sent()]
     assert sent.count("cheap") >= 3  # of sixteen units that have come in the other class had at most eight
 
 
-def test_what_is_refused_gives_back_what_it_drew_of_its_reserve() -> None:
-    host = Host(plans=(PlanSpec("basic", base_rate=4, reserved_rate=1.0),))
-    host.ask("first")
-    host.answer("first")
-    upstream, volume = host.scheduler._upstreams[0], host.scheduler._volumes["v1"]
-    upstream.latency_ms, upstream.taken = 900.0, upstream.capacity  # too slow for anything
-    before = volume.reserved_rate.level
+def test_a_rejected_request_returns_the_tokens_of_its_reservation() -> None:
+    """A node is too slow and full, so that reserved requests are rejected on arrival.
+
+    They drew tokens of their volume's reservation, which must be there for the next request.
+    """
+    gateway = ScriptedGateway(plans=(PlanSpec("basic", base_rate=4, reserved_rate=1.0),))
+    gateway.request("first")
+    gateway.end_attempt("first")
+    upstream, volume = gateway.upstream(), gateway.scheduler.state.volumes["v1"]
+    upstream.latency_ms, upstream.in_flight_units = 900.0, upstream.concurrency_limit  # too slow for anything
+    before = volume.reservation.level
     for number in range(3):
-        host.ask(f"refused {number}")
-        assert host.finals(f"refused {number}")
-    assert volume.reserved_rate.level >= before
+        gateway.request(f"refused {number}")
+        assert gateway.finals(f"refused {number}")
+    assert volume.reservation.level >= before
--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -45,7 +45,7 @@
 PLANS = [
     {"name": "one", "base-rate": 50.0, "reserve": 20.0, "proportion": 1.0, "value-factor": 0.7},
     {"name": "two", "base-rate": 50.0, "reserve": 20.0, "proportion": 3.0, "value-factor": 0.9},
-    # Its burst is less than a request: each is refused.
+    # Its burst is less than a request: each is rejected.
     {"name": "three", "base-rate": 50.0, "proportion": 4.0, "ceiling-rate": 0.001, "burst": 1.0},
 ]
 # Two customers: the names of the second, and the order in which its settings hold them.
@@ -148,6 +148,10 @@
         return found
 
     async def test_the_same_day_gets_the_same_answers(self) -> None:
+        """A day with faults is played for two customers, whose names and order of settings differ.
+
+        Each request must get the same answer, from as many attempts.
+        """
         found = {}
         for renamed in (False, True):
             await self.asyncTearDown()
@@ -170,13 +174,17 @@
     }
 
     async def test_a_request_with_minutes_left_is_served(self) -> None:
+        """Clients send timeouts of a minute to two days, which their classes allow.
+
+        Each request is served as any other.
+        """
         for number, told_ms in enumerate(("60001", "88719", "228552", "86400000", "172800000")):
             with self.subTest(told_ms=told_ms):
                 await asyncio.wait_for(self.served(await self.wire(), number, Request_Timeout_Ms=told_ms), 5)
 
 
 def module_day(renamed: bool, moved: bool, busy: float) -> list[tuple[float, str, str]]:
-    """A day on a clock of its own, with one node of two slots: what the module asks for of each request."""
+    """Play a day on a virtual clock with one node of two workers; return the actions for each request."""
     rng = random.Random(31)
     settings = read_settings({**customer(renamed, moved), "balancers": 3})
     scheduler, now = Scheduler(settings, 5), 0.0
@@ -226,8 +234,12 @@
     return found
 
 
-def test_the_module_decides_alike_whatever_things_are_called_and_in_whichever_order() -> None:
-    for busy, most in ((0.8, 600), (1.5, 480)):  # with 1.5 too much is asked for: classes are weighed
+def test_decisions_do_not_depend_on_names_or_on_the_order_of_settings() -> None:
+    """A day is played with the names and orders of two customers, with capacity to spare and overloaded.
+
+    All decisions must be the same.
+    """
+    for busy, most in ((0.8, 600), (1.5, 480)):  # with 1.5 it is overloaded: classes are weighed
         first = module_day(False, False, busy)
         for renamed, moved in ((True, False), (False, True), (True, True)):
             assert module_day(renamed, moved, busy) == first
@@ -249,7 +261,11 @@
 }
 
 
-def test_no_word_of_one_site_stands_in_the_program() -> None:
+def test_no_name_of_one_site_stands_in_the_program() -> None:
+    """The names of one site's classes, plans and zones must not stand in the program or its deploy files:
+
+    another site has others.
+    """
     words: set[str] = set()
     for path in (ROOT / "deploy" / "sites").glob("*.toml"):
         text = path.read_text()
--- a/tests/policy/test_payoff.py
+++ b/tests/policy/test_payoff.py
@@ -55,35 +55,43 @@
 
 @pytest.mark.parametrize(("lam", "mu", "n"), CASES)
 def test_one_round_is_appendix_a(lam: float, mu: float, n: int) -> None:
+    """With one round the queue equals the closed form of the paper's appendix A."""
     assert batch_queue(lam, mu, n, 1) == pytest.approx(rates(appendix_a(lam, mu, n), mu, n))
 
 
 @pytest.mark.parametrize(("lam", "mu", "n"), CASES)
 def test_two_rounds_are_appendix_b(lam: float, mu: float, n: int) -> None:
+    """With two rounds the queue equals the closed form of the paper's appendix B."""
     assert batch_queue(lam, mu, n, 2) == pytest.approx(rates(appendix_b(lam, mu, n), mu, n))
 
 
 @pytest.mark.parametrize(("lam", "mu", "n", "rounds"), [(5, 2, 2, 4), (9, 8, 3, 3), (2, 7, 1, 5)])
 def test_more_rounds_are_the_solved_chain(lam: int, mu: int, n: int, rounds: int) -> None:
+    """With more rounds the queue equals the solution of its balance equations by exact elimination."""
     states = [float(each) for each in solved(lam, mu, n, rounds)]
     assert batch_queue(lam, mu, n, rounds) == pytest.approx(rates(states, mu, n))
 
 
 def test_very_light_arrivals_do_not_overflow() -> None:
+    """With very few arrivals the probabilities of the queue differ by more than a float holds.
+
+    They must be scaled, not overflow.
+    """
     served, full = batch_queue(1e-3, 20.0, 32, 16)
     assert served == pytest.approx(1e-3, rel=1e-6)
     assert full == pytest.approx(0.0, abs=1e-9)
 
 
-def test_penalty_is_charged_for_the_full_queue(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_cost_of_a_rejection_is_charged_for_the_full_queue(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With a cost of rejections the payoff falls by it for each arrival at a full queue."""
     served, full = batch_queue(20.0, 8.0, 1, 2)
-    monkeypatch.setattr("shaletiller.policy.payoff.PENALTY", 0.5)
+    monkeypatch.setattr("shaletiller.policy.payoff.REJECTION_COST", 0.5)
     assert payoff_rate(20.0, 8.0, 1, 2, 3.0) == pytest.approx(3 * served - 0.5 * 20 * full)
 
 
 def total(demands: list[Demand], slots: tuple[int, ...], batch: float) -> float:
     return sum(
-        payoff_rate(d.arrival, batch, n, d.rounds, d.priority_weight)
+        payoff_rate(d.arrival_rate, batch, n, d.rounds, d.priority_weight)
         for d, n in zip(demands, slots, strict=True)
     )
 
@@ -96,7 +104,8 @@
         [Demand(5, 1, 1, 2), Demand(0, 9, 1, 2), Demand(50, 2, 1, 4)],
     ],
 )
-def test_split_equals_exhaustive_search(demands: list[Demand]) -> None:
+def test_the_split_equals_exhaustive_search(demands: list[Demand]) -> None:
+    """The greedy split must earn as much as the best of all splits."""
     capacity, batch = 9, 8.0
     found = best_split(demands, capacity, batch)
     every = (
@@ -109,5 +118,9 @@
     assert total(demands, tuple(found), batch) == pytest.approx(best, rel=1e-6)
 
 
-def test_split_gives_an_idle_class_nothing() -> None:
+def test_the_split_gives_an_idle_queue_nothing() -> None:
+    """A queue without arrivals has the highest weight.
+
+    It must get no slots.
+    """
     assert best_split([Demand(0, 9, 1, 2), Demand(3, 1, 1, 2)], 6, 8.0)[0] == 0
--- a/tests/support/scheduler_host.py
+++ b/tests/support/scheduler_host.py
@@ -1,4 +1,4 @@
-"""A scripted host: it feeds events to a Scheduler and keeps what it asked for."""
+"""A scripted gateway: it passes events to a Scheduler and records the actions that it returns."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 from shaletiller.messages.endpoints import EndpointEntry, EndpointState, UpdateKind
 from shaletiller.messages.events import AttemptEnded, EndpointListUpdate, Event, Request, TimerExpired
 from shaletiller.messages.outcomes import Outcome
+from shaletiller.messages.timers import Timer
 from shaletiller.policy import Scheduler
 from shaletiller.settings.model import ClassSpec, Idempotency, PlanSpec, Settings
+from shaletiller.state.records import Upstream
 
 SAFE = ClassSpec(
     "read",
@@ -47,25 +49,25 @@
 
 
 def entry(node: str = "n1", shard: int = 0, **changes: Any) -> EndpointEntry:
-    """A line of the list."""
+    """An entry of the endpoint list."""
     known: dict[str, Any] = {"zone": "a", "state": EndpointState.READY}
     known.update(changes)
     return EndpointEntry(node, shard=shard, **known)
 
 
-class Host:
-    """One scheduler, its clock and its timers; attempts are answered by the test."""
+class ScriptedGateway:
+    """One scheduler, its clock and its timers; the test gives the outcomes of attempts."""
 
     def __init__(self, *entries: EndpointEntry, seed: int = 1, **changes: Any) -> None:
         self.now = 0.0
         self.scheduler = Scheduler(settings(**changes), seed)
-        self.timers: list[tuple[float, int, str]] = []
+        self.timers: list[tuple[float, int, Timer]] = []
         self.log: list[tuple[float, Action]] = []
         self.count = 0
-        self.give(EndpointListUpdate(UpdateKind.FULL, entries or (entry(),)))
+        self.handle(EndpointListUpdate(UpdateKind.FULL, entries or (entry(),)))
 
-    def give(self, event: Event) -> list[Action]:
-        """One event now."""
+    def handle(self, event: Event) -> list[Action]:
+        """Handle one event now, and start its timers."""
         actions = self.scheduler.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
@@ -75,17 +77,17 @@
         return actions
 
     def run_to(self, until: float) -> list[Action]:
-        """Let the clock run; timers come due on the way."""
+        """Advance the clock; timers expire on the way."""
         seen: list[Action] = []
         while self.timers and min(self.timers)[0] <= until:
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            seen += self.give(TimerExpired(due[2]))
+            seen += self.handle(TimerExpired(due[2]))
         self.now = max(self.now, until)
         return seen
 
-    def ask(self, name: str, **changes: Any) -> list[Action]:
+    def request(self, name: str, **changes: Any) -> list[Action]:
         """A request arrives."""
         known: dict[str, Any] = {
             "shard": 0,
@@ -98,27 +100,31 @@
             "volume_gateways": 1,
         }
         known.update(changes)
-        return self.give(Request(name, **known))
+        return self.handle(Request(name, **known))
 
-    def answer(
+    def end_attempt(
         self,
         name: str,
         outcome: Outcome = Outcome.OK,
         attempt: int = 0,
         node: str = "n1",
-        lag: float = 20,
+        latency_ms: float = 20,
         **changes: Any,
     ) -> list[Action]:
         """An attempt ends."""
-        over = changes.pop("request_finished", outcome is Outcome.OK)
-        return self.give(AttemptEnded(name, attempt, node, outcome, lag, over, **changes))
+        finished = changes.pop("request_finished", outcome is Outcome.OK)
+        return self.handle(AttemptEnded(name, attempt, node, outcome, latency_ms, finished, **changes))
+
+    def upstream(self, shard: int = 0) -> Upstream:
+        """What the scheduler knows of a shard's node."""
+        return self.scheduler.endpoints.upstream_for(shard)
 
     def sent(self) -> list[str]:
         """The requests sent so far, in order."""
         return [action.request for _, action in self.log if isinstance(action, SendAttempt)]
 
     def finals(self, name: str) -> list[Action]:
-        """The final answers given by the host to a request."""
+        """The final answers that the scheduler gave to a request."""
         return [a for _, a in self.log if isinstance(a, Reject | Fail) and a.request == name]
 
 
--- a/tests/wire/test_adapter.py
+++ b/tests/wire/test_adapter.py
@@ -37,7 +37,11 @@
     return code, [json.loads(line) for line in out.getvalue().splitlines()], err.getvalue()
 
 
-def test_a_request_is_sent_over_the_wire() -> None:
+def test_a_request_is_forwarded() -> None:
+    """A gateway starts, gets an endpoint list and a request:
+
+    the request is forwarded to the node of its shard.
+    """
     code, replies, err = play(batch(0, ["Up", 7, INFO], LIST), batch(5, ASK))
     assert (code, err) == (0, "")
     output = [["CallOut", "t/1", "10.0.0.1:7000", 0.0]]
@@ -45,17 +49,26 @@
     assert replies[1]["groups"][0]["output"][:1] == output
 
 
-def test_empty_batch_gets_an_empty_reply() -> None:
+def test_an_empty_line_of_events_gets_an_empty_reply() -> None:
+    """Each line gets one reply, also where it has no events."""
     assert play('{"time-ms":1,"groups":[]}') == (0, [{"groups": []}], "")
 
 
 def test_unknown_events_and_instances_are_skipped() -> None:
+    """A newer simulator may send events of other names, or events of an instance that is not running.
+
+    They are skipped.
+    """
     code, replies, _ = play(batch(0, ["Up", 7, INFO], LIST, ["Novelty", 1, 2]), batch(1, ASK, host="host-9"))
     assert code == 0
     assert replies[1] == {"groups": []}
 
 
-def test_a_dead_instance_forgets() -> None:
+def test_a_stopped_instance_forgets_everything() -> None:
+    """An instance stops and is sent a request:
+
+    nothing is known of it any more, and nothing is replied.
+    """
     code, replies, _ = play(batch(0, ["Up", 7, INFO], LIST), batch(1, ["Down"]), batch(2, ASK))
     assert code == 0
     assert replies[1:] == [{"groups": []}, {"groups": []}]
@@ -72,7 +85,11 @@
         ("[1]", "out of place"),
     ],
 )
-def test_malformed_input_gets_one_plain_line(line: str, word: str) -> None:
+def test_malformed_input_ends_with_one_line_of_error(line: str, word: str) -> None:
+    """A line is malformed, in one of several ways.
+
+    The process ends with one line that says where, and no traceback.
+    """
     code, _, err = play(line)
     assert code != 0
     assert len(err.splitlines()) == 1
@@ -80,7 +97,11 @@
     assert "Traceback" not in err
 
 
-def test_instances_in_one_link_act_as_if_alone() -> None:
+def test_instances_in_one_process_act_as_if_alone() -> None:
+    """Two instances run in one process.
+
+    What one replies must not depend on the other.
+    """
     alone = play(batch(0, ["Up", 7, INFO], LIST), batch(5, ASK))[1]
     both = json.dumps(
         {
