--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from shaletiller.net.peers import PeerEndpoint
-from tests.net.test_endings import Wire, ask
+from tests.net.test_endings import RawClient, encode_request
 from tests.support.scenario import SETTINGS, VOLUME, read_message
 
 ROOT = Path(__file__).parent.parent.parent
@@ -174,24 +174,24 @@
             env={"EDGE_CONFIG": str(path)},
             stderr=asyncio.subprocess.DEVNULL,
         )
-        wires: dict[str, Wire] = {}
+        wires: dict[str, RawClient] = {}
         try:
             await self.up(port, 20.0)
             for name in ("waits", "hangs", "body", "half"):
-                wires[name] = await Wire.open(("127.0.0.1", port))
+                wires[name] = await RawClient.open(("127.0.0.1", port))
             wires["waits"].send(
-                ask(
+                encode_request(
                     1,
                     Request_Id="waits",
                     Request_Timeout_Ms="5000",
                     IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1",
                 )
             )
-            wires["hangs"].send(ask(2, "PUT", b"x", Request_Id="hangs", Request_Timeout_Ms="5000"))
-            wires["half"].send(ask(3, Request_Id="half", Request_Timeout_Ms="5000"))
+            wires["hangs"].send(encode_request(2, "PUT", b"x", Request_Id="hangs", Request_Timeout_Ms="5000"))
+            wires["half"].send(encode_request(3, Request_Id="half", Request_Timeout_Ms="5000"))
             out = dict([await asyncio.wait_for(came.get(), 3.0) for _ in range(2)])
             out["half"].write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nha")
-            whole = ask(4, "PUT", b"0123456789", Request_Id="body", Request_Timeout_Ms="5000")
+            whole = encode_request(4, "PUT", b"0123456789", Request_Id="body", Request_Timeout_Ms="5000")
             wires["body"].send(whole[:-4])
             unread: list[str] = []
             senders = [asyncio.ensure_future(self.sends_on(port, number, unread)) for number in range(3)]
@@ -217,10 +217,10 @@
 
     async def sends_on(self, port: int, number: int, unread: list[str]) -> None:
         """A client that asks until its connection ends: the last request is the one that was not read."""
-        wire = await Wire.open(("127.0.0.1", port))
+        wire = await RawClient.open(("127.0.0.1", port))
         for at in range(100_000):
             try:
-                wire.send(ask(at, Request_Id=f"sends-{number}-{at}"))
+                wire.send(encode_request(at, Request_Id=f"sends-{number}-{at}"))
                 await wire.answer()
             except (AssertionError, OSError):
                 unread.append(f"sends-{number}-{at}")
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -29,7 +29,7 @@
 PATCH = unittest.mock.patch
 
 
-def ask(number: int, method: str = "GET", body: bytes = b"", **changes: str) -> bytes:
+def encode_request(number: int, method: str = "GET", body: bytes = b"", **changes: str) -> bytes:
     """Encode a client's request."""
     lines = {
         "Request-Id": f"{method}-{number}",
@@ -52,7 +52,7 @@
     sock.close()
 
 
-def cut(writer: asyncio.StreamWriter) -> None:
+def reset_stream(writer: asyncio.StreamWriter) -> None:
     """Close a stream of the event loop with a reset."""
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETS)
     writer.transport.abort()
@@ -88,7 +88,7 @@
         raise AssertionError(f"timed out waiting for {what}") from None
 
 
-class Wire:
+class RawClient:
     """A client that is a bare socket: what `send` sent is in the other side's kernel when it returns."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -97,7 +97,7 @@
         sock.setblocking(False)
 
     @classmethod
-    async def open(cls, address: tuple[str, int]) -> Wire:
+    async def open(cls, address: tuple[str, int]) -> RawClient:
         sock = socket.socket()
         sock.setblocking(False)
         await asyncio.get_running_loop().sock_connect(sock, address)
@@ -142,7 +142,7 @@
         self.sock.close()
 
 
-class Endings(Scenario):
+class RaceScenario(Scenario):
     """What the tests below share.  They run on uvloop, as the program does: it closes differently."""
 
     @classmethod
@@ -155,7 +155,7 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.wires: list[Wire] = []
+        self.wires: list[RawClient] = []
         self.crossings: list[list[Callable[[], object]]] = []
 
     async def asyncTearDown(self) -> None:
@@ -164,8 +164,8 @@
             wire.close()
         await super().asyncTearDown()
 
-    async def wire(self) -> Wire:
-        self.wires.append(await Wire.open(self.gateway.front.address))
+    async def wire(self) -> RawClient:
+        self.wires.append(await RawClient.open(self.gateway.front.address))
         return self.wires[-1]
 
     def at(
@@ -194,7 +194,7 @@
 
         self.enterContext(PATCH.object(owner, name, crossed))
 
-    def at_close(self, wire: Wire, act: Callable[[], object], before: bool = True) -> None:
+    def at_close(self, wire: RawClient, act: Callable[[], object], before: bool = True) -> None:
         """Call `act` once as the gateway half-closes this client's connection."""
         mine = wire.sock.getsockname()
 
@@ -208,8 +208,8 @@
         """Call `act` once as the gateway half-closes any connection."""
         self.at(ClientConnection, "half_close", act)
 
-    async def served(self, wire: Wire, number: int, **changes: str) -> None:
-        wire.send(ask(number, **changes))
+    async def served(self, wire: RawClient, number: int, **changes: str) -> None:
+        wire.send(encode_request(number, **changes))
         await self.play(f"expect n1 GET {number}\nsend n1 200 ok")
         self.assertEqual(await wire.answer(), (200, b"ok"))
 
@@ -224,7 +224,7 @@
         await self.served(await self.wire(), number)
 
 
-class Resting(Endings):
+class IdleConnections(RaceScenario):
     """An idle connection, and a request that arrives as it is closed."""
 
     async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_read(self) -> None:
@@ -237,13 +237,13 @@
             with self.subTest(before=before):
                 wire = await self.wire()
                 await self.served(wire, 1)
-                self.at_close(wire, lambda wire=wire: wire.send(ask(2)), before)
+                self.at_close(wire, lambda wire=wire: wire.send(encode_request(2)), before)
                 with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
                     await wire.end()  # in order: a reset would discard a response in flight
                 wire.close()
                 await self.retried(2)
 
-    async def test_an_answer_that_tells_to_leave_is_whole_whatever_comes_behind_it(self) -> None:
+    async def test_a_response_that_closes_its_connection_is_complete_whatever_is_sent_behind_it(self) -> None:
         """A draining gateway answers a slow client, which pipelines a request as the gateway closes.
 
         Closed over the unread request, the connection would be reset and the response cut.  The response must
@@ -255,9 +255,9 @@
                 wire = await self.wire()
                 wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 self.gateway.front.set_draining(True)
-                wire.send(ask(1))
+                wire.send(encode_request(1))
                 await self.play("expect n1 GET 1")
-                self.at_close(wire, lambda wire=wire: wire.send(ask(2)), before)
+                self.at_close(wire, lambda wire=wire: wire.send(encode_request(2)), before)
                 head = f"HTTP/1.1 200 X\r\nContent-Length: {len(body)}\r\n\r\n"
                 self.parties["n1"].current.write(head.encode() + body)
                 self.assertEqual(await wire.answer(), (200, body))
@@ -266,7 +266,7 @@
                 self.gateway.front.set_draining(False)
                 await self.retried(2)
 
-    async def test_in_a_crowd_too_an_answer_is_whole_whatever_comes_behind_it(self) -> None:
+    async def test_a_response_that_closes_a_crowded_connection_is_complete(self) -> None:
         """The gateway is crowded and tells a client to leave, which pipelines a request in that moment.
 
         The response must be complete and the connection must end in order.
@@ -274,16 +274,16 @@
         for before in (True, False):
             with self.subTest(before=before), PATCH("shaletiller.net.connection_limits.CROWDED_PART", 0.0):
                 wire = await self.wire()
-                wire.send(ask(1))
+                wire.send(encode_request(1))
                 await self.play("expect n1 GET 1")
-                self.at_close(wire, lambda wire=wire: wire.send(ask(2)), before)
+                self.at_close(wire, lambda wire=wire: wire.send(encode_request(2)), before)
                 await self.play("send n1 200 ok")
                 self.assertEqual(await wire.answer(), (200, b"ok"))
                 await wire.end()
                 wire.close()
                 await until(lambda: not self.gateway.front.connections, "its end")
 
-    async def test_places_of_those_that_were_shut_are_given_up_when_they_are_wanted(self) -> None:
+    async def test_half_closed_connections_are_evicted_for_newcomers(self) -> None:
         """Clients that were sent away keep their half-closed connections, up to the connection limit.
 
         The next client must be served all the same: half-closed connections are evicted first, and do not
@@ -303,19 +303,19 @@
         await self.served(await self.wire(), 1)
         self.assertEqual(self.gateway.front.connections, crowd)
 
-    async def test_half_a_request_at_the_close_is_nothings_loss(self) -> None:
+    async def test_a_partial_request_at_the_close_of_an_idle_connection_is_ignored(self) -> None:
         """A client has sent a part of a request as its idle connection is closed.
 
         The connection must end in order, and its place must become free.
         """
         wire = await self.wire()
         await self.served(wire, 1)
-        self.at_close(wire, lambda: wire.send(ask(2)[:30]))
+        self.at_close(wire, lambda: wire.send(encode_request(2)[:30]))
         with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
             await wire.end()
         await until(lambda: not self.gateway.front.connections, "the connection's end")
 
-    async def test_a_client_that_rests_on_a_connection_that_was_shut_holds_no_place(self) -> None:
+    async def test_a_client_that_never_closes_a_half_closed_connection_holds_no_place(self) -> None:
         """A client does not close a connection that the gateway has half-closed.
 
         The gateway must close it alone after a while, or such clients would use up its descriptors.
@@ -327,7 +327,7 @@
         self.assertEqual(self.gateway.front.connections, 1)  # the gateway waits for the client's own close
         await until(lambda: not self.gateway.front.connections, "the end without it")
 
-    async def test_an_error_for_a_slow_head_reaches_a_client_that_sends_on(self) -> None:
+    async def test_a_request_timeout_response_reaches_a_client_that_is_still_sending(self) -> None:
         """A client sends its head too slowly and goes on sending as it gets a 408.
 
         Closed over its bytes, the connection would be reset.  The client must read the 408, and the linger
@@ -344,7 +344,7 @@
             await until(lambda: not self.gateway.front.connections, "the end of the linger")
         await until(lambda: not self.gateway.front._listener._tasks, "the end of its task")
 
-    async def test_a_newcomer_that_is_refused_unread_has_its_answer_though_it_sends_on(self) -> None:
+    async def test_an_unread_rejection_reaches_a_client_that_is_still_sending(self) -> None:
         """Under overload a new connection's request is rejected unread, while its client goes on sending.
 
         The client must read the 503 and an end without a reset, and no node gets the request.
@@ -353,7 +353,7 @@
             self.enterContext(PATCH(f"shaletiller.net.connection_limits.{name}", 0.0))
         self.enterContext(PATCH("shaletiller.net.connection_limits.STARTS_PER_TURN", 0))
         listener, wire = self.gateway.front._listener, await self.wire()
-        wire.send(ask(1, "PUT", b"x" * 60000))
+        wire.send(encode_request(1, "PUT", b"x" * 60000))
         self.at(
             listener.overload, "_retry_after_allowed", lambda: wire.send(b"y" * 1000)
         )  # behind what is read of the request
@@ -364,7 +364,7 @@
         self.assertEqual(self.came, 0)
 
 
-class Shutdown(Endings):
+class Shutdown(RaceScenario):
     """SIGTERM, with responses still pending."""
 
     def stop(self) -> asyncio.Task[None]:
@@ -381,10 +381,13 @@
                 await self.served(wire, 1)
                 await self.served(other, 2)
                 # `other` is idle until the gateway closes it: it sends a request at that moment.
-                self.at_close(other, lambda wire=other: wire.send(ask(3)), before)
+                self.at_close(other, lambda wire=other: wire.send(encode_request(3)), before)
                 # `wire` sends one just before: what is read then is answered, and forwarded to no node.
                 self.at(
-                    self.gateway.front, "close_after_responses", lambda wire=wire: wire.send(ask(4)), before
+                    self.gateway.front,
+                    "close_after_responses",
+                    lambda wire=wire: wire.send(encode_request(4)),
+                    before,
                 )
                 await asyncio.wait_for(self.stop(), PATIENCE_S)
                 await other.end()
@@ -394,7 +397,7 @@
                 await self.asyncTearDown()
                 await self.asyncSetUp()
 
-    async def test_what_waits_is_out_or_comes_in_parts_is_answered(self) -> None:
+    async def test_requests_queued_in_progress_or_half_received_at_shutdown_are_answered(self) -> None:
         """SIGTERM comes while requests are queued, at nodes, half received, or half answered.
 
         Each must get its response before the process ends: 502 where it may have run, 503 where it certainly
@@ -402,20 +405,20 @@
         """
         names = ("waits", "out", "body", "answer", "hangs")
         wires = {name: await self.wire() for name in names}
-        wires["out"].send(ask(1, Request_Timeout_Ms="5000"))
+        wires["out"].send(encode_request(1, Request_Timeout_Ms="5000"))
         await self.play("expect n1 GET 1")
         out = self.parties["n1"].current
-        wires["answer"].send(ask(2, "PUT", b"b", Request_Timeout_Ms="5000"))
+        wires["answer"].send(encode_request(2, "PUT", b"b", Request_Timeout_Ms="5000"))
         await self.play("expect n1 PUT 2 b")
         half = self.parties["n1"].current
         half.write(b"HTTP/1.1 200 X\r\nContent-Le")
-        wires["hangs"].send(ask(3, "PUT", b"c", Request_Timeout_Ms="5000"))
+        wires["hangs"].send(encode_request(3, "PUT", b"c", Request_Timeout_Ms="5000"))
         await self.play("expect n1 PUT 3 c")  # and never answers it
-        complete = ask(4, "PUT", b"0123456789", Request_Timeout_Ms="5000")
+        complete = encode_request(4, "PUT", b"0123456789", Request_Timeout_Ms="5000")
         wires["body"].send(complete[:-5])
         # Queued: no node has the shard.
         wires["waits"].send(
-            ask(5, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1", Request_Timeout_Ms="5000")
+            encode_request(5, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1", Request_Timeout_Ms="5000")
         )
         await until(lambda: len(self.gateway.engine.exchanges) == 4, "all to be in progress")
         stop = self.stop()
@@ -436,7 +439,7 @@
             (self.gateway.engine.exchanges, self.gateway.engine.attempts.in_flight, self.came), ({}, {}, 0)
         )
 
-    async def test_clients_that_send_up_to_the_end_lose_nothing(self) -> None:
+    async def test_clients_that_send_until_the_end_lose_no_request(self) -> None:
         """Clients send requests one after the other until shutdown ends their connections.
 
         The one request of each client that gets no response must not have reached a node.
@@ -447,7 +450,7 @@
             wire = await self.wire()
             for at in range(10_000):
                 try:
-                    wire.send(ask(number * 10_000 + at))
+                    wire.send(encode_request(number * 10_000 + at))
                     status, _ = await wire.answer()
                 except (AssertionError, OSError):
                     unread.append(f"GET-{number * 10_000 + at}")
@@ -475,7 +478,7 @@
         await until(lambda: not listener.accept_queue, "the first to be started")
         self.enterContext(PATCH.object(listener, "_start_connections", lambda: None))
         late = await self.wire()
-        late.send(ask(1))
+        late.send(encode_request(1))
         await until(lambda: listener.accept_queue, "the new connection")
         await asyncio.wait_for(self.stop(), PATIENCE_S)
         self.assertEqual((await late.answer())[0], 503)
@@ -489,28 +492,30 @@
         It must be half-closed once it has one, and the request that its client sends then must not be read.
         """
         listener = self.gateway.front._listener
-        late: list[Wire] = []
+        late: list[RawClient] = []
 
         def comes() -> None:
             with socket.create_server(("127.0.0.1", 0)) as server:
                 ours = socket.create_connection(server.getsockname())
                 theirs, _ = server.accept()
             theirs.setblocking(False)
-            late.append(Wire(ours))
+            late.append(RawClient(ours))
             listener._start_connection(AcceptedSocket(listener.clock.now_ms(), theirs))
 
         self.at(listener, "stop_accepting", comes, before=False, which=lambda: self.gateway.front._closing)
-        self.at_any_close(lambda: late[0].send(ask(1)))
+        self.at_any_close(lambda: late[0].send(encode_request(1)))
         await asyncio.wait_for(self.stop(), PATIENCE_S)
         await late[0].end()
         self.assertEqual((self.came, self.gateway.engine.counters), (0, {}))
         late[0].close()
 
 
-class Leaving(Endings):
+class ClientLeaves(RaceScenario):
     """A client that leaves while its request waits: the request is not forwarded."""
 
-    async def gone(self, wire: Wire, how: Callable[[], None], free: Callable[[], Awaitable[None]]) -> None:
+    async def gone(
+        self, wire: RawClient, how: Callable[[], None], free: Callable[[], Awaitable[None]]
+    ) -> None:
         how()
         await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await free()
@@ -527,7 +532,7 @@
                 wire = await self.wire()
                 # Queued until some node has the shard.
                 wire.send(
-                    ask(
+                    encode_request(
                         1, IO_Info=f"volume={VOLUME},units=2,shard={shard},hosts=1", Request_Timeout_Ms="5000"
                     )
                 )
@@ -551,14 +556,14 @@
         The first attempt must be cancelled, and the second request never forwarded.
         """
         wire = await self.wire()
-        wire.send(ask(1, Request_Timeout_Ms="5000") + ask(2, Request_Timeout_Ms="5000"))
+        wire.send(encode_request(1, Request_Timeout_Ms="5000") + encode_request(2, Request_Timeout_Ms="5000"))
         await self.play("expect n1 GET 1")
         wire.close()
         await self.play("expect n1 closed")
         await asyncio.sleep(0.05)
         self.assertEqual((self.came, self.gateway.engine.exchanges), (0, {}))
 
-    async def test_as_its_connection_to_the_node_comes_up(self) -> None:
+    async def test_as_the_connection_to_its_node_comes_up(self) -> None:
         """A client leaves in the moment in which the connection for its request comes up.
 
         The node must not get the request, and the connection must be closed.
@@ -569,7 +574,7 @@
             "connection_made",
             lambda: [engine.client_disconnected(each) for each in list(engine.exchanges.values())],
         )
-        wire.send(ask(1, "PUT", b"x", Request_Timeout_Ms="5000"))
+        wire.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await until(lambda: engine.counters.get("left"), "the close")
         await until(lambda: not engine.attempts.in_flight, "the attempt's end")
         node = self.parties["n1"]
@@ -584,7 +589,7 @@
         """
         wire = await self.wire()
         await self.play("close n1 door")
-        wire.send(ask(1, "PUT", b"x", Request_Timeout_Ms="5000"))
+        wire.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
         wire.close()
         await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
@@ -593,12 +598,12 @@
         self.assertEqual((self.came, self.parties["n1"].seen), (0, []))
 
 
-class Operators(Endings):
+class AdminConnections(RaceScenario):
     """The operators' commands: callers that send too much, and callers at the end of the process."""
 
-    async def call(self, line: bytes) -> Wire:
+    async def call(self, line: bytes) -> RawClient:
         assert self.gateway.admin is not None
-        self.wires.append(await Wire.open(self.gateway.admin.address))
+        self.wires.append(await RawClient.open(self.gateway.admin.address))
         self.wires[-1].send(line)
         return self.wires[-1]
 
@@ -642,7 +647,7 @@
         self.assertEqual(caller.got, b"done late\n")
 
 
-class NvmeShutdown(Endings):
+class NvmeShutdown(RaceScenario):
     """Shutdown for NVMe over TCP."""
 
     async def test_a_command_that_outlasts_the_shutdown_has_its_completion(self) -> None:
@@ -675,7 +680,7 @@
         self.assertIsNone(await queue._stream.receive(PATIENCE_S))  # the end, in order
         await asyncio.wait_for(stop, PATIENCE_S)
 
-    async def test_a_host_that_leaves_while_its_command_waits_is_not_sent_on(self) -> None:
+    async def test_a_command_whose_host_has_left_is_not_forwarded(self) -> None:
         """An NVMe host leaves between a failed attempt and the retry.
 
         The node, reachable again, must not get the command.
@@ -689,7 +694,7 @@
         self.assertEqual((self.came, self.parties["n1"].seen), (0, []))
 
 
-class FullQueue(Endings):
+class FullQueue(RaceScenario):
     """A connection to a node that comes up late or never.
 
     The node's listener has a full queue: the kernel drops a SYN, and the other side sends the next after 1 s.
@@ -739,7 +744,7 @@
         The request must be served on it, once.
         """
         wire = await self.wire()
-        wire.send(ask(1, "PUT", b"x", Request_Timeout_Ms="5000"))
+        wire.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await until(lambda: connecting_to(self.port) == 1, "the attempt")
         self.comes_up()
         sock = await self.next()  # a second after the first SYN
@@ -756,8 +761,8 @@
         Both attempts must end, and the kernel must not go on connecting for them.
         """
         slow, gone = await self.wire(), await self.wire()
-        slow.send(ask(1, "PUT", b"x", Request_Timeout_Ms="300"))
-        gone.send(ask(2, "PUT", b"y", Request_Timeout_Ms="5000"))
+        slow.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="300"))
+        gone.send(encode_request(2, "PUT", b"y", Request_Timeout_Ms="5000"))
         await until(lambda: connecting_to(self.port) == 2, "both attempts")
         gone.close()
         self.assertEqual((await slow.answer())[0], 502)  # a timeout proves nothing
@@ -779,7 +784,7 @@
         """
         wire = await self.wire()
         with PATCH.object(self.gateway._http, "_settings", self.replaced(connect_timeout_ms=100.0)):
-            wire.send(ask(1, "PUT", b"x", Request_Timeout_Ms="400"))
+            wire.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="400"))
             self.assertEqual((await wire.answer())[0], 503)
         counts = self.gateway.engine.counters
         self.assertGreaterEqual(counts.get("attempt.connect_failed", 0), 1)
@@ -821,9 +826,9 @@
             await asyncio.get_running_loop().run_in_executor(None, self.full.accept)
         self.assertEqual((await wire.answer())[0], 503)  # every node knows the key, so the rejection is safe
 
-    async def first_attempt(self, wire: Wire) -> socket.socket:
+    async def first_attempt(self, wire: RawClient) -> socket.socket:
         self.comes_up()
-        wire.send(ask(1, "PUT", b"x", Idempotency_Key="k", Request_Timeout_Ms="2500"))
+        wire.send(encode_request(1, "PUT", b"x", Idempotency_Key="k", Request_Timeout_Ms="2500"))
         first = await self.next()
         raw = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(first, 9999), PATIENCE_S)
         self.assertIn(b"Idempotency-Key: k\r\n", raw)
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -20,7 +20,7 @@
 from shaletiller.messages.events import EndpointListUpdate
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.settings.model import DeduplicationScope, Idempotency
-from tests.net.test_endings import PATCH, Endings, Wire, ask, cut, reset, until
+from tests.net.test_endings import PATCH, RaceScenario, RawClient, encode_request, reset, reset_stream, until
 from tests.support.scenario import PATIENCE_S, SETTINGS, VOLUME, Server
 from tests.support.scheduler_host import SAFE, ScriptedGateway
 
@@ -36,13 +36,13 @@
 EFFECTS: dict[str, Any] = {**SETTINGS, "classes": [*SETTINGS["classes"], KEYED], "domain": DOMAIN}
 # A request of each effect, and its status if it may have run and a retry, where allowed, is served.
 REQUEST_OF_EFFECT = {
-    "read": (ask(1), 200),
-    "write": (ask(2, "PUT", b"x"), 502),
-    "keyed": (ask(3, "PUT", b"x", Request_Class="keyed", Idempotency_Key="k"), 200),
+    "read": (encode_request(1), 200),
+    "write": (encode_request(2, "PUT", b"x"), 502),
+    "keyed": (encode_request(3, "PUT", b"x", Request_Class="keyed", Idempotency_Key="k"), 200),
 }
 
 
-class Cut(Endings):
+class TruncatedResponses(RaceScenario):
     """A node's response that ends too early."""
 
     settings: ClassVar[dict[str, Any]] = EFFECTS
@@ -59,7 +59,7 @@
         writer.write(raw)
         await writer.drain()
         if end == "reset":
-            cut(writer)
+            reset_stream(writer)
         elif end == "end":
             writer.close()
         if wanted == 200:
@@ -70,7 +70,7 @@
         self.assertEqual(self.came, 0)
         wire.close()
 
-    async def test_an_answer_cut_at_every_byte_is_no_answer(self) -> None:
+    async def test_a_response_truncated_at_any_byte_is_not_forwarded(self) -> None:
         """A node's connection ends, or is reset, after any number of the response's bytes.
 
         Nothing of it may reach the client: a read is retried, a write fails with a 502.
@@ -82,7 +82,7 @@
                         await self.ends(ANSWER[:size], end, *REQUEST_OF_EFFECT[name])
         await until(lambda: not self.gateway.engine.attempts.in_flight, "the attempts' ends")
 
-    async def test_an_answer_without_a_length_that_is_reset_is_no_answer(self) -> None:
+    async def test_a_reset_response_without_a_length_is_not_forwarded(self) -> None:
         """A node sends a response without a Content-Length and resets the connection.
 
         Its end is unknown, so no part of it may reach the client.
@@ -93,7 +93,7 @@
                 await self.ends(raw[:size], "reset", *REQUEST_OF_EFFECT["read"])
                 await self.ends(raw[:size], "reset", *REQUEST_OF_EFFECT["write"])
 
-    async def test_a_chunked_answer_that_is_cut_is_no_answer(self) -> None:
+    async def test_a_truncated_chunked_response_is_not_forwarded(self) -> None:
         """A node resets its connection within a chunked response.
 
         Nothing of it may reach the client.
@@ -103,7 +103,7 @@
             with self.subTest(size=size):
                 await self.ends(raw[:size], "reset", *REQUEST_OF_EFFECT["read"])
 
-    async def test_a_break_after_the_last_byte_may_have_run_for_each_effect(self) -> None:
+    async def test_a_failure_after_the_last_byte_may_have_run(self) -> None:
         """A connection, new or reused, breaks after the complete request was written.
 
         The request may have run: reads and writes with a key are retried, other writes must fail with a 502.
@@ -118,7 +118,7 @@
                         await asyncio.sleep(0.03)  # past its settling time
                     await self.ends(b"", "reset", request, wanted)
 
-    async def test_a_break_within_the_request_has_run_for_no_effect(self) -> None:
+    async def test_a_failure_before_the_last_byte_has_not_run(self) -> None:
         """The node takes a part of a large body and resets.
 
         The request cannot have run, so it must be retried, a non-idempotent write too.
@@ -133,7 +133,7 @@
                     if resets:
                         resets.pop()
                         await reader.readexactly(2000)
-                        cut(writer)
+                        reset_stream(writer)
                         return
                     await serve(reader, writer)
 
@@ -149,7 +149,7 @@
                 wire = await self.wire()
                 heads = {"Request_Class": name} | ({"Idempotency_Key": "k"} if name == "keyed" else {})
                 with PATCH("shaletiller.net.http_upstream.split_last_byte", self.slow):
-                    wire.send(ask(5, "PUT", body, **heads))
+                    wire.send(encode_request(5, "PUT", body, **heads))
                     _, _, received, writer, _ = await node.next()
                 self.assertEqual(len(received), len(body))
                 writer.write(ANSWER)
@@ -167,7 +167,7 @@
         progress.last_byte_written = True
         yield body[-1:]
 
-    async def test_an_answer_that_never_ends_is_given_up_and_its_connection_closed(self) -> None:
+    async def test_a_response_that_stops_half_way_ends_its_connection(self) -> None:
         """A node sends half a response and no more.
 
         The write must fail soon, and its connection must be closed.
@@ -179,7 +179,7 @@
         self.assertEqual((await wire.answer())[0], 502)
         await until(writer.transport.is_closing, "its connection's end")
 
-    async def test_a_second_answer_some_milliseconds_later_is_no_ones(self) -> None:
+    async def test_a_duplicate_response_some_milliseconds_later_reaches_no_one(self) -> None:
         """A node sends its response twice: at once, within the settling time, or as the connection is taken.
 
         The next request must not meet the old connection, nor get the second copy as its response.
@@ -188,7 +188,7 @@
         for wait_s in (0.0, 0.005, 0.009):
             with self.subTest(wait_s=wait_s):
                 wire = await self.wire()
-                wire.send(ask(1))
+                wire.send(encode_request(1))
                 _, writer = await self.attempt()
                 writer.write(ANSWER)
                 self.assertEqual(await wire.answer(), (200, b"body"))
@@ -196,7 +196,7 @@
                 released_s = next(iter(pool._conns.values()))[0][1]
                 now = unittest.mock.Mock(monotonic=lambda now_s=released_s + wait_s: now_s)
                 with PATCH("shaletiller.net.pool.time", now):
-                    wire.send(ask(4, "PUT", b"x"))  # it must not get the old connection
+                    wire.send(encode_request(4, "PUT", b"x"))  # it must not get the old connection
                     _, second = await self.attempt()
                 self.assertIsNot(writer, second)
                 writer.write(ANSWER)
@@ -205,28 +205,28 @@
                 wire.close()
                 self.gateway._http.close_idle(f"127.0.0.1:{self.parties['n1'].port}")
 
-    async def test_half_a_line_as_a_kept_connection_is_closed_or_taken(self) -> None:
+    async def test_input_on_an_idle_connection_as_it_is_taken_retires_it(self) -> None:
         """A part of a status line arrives on an idle connection in the moment in which it is taken.
 
         The request must go to another connection, and the old one must be closed.
         """
         pool = self.gateway._http._session().connector
         wire = await self.wire()
-        wire.send(ask(1))
+        wire.send(encode_request(1))
         _, writer = await self.attempt()
         writer.write(ANSWER)
         await wire.answer()
         await asyncio.sleep(0.03)
         # The connection is being taken and nothing is written yet, as half a line arrives in the kernel.
         self.at(pool, "_is_clean", lambda: os.write(writer.get_extra_info("socket").fileno(), b"HTTP/1.1 20"))
-        wire.send(ask(2, "PUT", b"x"))
+        wire.send(encode_request(2, "PUT", b"x"))
         _, second = await self.attempt()
         self.assertIsNot(writer, second)
         second.write(ANSWER)
         self.assertEqual((await wire.answer())[0], 200)
         await until(writer.transport.is_closing, "the end of the old one")
 
-    async def test_a_request_given_up_with_bytes_unsent_is_not_sent_after_its_answer(self) -> None:
+    async def test_a_request_abandoned_with_unsent_bytes_is_never_completed(self) -> None:
         """A node reads nothing, so the end of a request stays unsent as its client gets a 502.
 
         The node must never get the rest: it would run a write that was reported as failed.
@@ -249,7 +249,7 @@
 
         wire = await self.wire()
         with PATCH.object(self.gateway._http._session().connector, "_create_connection", narrow):
-            wire.send(ask(2, "PUT", b"z" * 16000, Request_Timeout_Ms="300"))
+            wire.send(encode_request(2, "PUT", b"z" * 16000, Request_Timeout_Ms="300"))
             sock, _ = await asyncio.get_running_loop().sock_accept(small)
             self.assertEqual((await wire.answer())[0], 502)
         got, ended = b"", False
@@ -264,7 +264,7 @@
         small.close()
 
 
-class Windows(Endings):
+class DeduplicationWindows(RaceScenario):
     """A retry just inside, at and just past the end of a short deduplication window."""
 
     def repeat(
@@ -299,7 +299,7 @@
                     sends = [each for _, each in host.log if isinstance(each, SendAttempt)]
                     self.assertEqual(sends[1].start_within_ms, ttl_ms - 200.0)
 
-    async def test_a_held_request_keeps_its_window_when_the_settings_change(self) -> None:
+    async def test_a_request_in_progress_keeps_its_window_when_the_settings_change(self) -> None:
         """The settings change the window while a request is in progress.
 
         The window of its admission must hold, a shorter and a longer one.
@@ -308,7 +308,7 @@
         self.assertFalse(self.repeat(400.0, later=900.0)[0])
 
 
-class Reloaded(Endings):
+class ReloadWithRequestsInProgress(RaceScenario):
     """SIGHUP between a request's admission and its attempt, and between the attempt and its outcome."""
 
     settings: ClassVar[dict[str, Any]] = EFFECTS
@@ -324,8 +324,10 @@
         """
         wire, reader = await self.wire(), await self.wire()
         far = f"volume={VOLUME},units=2,shard=3,hosts=1"
-        wire.send(ask(1, "PUT", b"x", IO_Info=far, Request_Timeout_Ms="5000"))  # no node has the shard yet
-        reader.send(ask(2, IO_Info=far, Request_Timeout_Ms="5000"))
+        wire.send(
+            encode_request(1, "PUT", b"x", IO_Info=far, Request_Timeout_Ms="5000")
+        )  # no node has the shard yet
+        reader.send(encode_request(2, IO_Info=far, Request_Timeout_Ms="5000"))
         await until(lambda: len(self.gateway.engine.exchanges) == 2, "both to be queued")
         # Reads may not be retried any more, writes may, and one class has gone.
         read, write, _ = EFFECTS["classes"]
@@ -344,22 +346,22 @@
         self.assertEqual(await reader.answer(), (200, b"ok"))
         self.assertEqual(node.came.qsize(), 0)
         # And new ones follow the new settings.
-        wire.send(ask(3, IO_Info=far))
+        wire.send(encode_request(3, IO_Info=far))
         await self.play("expect n3 GET 3\nclose n3")
         self.assertEqual((await wire.answer())[0], 502)
-        reader.send(ask(4, "PUT", b"x", IO_Info=far))
+        reader.send(encode_request(4, "PUT", b"x", IO_Info=far))
         await self.play("expect n3 PUT 4 x\nclose n3\nexpect n3 PUT 4 x\nsend n3 200 ok")
         self.assertEqual((await reader.answer())[0], 200)
-        wire.send(ask(5, "PUT", b"x", Request_Class="keyed", Idempotency_Key="k"))
+        wire.send(encode_request(5, "PUT", b"x", Request_Class="keyed", Idempotency_Key="k"))
         self.assertEqual((await wire.answer())[0], 400)  # there is no such class any more
 
-    async def test_the_guard_answers_by_the_settings_a_request_came_under(self) -> None:
+    async def test_the_guard_timer_answers_by_the_settings_of_the_admission(self) -> None:
         """The scheduler keeps silent, and a reload makes writes idempotent while one is in progress.
 
         The guard timer must answer 502: under the settings of its admission the write may have run.
         """
         wire = await self.wire()
-        wire.send(ask(2, "PUT", b"x", Request_Timeout_Ms="400"))
+        wire.send(encode_request(2, "PUT", b"x", Request_Timeout_Ms="400"))
         await self.play("expect n1 PUT 2 x")
         self.gateway.engine._scheduler.handle = lambda now_ms, event: []  # a scheduler that never acts
         self.gateway.engine._scheduler.retune = lambda settings: None
@@ -390,11 +392,13 @@
         self.assertEqual(
             len(self.parties["n1"].writers - old), 1
         )  # the idle one was too old for the new settings
-        wire.send(ask(3, IO_Info=f"volume={VOLUME},units=2,shard=9,hosts=1", Request_Timeout_Ms="50"))
+        wire.send(
+            encode_request(3, IO_Info=f"volume={VOLUME},units=2,shard=9,hosts=1", Request_Timeout_Ms="50")
+        )
         self.assertEqual((await wire.answer())[0], 503)
         self.assertNotIn(b"Retry-After", wire.head)
 
-    async def test_a_move_of_discovery_before_the_watch_has_begun_is_followed(self) -> None:
+    async def test_a_reload_before_the_watch_has_begun_moves_it(self) -> None:
         """A reload names another discovery before the watch has made its first call.
 
         That call must go to the new address, for the full list.
@@ -407,7 +411,7 @@
         self.assertEqual((await agent.next())[0], "GET /discovery/hosts HTTP/1.1")
         watch.cancel()
 
-    async def test_a_faulty_file_leaves_all_as_it_was(self) -> None:
+    async def test_a_faulty_file_changes_nothing(self) -> None:
         """A reload finds a file with a faulty class.
 
         The configuration and the scheduler's settings must stay, the reload must count as rejected, and
@@ -430,7 +434,7 @@
         await self.served(await self.wire(), 1)
 
 
-class Lists(Endings):
+class EndpointLists(RaceScenario):
     """Lists that stop, are truncated, or come in segments or from another discovery."""
 
     settings: ClassVar[dict[str, Any]] = {
@@ -460,7 +464,7 @@
         self.assertIn("since=7&", (await agent.next())[0])
         self.assertEqual(list(self.gateway.engine.endpoints), ["n2"])
 
-    async def test_a_list_that_is_cut_is_none_and_asked_for_again(self) -> None:
+    async def test_a_truncated_list_is_discarded_and_requested_again(self) -> None:
         """Discovery's connection is reset within a list.
 
         Nothing of it may be applied, and the watch must go on from the version in use.
@@ -473,7 +477,7 @@
         self.assertIn("since=1&", (await agent.next())[0])
         self.assertEqual(list(self.gateway.engine.endpoints), ["n1", "n2"])
 
-    async def test_a_drain_that_was_pushed_as_the_watch_broke_has_less_of_its_grace_left(self) -> None:
+    async def test_a_drain_announced_while_the_watch_was_broken_has_less_grace_left(self) -> None:
         """The watch is reset, closed or silent, and the next list has a node draining.
 
         The drain may have been announced at any time since the last response, so that time must count against
@@ -523,13 +527,13 @@
         )
         self.assertEqual(seen[-1].late_ms, 0.0)
 
-    async def test_no_fresh_work_past_the_grace_and_what_is_there_is_answered(self) -> None:
+    async def test_after_the_grace_a_node_gets_no_requests_and_those_in_progress_are_answered(self) -> None:
         """A node drains, and its grace period ends while it has a request in progress.
 
         It must get no further request, and the one in progress must be answered.
         """
         wire, late = await self.wire(), await self.wire()
-        wire.send(ask(1, "PUT", b"x", Request_Timeout_Ms="5000"))
+        wire.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await self.play("expect n1 PUT 1 x")
         clock = self.gateway._clock
         await self.play("send d n1=leaving")
@@ -537,13 +541,13 @@
             lambda: self.gateway.engine.endpoints["n1"].entry.state is EndpointState.DRAINING, "the drain"
         )
         with PATCH.object(clock, "_offset_ms", clock._offset_ms + 3000.0):  # its grace period is over
-            late.send(ask(2, "PUT", b"y", Request_Timeout_Ms="200"))
+            late.send(encode_request(2, "PUT", b"y", Request_Timeout_Ms="200"))
             self.assertEqual((await late.answer())[0], 503)
             self.assertEqual(self.came, 0)
             await self.play("send n1 200 ok")
             self.assertEqual(await wire.answer(), (200, b"ok"))
 
-    async def test_a_lower_version_after_discovery_has_moved_holds(self) -> None:
+    async def test_a_lower_version_after_discovery_has_moved_is_applied(self) -> None:
         """A reload names another discovery, whose versions are lower.
 
         Its full list must be requested and applied: versions of two discoveries do not compare.
@@ -561,7 +565,7 @@
         await self.served(await self.wire(), 1)
 
 
-class Restarts(Endings):
+class Starts(RaceScenario):
     """A start with discovery down, silent or late, or with an outdated list."""
 
     async def starts(self) -> tuple[float, int]:
@@ -578,7 +582,7 @@
         return time.monotonic() - began, await self.up()
 
     async def up(self) -> int:
-        wire = await Wire.open(self.second.front.address)
+        wire = await RawClient.open(self.second.front.address)
         wire.send(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         status, _ = await wire.answer()
         wire.close()
@@ -600,8 +604,8 @@
                 took, status = await self.starts()
                 self.assertEqual(status, 200)
                 self.assertLess(took, 10.0)  # the operators' limit
-                wire = await Wire.open(self.second.front.address)
-                wire.send(ask(1))
+                wire = await RawClient.open(self.second.front.address)
+                wire.send(encode_request(1))
                 await self.play("expect n1 GET 1\nsend n1 200 ok")
                 self.assertEqual(await wire.answer(), (200, b"ok"))
                 wire.close()
@@ -628,7 +632,7 @@
                 await until(lambda: self.second.discovery.ready, "the list")
                 self.assertEqual(await self.up(), 200)
 
-    async def test_an_old_list_gives_way_to_what_discovery_tells(self) -> None:
+    async def test_an_outdated_list_is_replaced_by_discoverys(self) -> None:
         """A gateway starts with a list in which a node is ready that has drained for an unknown time.
 
         Once discovery's list is there, the node must get no request: nothing of its grace period is certain.
@@ -642,14 +646,14 @@
         rows = [self.row("n1", "leaving"), self.row("n2", "active")]
         await Server.send(agent, "200", json.dumps({"version": 9, "full": True, "servers": rows}))
         await until(lambda: self.second.discovery._version == 9, "the new list")
-        wire = await Wire.open(self.second.front.address)
-        wire.send(ask(1, Request_Timeout_Ms="200"))
+        wire = await RawClient.open(self.second.front.address)
+        wire.send(encode_request(1, Request_Timeout_Ms="200"))
         self.assertEqual((await wire.answer())[0], 503)  # it has been draining for an unknown time
         self.assertEqual(self.came, 0)
         wire.close()
 
 
-class Floods(Endings):
+class ClientFloods(RaceScenario):
     """Many clients that send much and leave, send slowly, or give up early."""
 
     sockets = 64
@@ -667,7 +671,7 @@
 
         async def one(number: int) -> None:
             nonlocal most
-            wire = await Wire.open(address)
+            wire = await RawClient.open(address)
             try:
                 await act(wire, number)
             except (OSError, AssertionError):
@@ -689,8 +693,8 @@
         No request may reach a node, and no connection or task may be left behind.
         """
 
-        async def act(wire: Wire, number: int) -> None:
-            wire.send(ask(number, "PUT", b"x" * 60000, Content_Length="9000000"))
+        async def act(wire: RawClient, number: int) -> None:
+            wire.send(encode_request(number, "PUT", b"x" * 60000, Content_Length="9000000"))
 
         await self.flood(act)
         self.assertEqual(self.came, 0)
@@ -701,8 +705,8 @@
         They must be timed out, and no connection or task may be left behind.
         """
 
-        async def act(wire: Wire, number: int) -> None:
-            wire.send(ask(number)[: 40 + number % 60])
+        async def act(wire: RawClient, number: int) -> None:
+            wire.send(encode_request(number)[: 40 + number % 60])
             await wire.read()
 
         with PATCH("shaletiller.net.connection_limits.REQUEST_TIMEOUT_MS", 100.0):
@@ -714,9 +718,11 @@
         No request may reach a node, and no connection or task may be left behind.
         """
 
-        async def act(wire: Wire, number: int) -> None:
+        async def act(wire: RawClient, number: int) -> None:
             wire.send(
-                ask(number, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1", Request_Timeout_Ms="5000")
+                encode_request(
+                    number, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1", Request_Timeout_Ms="5000"
+                )
             )
             if number % 2:
                 reset(wire.sock)
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -146,7 +146,7 @@
         await self.play("send c1 GET 1 timeout=9000\nexpect n1 GET 1\nclose c1\nexpect n1 closed")
         self.assertEqual(self.gateway.engine.exchanges, {})
 
-    async def test_an_answer_cut_in_its_body_is_a_reset(self) -> None:
+    async def test_a_response_truncated_in_its_body_fails_a_write(self) -> None:
         """A node's connection breaks within the body of its response to a write.
 
         The write may have run: the client must get a 502.
@@ -236,7 +236,7 @@
         first = (await asyncio.wait_for((await self.party("d")).came.get(), 0.2))[0]
         self.assertTrue(first.startswith("GET /discovery/hosts?since=2&"), first)
 
-    async def test_a_planned_stop_answers_what_is_held_and_goes_on_with_those_who_are_there(self) -> None:
+    async def test_a_graceful_shutdown_answers_requests_in_progress_and_serves_open_connections(self) -> None:
         """A graceful shutdown begins while a request is in progress.
 
         New connections are accepted for a while and open ones served until shortly before the end; every
@@ -259,7 +259,7 @@
         )
         await asyncio.wait_for(stop, PATIENCE_S)
 
-    async def test_a_planned_stop_answers_what_would_outlast_it(self) -> None:
+    async def test_a_graceful_shutdown_answers_requests_that_would_outlast_it(self) -> None:
         """Requests with deadlines beyond the end of the process are at nodes.
 
         A read must be rejected with a 503, and a write that may have run must fail with a 502, before the
@@ -302,7 +302,7 @@
         self.assertLess(time.monotonic() - started, 2.0)
         await self.play("send d n1=left\nwait 50\nsend c1 GET 1 timeout=300\nexpect c1 503")
 
-    async def test_a_kept_connection_needs_no_session_and_is_not_kept_past_its_node(self) -> None:
+    async def test_an_idle_connection_is_reused_on_the_fast_path_and_closed_with_its_node(self) -> None:
         """Requests reuse an idle connection, and then its node leaves the list.
 
         The fast path must serve them without aiohttp's session; after the last response the connection must
@@ -333,7 +333,7 @@
             (0, {}, {}, {}),
         )
 
-    async def test_a_kept_connection_is_used_again(self) -> None:
+    async def test_an_idle_connection_is_reused(self) -> None:
         """Three requests follow each other; all must use one connection to the node."""
         for number in range(3):
             await self.play(
@@ -341,7 +341,7 @@
             )
         self.assertEqual(len((await self.party("n1")).writers), 1)
 
-    async def test_a_kept_connection_that_the_node_closed_costs_no_request(self) -> None:
+    async def test_an_idle_connection_that_its_node_closed_fails_no_request(self) -> None:
         """A node closes an idle connection.
 
         The next write must go to a new connection, and be served.
@@ -411,7 +411,7 @@
         self.assertEqual((done.used, done.report), (1.0, (("inflight", 7.0),)))
 
 
-class Idle(Scenario):
+class IdleNodeConnections(Scenario):
     settings: ClassVar = {**SETTINGS, "limits": {**SETTINGS["limits"], "conn-idle-ms": 1000.0}}
 
     async def test_an_idle_node_connection_is_not_used_past_its_timeout(self) -> None:
@@ -524,7 +524,7 @@
             self.assertLess(time.monotonic() - started, 0.5)  # long before its time is up
 
 
-class Bounds(Scenario):
+class ConnectionLimits(Scenario):
     sockets = 64
 
     async def fill(self, lines: str) -> None:
@@ -533,7 +533,7 @@
         for number in range(self.gateway.config.client_sockets):
             await self.play(lines.replace("N", str(number)))
 
-    async def test_a_newcomer_waits_for_a_place_and_the_longest_idle_gives_way(self) -> None:
+    async def test_the_longest_idle_connection_is_evicted_for_a_newcomer(self) -> None:
         """All places are taken by idle clients and one whose response is pending.
 
         Newcomers must be served, the connections idle the longest evicted, and the pending response
@@ -604,7 +604,7 @@
         await self.play("send c999 GET up\nexpect c999 200")
         self.assertLess(time.monotonic() - started, 1.0)
 
-    async def test_what_the_kernel_still_holds_is_not_closed_upon(self) -> None:
+    async def test_a_connection_with_unread_input_is_not_evicted(self) -> None:
         """A connection that could be evicted has a request that is still unread.
 
         Another one must be evicted instead: a close would reset the request's connection.
@@ -633,7 +633,7 @@
         self.assertLessEqual(len(node.writers), most + 1)  # one may still be settling after its response
 
 
-class Rude(Scenario):
+class MisbehavingClients(Scenario):
     """Clients that misbehave: each gets its error or its end, and no one else is harmed."""
 
     async def test_a_silent_client_is_closed_and_a_slow_one_gets_an_error(self) -> None:
@@ -723,7 +723,7 @@
         await self.play("expect c1 503")
         self.assertLess(time.monotonic() - started, 0.3)
 
-    async def test_a_connection_whose_client_has_left_is_not_begun(self) -> None:
+    async def test_a_connection_whose_client_has_left_is_not_started(self) -> None:
         """Clients leave while their connections are in the accept queue.
 
         These must be closed without being started.
@@ -877,7 +877,7 @@
         self.assertGreater(max(waits), 1000.0)
 
 
-class Reload(Scenario):
+class DiscoveryReload(Scenario):
     async def environment(self) -> dict[str, str]:
         return {
             "EDGE_DISCOVERY": f"127.0.0.1:{self.parties['d'].port}"
@@ -904,7 +904,7 @@
         await asyncio.wait_for(third.next(), 0.2)
         self.assertEqual((old.came.qsize(), new.came.qsize()), (0, 0))
 
-    async def test_an_answer_of_the_address_before_is_left_out(self) -> None:
+    async def test_a_response_from_the_previous_address_is_ignored(self) -> None:
         """A full list is requested, discovery moves, and then the old address answers.
 
         That list may be older than the new one's, and must be ignored.
--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -16,7 +16,7 @@
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.policy import Scheduler
 from shaletiller.settings.decoder import read_settings
-from tests.net.test_endings import Endings, Wire, ask, cut
+from tests.net.test_endings import RaceScenario, RawClient, encode_request, reset_stream
 from tests.support.scenario import SETTINGS
 
 ROOT = Path(__file__).parent.parent.parent
@@ -85,7 +85,7 @@
 FATES = ("ok", "reset", "error", "not started", "cut", "no node", "silent")
 
 
-class OverSockets(Endings):
+class OverSockets(RaceScenario):
     """A day of requests of each class, plan and fate, in waves; what each gets, and how often it goes out."""
 
     async def day(self, renamed: bool) -> list[tuple[int, bytes, int]]:
@@ -99,11 +99,11 @@
             body = f"served {number}".encode()
             whole = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
             if fate == "reset":
-                cut(writer)
+                reset_stream(writer)
             elif fate == "cut":
                 writer.write(whole[:-3])
                 await writer.drain()
-                cut(writer)
+                reset_stream(writer)
             elif fate != "silent":
                 writer.write(
                     {
@@ -122,11 +122,11 @@
 
         async def one(number: int) -> tuple[int, bytes, int]:
             kind, tier, fate, tenant = plan[number]
-            wire = await Wire.open(self.gateway.front.address)
+            wire = await RawClient.open(self.gateway.front.address)
             write, shard = WRITES[kind], 7 if fate == "no node" else 1
             key = {"Idempotency_Key": f"k{number}"} if EFFECTS[kind] == "idempotency_key" else {}
             wire.send(
-                ask(
+                encode_request(
                     number,
                     "PUT" if write else "GET",
                     b"x" if write else b"",
@@ -165,7 +165,7 @@
         self.assertGreater(min(statuses.count(status) for status in (200, 502, 503)), 10)
 
 
-class LongDeadlines(Endings):
+class LongDeadlines(RaceScenario):
     """Classes to which a site gives minutes, or days, are served as any other."""
 
     settings: ClassVar[dict[str, Any]] = {
--- a/tests/replication/test_replication_adapters.py
+++ b/tests/replication/test_replication_adapters.py
@@ -42,8 +42,8 @@
         self.drained: list[bool] = []
         self.lists = EndpointListCache(self.port, self.restored.append, "g0")
         coordinator: Any = SimpleNamespace(fleet=SimpleNamespace(clock=SimpleNamespace(now=int)))
-        ejections: Any = SimpleNamespace(held=frozenset())
-        switch: Any = SimpleNamespace(drain=self.drained.append)
+        ejections: Any = SimpleNamespace(nodes=frozenset())
+        switch: Any = SimpleNamespace(set_draining=self.drained.append)
         self.commands = ReplicatedCommands(self.port, coordinator, ejections, switch, self.clock, "g0")
 
     def start(self) -> None:
