--- a/Makefile
+++ b/Makefile
@@ -24,6 +24,7 @@
 	$(BIN)/python -m pytest -q
 
 lint: dev
+	$(BIN)/ruff format --check --quiet shaletiller tests
 	$(BIN)/ruff check shaletiller tests
 	$(BIN)/mypy
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -93,7 +93,8 @@
     reader = EnvelopeReader(GROUP, 0, 5)
     writer = EnvelopeWriter(GROUP, 3, INCARNATION)
     first, second = (writer.write(1, [encode(Ping(n, 0))]) for n in range(2))
-    assert reader.read(second) and reader.read(first)  # reordering is no fault
+    assert reader.read(second)
+    assert reader.read(first)
     for raw, reason in (
         (first, "replayed"),
         (second, "replayed"),
@@ -126,7 +127,8 @@
     """
     raw = envelope(b"\x92\x63\x01", encode(Ping(1, 2)))  # tag 99
     received = EnvelopeReader(GROUP, 0, 5).read(raw)
-    assert received is not None and received.messages == [Ping(1, 2)]
+    assert received is not None
+    assert received.messages == [Ping(1, 2)]
 
 
 class SendRecorder:
@@ -281,7 +283,8 @@
         "s-1", HealthKind.WARMING_UP, 1, 6, timestamp_of(INCARNATION), INCARNATION + 60_000, 1
     )
     gossip.merge(newer, INCARNATION)
-    assert set(gossip) == {newer} and ("s-1", HealthKind.UNREACHABLE) in changed
+    assert set(gossip) == {newer}
+    assert ("s-1", HealthKind.UNREACHABLE) in changed
     assert not gossip.merge(RECORD, INCARNATION)
 
 
@@ -295,7 +298,8 @@
     assert gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 2, INCARNATION) is None
     gossip.merge(unreachable(3, 0, 4_000), INCARNATION)
     agreed = gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 2, INCARNATION)
-    assert agreed is not None and agreed.expires_ms == INCARNATION + 4_000  # as long as there are two
+    assert agreed is not None
+    assert agreed.expires_ms == INCARNATION + 4_000
     gossip.merge(unreachable(3, 1, 9_000, value=0), INCARNATION)
     assert gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 2, INCARNATION) is None
 
@@ -590,7 +594,8 @@
     member = LeaseMember(me=1 - granter)
     (pledge,) = member.request_pledge(granter, 9, 10_000.0)
     assert member.base.rate == pytest.approx(50.0 - pledge.rate / 1000)
-    assert member.quotas and pledge.rate > 0
+    assert member.quotas
+    assert pledge.rate > 0
     member.leases.tick(12_019.0)
     assert member.base.rate < 2.0
     member.leases.tick(12_021.0)
@@ -657,7 +662,8 @@
     grant = LeaseGrant("v:1", request.nonce, 50_000, 20_000, 1_000)
     member.leases.receive(granter, 9, grant, 10_900.0)
     expires_ms, allowance = member.quotas[-1].steps[0]
-    assert allowance.rate == 100.0 and expires_ms <= 10_000.0 + 40.0 + 990.0
+    assert allowance.rate == 100.0
+    assert expires_ms <= 10_000.0 + 40.0 + 990.0
     before = len(member.quotas)
     member.leases.receive(granter, 9, grant, 11_100.0)
     assert len(member.quotas) == before
@@ -770,7 +776,8 @@
     member, table = LeaseMember(me=me, members=3, alive=(0, 1, 2)), TableRecorder()
     member.leases.use_table(table)
     member.request_lease(holder, 1, 10_000.0)
-    assert table.calls == [("v:1", None)] and not member.sent
+    assert table.calls == [("v:1", None)]
+    assert not member.sent
     member.leases.on_table_acquired("v:1", GranterId(owner, 7), Allowance(10.0, 4.0), 10_000.0, 10_020.0)
     request = member.pledge_request_to(owner)
     assert (request.previous_granter, request.previous_granter_incarnation) == (owner, 7)
--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -52,7 +52,8 @@
     host.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0))))
     host.run_to(10_000)
     host.request("none", units=2, volume_gateways=1)
-    assert host.finals("none") and not host.sent()
+    assert host.finals("none")
+    assert not host.sent()
     lease = ExpiringAllowance(20_000.0, Allowance(10.0, 16.0))
     host.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0), (lease,))))
     host.run_to(11_000)
@@ -71,7 +72,8 @@
     host.run_to(1_900)
     host.now = 30_000.0
     host.request("late", units=1, volume_gateways=1)
-    assert host.finals("late") and not host.sent()
+    assert host.finals("late")
+    assert not host.sent()
 
 
 def test_a_warming_node_is_sent_as_much_as_the_quota_allows() -> None:
@@ -235,7 +237,8 @@
         three.third.events_before(attempt("n1", Outcome.TIMEOUT), 1_200.0 + n)
     three.deliver(1_210.0)
     report = three.reports_down()[-1]
-    assert report.node == "n1" and 3_000.0 < report.down_until_ms < 5_000.0
+    assert report.node == "n1"
+    assert 3_000.0 < report.down_until_ms < 5_000.0
     three.third.events_before(attempt("n1", Outcome.OK), 1_900.0)
     three.deliver(1_910.0)
     assert three.reports_down()[-1].down_until_ms == 0.0
@@ -340,9 +343,11 @@
     path = tmp_path / "operator.kdl"
     path.write_text(GOOD)
     fleet = read_operator_file(path).fleet
-    assert fleet.on and [each.name for each in fleet.member] == ["g0", "g1"]
+    assert fleet.on
+    assert [each.name for each in fleet.member] == ["g0", "g1"]
     timing = fleet.options(2).lease_timing
-    assert timing is not None and (timing.term_ms, fleet.limit[0].policy) == (4_000.0, "available")
+    assert timing is not None
+    assert (timing.term_ms, fleet.limit[0].policy) == (4_000.0, "available")
     path.write_text("")
     assert not read_operator_file(path).fleet.on
 
@@ -374,7 +379,8 @@
     path.write_text(GOOD.replace(old, new, 1))
     with pytest.raises(OperatorFileError) as error:
         read_operator_file(path)
-    assert "operator.kdl: " in str(error.value) and message in str(error.value)
+    assert "operator.kdl: " in str(error.value)
+    assert message in str(error.value)
 
 
 def test_the_start_reports_what_is_wrong_with_the_file(tmp_path: Path) -> None:
@@ -394,7 +400,8 @@
     with pytest.raises(ConfigError, match=r"fleet\.me: no member 'g9'"):
         read_config(env)
     operator = read_config({**env, "EDGE_NAME": "g1"}).operator
-    assert operator is not None and operator.fleet.on
+    assert operator is not None
+    assert operator.fleet.on
     with pytest.raises(ConfigError, match="cannot be read"):
         read_config({**env, "EDGE_OPERATOR": str(tmp_path / "none.kdl")})
     assert read_config({"EDGE_CONFIG": str(config)}).operator is None
@@ -481,4 +488,5 @@
     link = Link(("127.0.0.1", 1), random.Random(1))
     for number in range(MAX_QUEUED_MESSAGES + 5):
         link.send(str(number).encode())
-    assert link.dropped == 5 and link._queue[0] == b"5"
+    assert link.dropped == 5
+    assert link._queue[0] == b"5"
--- a/tests/fleet/test_fleet_guards.py
+++ b/tests/fleet/test_fleet_guards.py
@@ -186,6 +186,7 @@
 
 def test_a_study_is_summarized_in_lines() -> None:
     found = study(4, 2, 3, [3])
-    assert found["schedules"]["schedules"] == 2 and found["schedules"]["broken"] == 0
+    assert found["schedules"]["schedules"] == 2
+    assert found["schedules"]["broken"] == 0
     assert lines(found)[0].startswith("ok 2 schedules of 4 gateways")
     assert len(lines(found)) == 3
--- a/tests/fleet/test_fleet_process.py
+++ b/tests/fleet/test_fleet_process.py
@@ -36,7 +36,8 @@
     assert named == ["over the strict limit", "staleness of the ban of n4", "writes run twice", "unanswered"]
     assert out.figures["units_limited"] > fleet_scenarios.LIMIT.rate * SECONDS / 4  # and it was used
     for stats in out.figures["stats"].values():
-        assert stats["edge.fleet.members"] == 5 and stats["edge.fleet.received"] > 0
+        assert stats["edge.fleet.members"] == 5
+        assert stats["edge.fleet.received"] > 0
 
 
 def test_the_command_reports_its_findings_and_exits_with_the_result(tmp_path: Path) -> None:
@@ -62,7 +63,8 @@
     )
     assert found.returncode == 0, found.stdout + found.stderr
     report = json.loads(path.read_text())
-    assert report["kept"] and all(each["kept"] for each in report["guarantees"])
+    assert report["kept"]
+    assert all(each["kept"] for each in report["guarantees"])
     assert "over the strict limit" in found.stdout
     wrong = subprocess.run(
         [sys.executable, "-m", "shaletiller.lab", "fleet", "--faults", "nonsense"],
@@ -71,7 +73,8 @@
         text=True,
         timeout=60,
     )
-    assert wrong.returncode == 2 and "there are cut-one-way" in wrong.stderr
+    assert wrong.returncode == 2
+    assert "there are cut-one-way" in wrong.stderr
 
 
 def test_a_violated_guarantee_fails_the_run() -> None:
--- a/tests/registry/test_nodes.py
+++ b/tests/registry/test_nodes.py
@@ -326,7 +326,8 @@
         verdicts = HealthGossip(lambda said: None)
         for each in order:
             verdicts.merge(each, 0.0)
-        assert verdicts.departure_record("n1") == newer and len(verdicts) == 1
+        assert verdicts.departure_record("n1") == newer
+        assert len(verdicts) == 1
     verdicts.merge(HealthRecord("n1", int(HealthKind.WARMING_UP), 3, 8, 1, 10_000, 1), 0.0)
     assert verdicts.departure_record("n1") is None  # a newer life of the node ends it
 
