--- a/shaletiller/adapter.py
+++ b/shaletiller/adapter.py
@@ -185,10 +185,10 @@
 }
 
 
-Happening = tuple[str, Any]  # an event's name on the wire, and what it was read into
+WireEvent = tuple[str, Any]  # an event's name on the wire, and what it was read into
 
 
-def read_batch(line: str) -> tuple[float, list[tuple[str, list[Happening]]]]:
+def read_batch(line: str) -> tuple[float, list[tuple[str, list[WireEvent]]]]:
     """Read a line: all of it is read before any of it is acted on.
 
     :returns: the clock in milliseconds and, for each instance, its events.
@@ -199,7 +199,7 @@
         now_ms = float(batch["time-ms"])
         groups = []
         for group in batch.get("groups") or []:
-            groups.append((group["host"], [_happening(each) for each in group.get("happened") or []]))
+            groups.append((group["host"], [_read_event(each) for each in group.get("happened") or []]))
         return now_ms, groups
     except json.JSONDecodeError as error:
         raise WireError(f"not a line of JSON: {error}") from error
@@ -209,7 +209,7 @@
         raise WireError(f"value out of place: {error}") from error
 
 
-def _happening(values: list[Any]) -> Happening:
+def _read_event(values: list[Any]) -> WireEvent:
     """Read an event; an unknown one is read into None, and skipped."""
     kind, rest = values[0], values[1:]
     if kind == "Up":
@@ -225,7 +225,7 @@
         """Start without instances."""
         self._schedulers: dict[str, Scheduler] = {}
 
-    def _handle(self, now_ms: float, host: str, happened: list[Happening]) -> list[list[Any]]:
+    def _handle(self, now_ms: float, host: str, happened: list[WireEvent]) -> list[list[Any]]:
         output: list[list[Any]] = []
         for kind, value in happened:
             if kind == "Up":
--- a/shaletiller/policy/dispatch.py
+++ b/shaletiller/policy/dispatch.py
@@ -101,7 +101,7 @@
         upstream = pending.upstream
         pending.queued = False
         if pending.attempts_started:
-            if not self.retries.allows(pending):
+            if not (self.retries.idempotency_allows(pending) and self.retries.budget_allows()):
                 self.completion.give_up(pending)
                 return
             self.retries.record_retry()
--- a/shaletiller/policy/endpoint_table.py
+++ b/shaletiller/policy/endpoint_table.py
@@ -12,6 +12,9 @@
 from shaletiller.state.records import Upstream
 from shaletiller.state.runtime import PolicyState
 
+# A drain may be noticed late by as many rounds: work for the node stops so long before its grace time is up.
+DRAIN_MARGIN_ROUNDS = 2
+
 
 class EndpointTable:
     """The endpoint list as this gateway knows it, and the upstream of each shard.
@@ -53,7 +56,7 @@
         :param notified_ms: when the drain was announced at the earliest.
         """
         settings, site = self._state.site.settings, self._state.site
-        margin_ms = settings.connect_timeout_ms + 2 * site.round_ms
+        margin_ms = settings.connect_timeout_ms + DRAIN_MARGIN_ROUNDS * site.round_ms
         until_ms = notified_ms + settings.drain_grace_ms - margin_ms
         draining = {node for node, entry in self._endpoints.items() if entry.state is EndpointState.DRAINING}
         for node in draining - self._draining_until_ms.keys():
@@ -97,12 +100,9 @@
                 moved = WriteLog(f"shard {upstream.shard}: node {upstream.node} -> {node}")
                 self._state.actions.append(moved)
             upstream.migrate_to(node, self._state.attempts.values())
-        if entry and self._is_warming_up(entry):
-            upstream.warming_up_since_ms = entry.started_ms
-
-    def _is_warming_up(self, entry: EndpointEntry) -> bool:
-        age_ms = self._state.now_ms - entry.started_ms
-        return entry.started_ms > 0 and age_ms < self._state.site.settings.slow_start_ms
+        started_ms = entry.started_ms if entry else 0.0
+        if started_ms > 0 and self._state.now_ms - started_ms < self._state.site.settings.slow_start_ms:
+            upstream.warming_up_since_ms = started_ms
 
     def upstream_for(self, shard: int) -> Upstream:
         """Return the upstream of a shard; a new object (shard below 0) may go to any."""
--- a/shaletiller/policy/latency_threshold.py
+++ b/shaletiller/policy/latency_threshold.py
@@ -16,6 +16,7 @@
 # An attempt is overdue after so many times the expected latency of its class.  Empirical: fewer hedge sooner,
 # more hedge less work that is only slow.
 EXPECTED_LATENCIES = 4.0
+NODE_LATENCIES = 2.0  # and after so many times the latency of its node, where that is longer
 # The attempt timeout doubles at most so often while a node does not respond: later than any deadline.
 MAX_DOUBLINGS = 10
 
@@ -55,6 +56,6 @@
     By the expected latency of its class and node, doubled with each attempt overdue since its last response.
     """
     upstream = pending.upstream
-    usual_ms = max(EXPECTED_LATENCIES * latency.expected_ms(pending), 2 * upstream.latency_ms)
+    usual_ms = max(EXPECTED_LATENCIES * latency.expected_ms(pending), NODE_LATENCIES * upstream.latency_ms)
     doublings = min(upstream.overdue_streak, MAX_DOUBLINGS)
     return float((usual_ms or pending.spec.latency_objective_ms) * 2**doublings)
--- a/shaletiller/policy/payoff.py
+++ b/shaletiller/policy/payoff.py
@@ -13,6 +13,8 @@
 REJECTION_COST = 0.0
 # Probabilities are computed relative to each other; larger figures are scaled down, or they would overflow.
 OVERFLOW_GUARD, SCALE_DOWN = 1e200, 1e-200
+# The least gain a unit for which a slot is given: less is rounding, and the split would never end.
+MIN_GAIN = 1e-9
 
 
 @lru_cache(maxsize=1 << 13)
@@ -43,12 +45,10 @@
     return served, chance[top] / total
 
 
-def payoff_rate(
-    arrival_rate: float, batch_rate: float, slots: int, rounds: int, priority_weight: float
-) -> float:
+def payoff_rate(arrival_rate: float, batch_rate: float, slots: int, rounds: int, weight: float) -> float:
     """Return what a queue earns a second with so many slots (equations 4 and 5 of the paper)."""
     served, full = batch_queue(arrival_rate, batch_rate, slots, rounds)
-    return priority_weight * served - REJECTION_COST * arrival_rate * full
+    return weight * served - REJECTION_COST * arrival_rate * full
 
 
 @dataclass(slots=True)
@@ -71,15 +71,13 @@
 
     def next_slot(at: int) -> tuple[float, float]:
         """Return the payoff of a demand with one slot more, and the gain for each of its units."""
-        demand = demands[at]
-        rate = payoff_rate(
-            demand.arrival_rate, batch_rate, slots[at] + 1, demand.rounds, demand.priority_weight
-        )
-        return rate, (rate - payoffs[at]) / demand.units
+        of = demands[at]
+        rate = payoff_rate(of.arrival_rate, batch_rate, slots[at] + 1, of.rounds, of.priority_weight)
+        return rate, (rate - payoffs[at]) / of.units
 
     candidates = {at: next_slot(at) for at, demand in enumerate(demands) if demand.arrival_rate > 0}
     while True:
-        best, best_gain = -1, 1e-9
+        best, best_gain = -1, MIN_GAIN
         for at, (_, gain) in candidates.items():
             if gain > best_gain and demands[at].units <= free:
                 best, best_gain = at, gain
--- a/shaletiller/policy/retries.py
+++ b/shaletiller/policy/retries.py
@@ -33,10 +33,6 @@
             counted.add(self._state.now_ms)
             counted.forget(self._state.now_ms, settings.retry_budget_window_ms)
 
-    def allows(self, pending: PendingRequest) -> bool:
-        """Whether a request may be sent again now."""
-        return self.idempotency_allows(pending) and self.budget_allows()
-
     def idempotency_allows(self, pending: PendingRequest) -> bool:
         """Whether its work would not be done twice: what may have run is only repeated where it is discarded.
 
