--- a/shaletiller/policy/admission.py
+++ b/shaletiller/policy/admission.py
@@ -17,6 +17,9 @@
 from shaletiller.state.runtime import PolicyState
 from shaletiller.state.tiers import QueueKey, Tier
 
+# A request that no node has received by this part of its time is given up: its client has the rest to retry.
+UNREACHED_PART = 0.5
+
 
 @dataclass(slots=True, eq=False)
 class Admission:
@@ -38,7 +41,7 @@
         state, spec = self.state, self.state.site.class_specs[request.request_class]
         volume = state.volumes.for_request(request, state.now_ms, state.started_ms)
         upstream = self.endpoints.upstream_for(request.shard)
-        pending = PendingRequest.create(request, spec, volume, upstream, state.now_ms)
+        pending = PendingRequest.create(request, spec, volume, upstream, state.now_ms, UNREACHED_PART)
         state.pending[pending.id] = pending
         if not self.limits.rate_limit_allows(pending):
             self.completion.give_up(pending)
--- a/shaletiller/policy/endpoint_table.py
+++ b/shaletiller/policy/endpoint_table.py
@@ -96,9 +96,8 @@
         entry = max(candidates, key=lambda each: (each.started_ms, each.node)) if candidates else None
         node = entry.node if entry else None
         if node != upstream.node:
-            if upstream.node:
-                moved = WriteLog(f"shard {upstream.shard}: node {upstream.node} -> {node}")
-                self._state.actions.append(moved)
+            line = f"shard {upstream.shard}: node {upstream.node} -> {node}"
+            self._state.actions += [WriteLog(line)] if upstream.node else []
             upstream.migrate_to(node, self._state.attempts.values())
         started_ms = entry.started_ms if entry else 0.0
         if started_ms > 0 and self._state.now_ms - started_ms < self._state.site.settings.slow_start_ms:
--- a/shaletiller/policy/outcomes.py
+++ b/shaletiller/policy/outcomes.py
@@ -131,12 +131,12 @@
     def _hedge(self, attempt: Attempt, number: int) -> None:
         """Send a hedged request beside an attempt, which counts as executed; or cancel the attempt first.
 
-        Where the site allows no hedging, the outcome of the cancelled attempt brings its retry.
+        As in "The Tail at Scale" (J. Dean, L. Barroso, 2013).  Without hedging the outcome of the cancelled
+        attempt brings its retry.
         """
         pending, settings = attempt.pending, self.state.site.settings
-        if pending.attempts_started >= settings.max_attempts or not self.retries.budget_allows():
-            return
-        if pending.spec.effect is Idempotency.UNSAFE:
+        spent = pending.attempts_started >= settings.max_attempts or not self.retries.budget_allows()
+        if spent or pending.spec.effect is Idempotency.UNSAFE:
             return
         if not settings.hedging_allowed:
             if settings.cancellation_allowed:
--- a/shaletiller/policy/retries.py
+++ b/shaletiller/policy/retries.py
@@ -56,9 +56,9 @@
         return first.sent_ms + pending.spec.key_ttl_ms - self._state.now_ms if first else math.inf
 
     def budget_allows(self) -> bool:
-        """Retry budget: retries within the window are at most a free number and a share of the requests.
+        """Retry budget (as Finagle's): retries are at most a free number and a share of the requests.
 
-        Counted for this gateway alone.  Without a budget the attempts of each request are bounded alone.
+        Counted within a window, for this gateway alone.
         """
         settings, now_ms = self._state.site.settings, self._state.now_ms
         if settings.retry_budget_free is None:
--- a/shaletiller/policy/slow_start.py
+++ b/shaletiller/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: this gateway's part of the warm-up budget of a node that has just started."""
+"""Slow start, as of load balancers (HAProxy, Envoy): this gateway's part of a starting node's budget."""
 
 from __future__ import annotations
 
@@ -10,10 +10,7 @@
 
 
 def finish_slow_start(upstream: Upstream, settings: Settings, now_ms: float) -> bool:
-    """End the slow start of a node once its time is over.
-
-    :returns: whether it has ended with this call.
-    """
+    """End the slow start of a node once its time is over; return whether it ended now."""
     started_ms = upstream.warming_up_since_ms
     if started_ms is None or now_ms - started_ms < settings.slow_start_ms:
         return False
--- a/shaletiller/state/records.py
+++ b/shaletiller/state/records.py
@@ -17,8 +17,6 @@
 # The mix of classes in a volume's demand is taken over about so many requests.  Empirical: fewer follow a
 # change of the mix sooner, more let a class that is asked for rarely keep its headroom.
 VOLUME_DEMAND_REQUESTS = 64
-# A request that no node has received by this part of its time is given up: its client has the rest to retry.
-UNREACHED_PART = 0.5
 
 
 def _volume_demand() -> DecayingShares:
@@ -148,9 +146,18 @@
 
     @classmethod
     def create(
-        cls, request: Request, spec: ClassSpec, volume: VolumeState, upstream: Upstream, now_ms: float
+        cls,
+        request: Request,
+        spec: ClassSpec,
+        volume: VolumeState,
+        upstream: Upstream,
+        now_ms: float,
+        unreached_part: float,
     ) -> PendingRequest:
-        """Create the record of a request that arrives now."""
+        """Create the record of a request that arrives now.
+
+        :param unreached_part: the part of its time in which a node has to receive it.
+        """
         time_left_ms = request.deadline_in_ms
         return cls(
             id=request.request,
@@ -162,7 +169,7 @@
             queue=upstream.queues[QueueKey(spec.name, Tier.RESERVED)],
             deadline_ms=now_ms + time_left_ms,
             latency_objective_due_ms=now_ms + min(spec.latency_objective_ms, time_left_ms),
-            unreached_deadline_ms=now_ms + time_left_ms * UNREACHED_PART,
+            unreached_deadline_ms=now_ms + time_left_ms * unreached_part,
         )
 
     def return_tokens(self) -> None:
--- a/shaletiller/state/site.py
+++ b/shaletiller/state/site.py
@@ -11,6 +11,7 @@
 # A scheduling round lasts this part of the tightest latency objective: a request that waits for the next
 # round still has half of its objective left for the node.
 ROUND_PART = 0.5
+MIN_VALUE = 1e-9  # of the highest value, where all weights are 0: values are divided by it
 
 
 class SiteSettings:
@@ -45,7 +46,7 @@
             self._queue_spec(spec, tier, weight) for spec in classes for tier, weight in tier_weights.items()
         )
         top = max(spec.priority_weight for spec in settings.classes) * max(tier_weights.values())
-        self.highest_value = max(top * max(plan.value_factor for plan in settings.plans), 1e-9)
+        self.highest_value = max(top * max(plan.value_factor for plan in settings.plans), MIN_VALUE)
 
     def _queue_spec(self, spec: ClassSpec, tier: Tier, tier_weight: float) -> QueueSpec:
         return QueueSpec(
