--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -16,7 +16,7 @@
 )
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.settings.model import DeduplicationScope, Idempotency
-from tests.support.scheduler_host import PLAN, SAFE, ScriptedGateway, entry, kinds, settings
+from tests.support.scheduler_host import PLAN, SAFE, ScriptedGateway, actions_of_type, entry, settings
 
 O = Outcome  # noqa: E741
 UNSAFE = replace(SAFE, effect=Idempotency.UNSAFE)
@@ -45,7 +45,7 @@
     gateway = ScriptedGateway()
     gateway.request("r1")
     gateway.run_to(1200)
-    assert len(kinds(gateway.end_attempt("r1", O.TIMEOUT), Reject, Fail)) == 1
+    assert len(actions_of_type(gateway.end_attempt("r1", O.TIMEOUT), Reject, Fail)) == 1
 
 
 def test_an_unsafe_request_that_may_have_run_is_failed_and_not_sent_again() -> None:
@@ -232,7 +232,7 @@
     gateway = ScriptedGateway(subscribed=True, poll_within_ms=4000.0)
     assert any(isinstance(a, WatchEndpoints) for _, a in gateway.log)
     gateway.handle(EndpointListUpdate(UpdateKind.FAILED))
-    assert kinds(gateway.run_to(4000), WatchEndpoints)
+    assert actions_of_type(gateway.run_to(4000), WatchEndpoints)
 
 
 def test_a_response_that_has_started_is_left_to_the_client() -> None:
@@ -253,7 +253,7 @@
     It is sent to one of the ready nodes.
     """
     gateway = ScriptedGateway(entry("n1", 0), entry("n2", 1))
-    assert kinds(gateway.request("r1", shard=-1), SendAttempt)
+    assert actions_of_type(gateway.request("r1", shard=-1), SendAttempt)
 
 
 def test_unknown_requests_and_nodes_are_ignored() -> None:
@@ -262,9 +262,9 @@
     They change nothing and raise nothing.
     """
     gateway = ScriptedGateway()
-    assert kinds(gateway.end_attempt("never", O.OK), SendAttempt, Reject, Fail) == []
+    assert actions_of_type(gateway.end_attempt("never", O.OK), SendAttempt, Reject, Fail) == []
     assert gateway.handle(ClientDisconnected("never")) == []
-    assert kinds(gateway.handle(HealthCheckEnded("nowhere", O.OK, 3.0)), SendAttempt) == []
+    assert actions_of_type(gateway.handle(HealthCheckEnded("nowhere", O.OK, 3.0)), SendAttempt) == []
 
 
 def test_same_events_same_actions() -> None:
--- a/tests/support/scheduler_host.py
+++ b/tests/support/scheduler_host.py
@@ -128,6 +128,6 @@
         return [a for _, a in self.log if isinstance(a, Reject | Fail) and a.request == name]
 
 
-def kinds(actions: list[Action], *types: type) -> list[Action]:
+def actions_of_type(actions: list[Action], *types: type) -> list[Action]:
     """The actions of these types."""
     return [action for action in actions if isinstance(action, types)]
