--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -1,45 +1,57 @@
-"""One gateway put together: start, run, and a planned stop."""
+"""One gateway: its parts put together, started, reloaded and shut down."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 import msgspec
 
 from shaletiller.clock import Clock
-from shaletiller.config import Config, ConfigError, ServerList, read_address
-from shaletiller.core import metrics
+from shaletiller.config import Config, ConfigError, ServerList, ServerRow, read_address
 from shaletiller.core.engine import Engine
+from shaletiller.core.interfaces import UpstreamClient
 from shaletiller.core.manual_ejection import ManualEjections
-from shaletiller.core.model import UpstreamClient
+from shaletiller.gateway_services import GatewayServices
+from shaletiller.messages.endpoints import EndpointState
 from shaletiller.messages.events import PeerMessageReceived
-from shaletiller.net.admin import Admin, Refused
-from shaletiller.net.discovery import Discovery
+from shaletiller.net.admin import AdminServer
+from shaletiller.net.discovery import DiscoveryClient
 from shaletiller.net.http_server import HttpServer
 from shaletiller.net.http_upstream import HttpUpstreamClient
-from shaletiller.net.peers import Peers
+from shaletiller.net.peers import PeerEndpoint
+from shaletiller.operator_calls import OperatorCalls
+from shaletiller.registry.endpoint_registry import EndpointRegistry
+from shaletiller.settings.model import Settings
 
 if TYPE_CHECKING:
     from shaletiller.net.fleet import FleetAgent
-    from shaletiller.net.nvme.server import NvmeFront
+    from shaletiller.net.nvme.target import NvmeTarget
     from shaletiller.net.nvme.upstream import NvmeUpstreamClient
-    from shaletiller.net.replication import ReplicationAgent
-    from shaletiller.telemetry.otlp import Otlp
+    from shaletiller.net.replication.agent import ReplicationAgent
+    from shaletiller.telemetry.otlp import OtlpExporter
 
 logger = logging.getLogger(__name__)
 
-KEEP_ACCEPTING_S = 0.75  # after SIGTERM: new connections still come for a while
-# A process may be killed so long after SIGTERM and its longest deadline, which counts as so much at the most.
-KEEP_ACCEPTING_MS, MOST_GRACE_MS = 700.0, 3000.0
-SPARE_MS = 250.0  # before that
-WATCH_S = 0.02
-BANS_S = 0.2  # how often the bans that the other process of the gateway may have written are looked at
-# What a reload leaves as it was.
-FIXED_KEYS = (
+# How long new connections are still accepted after SIGTERM: the platform goes on opening them for 0.2 to 0.4
+# s.  Empirical beyond that: twice as long allows for a slow machine, and delays the end of the process.
+ACCEPT_AFTER_SIGTERM_S = 0.75
+# The platform's SIGKILL comes no sooner after SIGTERM than the longest deadline of a request, which counts as
+# so much at most, and so much more.
+MAX_KILL_DEADLINE_MS = 3000.0
+KILL_GRACE_MS = 700.0
+# The shutdown ends so long before SIGKILL.  Empirical: it leaves time for the last responses to arrive, at
+# the expense of requests that are still in flight.
+KILL_MARGIN_MS = 250.0
+SHUTDOWN_POLL_S = 0.02  # empirical: how often the shutdown looks whether clients are still served
+# How often the file of manual ejections is read again: the gateway's other process may have written it while
+# one replaces the other.  Empirical: operators notice no delay, and a `stat` costs next to nothing.
+EJECTIONS_POLL_S = 0.2
+# Keys of the configuration that a reload leaves as they were: their sockets and parts are made at the start.
+RESTART_KEYS = (
     "name",
     "listen",
     "limits",
@@ -55,275 +67,305 @@
 
 
 class Gateway:
+    """One gateway put together: its servers, upstream clients, engine and operators' calls.
+
+    Parts that the configuration switches off are None and their modules are not loaded: forty gateways that
+    start at the same time on one core would share the cost.
+
+    :param clock: real time by default.
+    """
+
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config = config
         self._clock = clock or Clock()
-        self.engine = Engine(config.settings, config.seed, self._clock)
-        self.telemetry: Otlp | None = None
-        # Shared by all nodes that speak HTTP: what is kept for one node would add up over those that go.
-        self._http = HttpUpstreamClient(config.settings, config.back_sockets // (2 if config.nvme.box else 1))
-        a_box = config.back_sockets // 2 // max(1, len(config.nvme.box))
-        self._boxes = self._nvme_boxes(a_box)
-        self.discovery = Discovery(
-            config.discovery, config.known, self._back_of, self.engine.nodes, config.seed, self._clock.now_ms
+        self._stopping = False
+        self._discovery_watch: asyncio.Task[None] | None = None
+        self._longest_deadline_ms = longest_deadline_ms(config.settings)
+        self.reload_counts = {"applied": 0, "rejected": 0}
+        self.engine = Engine(config.settings, config.seed, self._clock, GatewayServices(self))
+        self.telemetry: OtlpExporter | None = None
+        # One client for all nodes that speak HTTP: sockets reserved for each node would add up over those
+        # that leave.
+        http_sockets = config.upstream_sockets // (2 if config.nvme.upstreams else 1)
+        self._http = HttpUpstreamClient(config.settings, http_sockets)
+        self._nvme_clients = self._make_nvme_clients()
+        self.discovery = DiscoveryClient(
+            config.discovery,
+            config.known,
+            self._upstream_client,
+            self.engine.update_endpoints,
+            config.seed,
+            self._clock.now_ms,
+            EndpointRegistry(self._publish_departure),
+            self._publish_endpoint_list,
         )
         self.discovery.retune(config.settings)
-        self.front = HttpServer(self.engine, config.front_sockets, lambda: self.discovery.held, self._clock)
-        self.fleet = self._fleet_port()
-        self.peers = Peers(
+        self.front = HttpServer(self.engine, config.client_sockets, lambda: self.discovery.ready, self._clock)
+        self.fleet = self._make_fleet_agent()
+        self.peers = PeerEndpoint(
             config.peers,
             config.peers_all,
-            self._heard,
+            self._receive_peer_message,
             self.fleet.receive if self.fleet is not None else None,
         )
-        self.engine.tell = self.peers.tell
-        self.engine.fetch_list = lambda: self.engine.spawn(self.discovery.fetch())
-        self.nvme = self._nvme_front()
-        self._watch: asyncio.Task[None] | None = None
-        self._longest_ms = max(spec.deadline_ms for spec in config.settings.classes)
-        self._stopping = False
-        self.sighup = {"applied": 0, "rejected": 0}
-        bans = Path(config.state_dir) / f"shaletiller-{config.name or 'gateway'}-bans.json"
-        self.bans = ManualEjections(bans, lambda moved: self.engine.ban(self.bans.held, moved))
-        self.promises = self._promise_port()
-        self.admin = (
-            Admin(
-                {
-                    "READY": self._ready,
-                    "STATS": self._stats,
-                    "DISABLE": self._disable,
-                    "ENABLE": self._enable,
-                    "DRAIN": lambda words: self._drain(True),
-                    "UNDRAIN": lambda words: self._drain(False),
-                }
-            )
-            if config.admin
-            else None
-        )
-
-    # ---- NVMe over TCP: loaded only where it is configured, for it takes CPU at the start
-
-    def _nvme_boxes(self, sockets: int) -> dict[str, NvmeUpstreamClient]:
-        if not self.config.nvme.box:
+        self.nvme = self._make_nvme_target()
+        ejections_file = Path(config.state_dir) / f"shaletiller-{config.name or 'gateway'}-bans.json"
+        self.ejections = ManualEjections(ejections_file, self._apply_ejections)
+        self.replication = self._make_replication_agent()
+        self.admin = self._make_admin_server()
+
+    # ---- the parts that a configuration may switch off
+
+    def _make_nvme_clients(self) -> dict[str, NvmeUpstreamClient]:
+        """The clients of the storage nodes that speak NVMe over TCP, by node."""
+        upstreams = self.config.nvme.upstreams
+        if not upstreams:
             return {}
         from shaletiller.net.nvme.upstream import NvmeUpstreamClient
 
+        sockets = self.config.upstream_sockets // 2 // len(upstreams)
         return {
-            box.node: NvmeUpstreamClient(box, self.config.settings, sockets) for box in self.config.nvme.box
+            upstream.node: NvmeUpstreamClient(upstream, self.config.settings, sockets)
+            for upstream in upstreams
         }
 
-    def _fleet_port(self) -> FleetAgent | None:
+    def _make_nvme_target(self) -> NvmeTarget | None:
+        if not self.config.nvme.target.listen:
+            return None
+        from shaletiller.net.nvme.target import NvmeTarget
+
+        return NvmeTarget(self.config.nvme.target, self.engine)
+
+    def _make_fleet_agent(self) -> FleetAgent | None:
         operator = self.config.operator
         if operator is None or not operator.fleet.on:
             return None
         from shaletiller.net.fleet import FleetAgent
 
-        port = FleetAgent(self.config, operator.fleet, self.engine, self._clock)
-        self.discovery.book.departed = port.listed
-        port.hear_lists(self.discovery.others_say)
-        return port
+        agent = FleetAgent(
+            self.config, operator.fleet, self.engine, self._clock, self.discovery.apply_peer_report
+        )
+        return agent
 
-    def _promise_port(self) -> ReplicationAgent | None:
+    def _make_replication_agent(self) -> ReplicationAgent | None:
         operator = self.config.operator
         if operator is None or self.fleet is None or not operator.promises.on:
             return None
-        from shaletiller.net.replication import ReplicationAgent
-
-        port = ReplicationAgent(operator, self.fleet, self.engine, self._clock, self.config.name, self.bans)
-        port.listed = self._listed
-        port.drained = self.front.drain
-        self.discovery.news = port.news
-        return port
+        from shaletiller.net.replication.agent import ReplicationAgent
+
+        agent = ReplicationAgent(
+            operator,
+            self.fleet,
+            self.engine,
+            self._clock,
+            self.config.name,
+            self.ejections,
+            self.front,
+            self._load_stored_list,
+        )
+        return agent
 
-    def _listed(self, kept: ServerList) -> None:
-        """A node list that was kept: it serves where nothing newer is there yet."""
-        if self.discovery.start_from(kept):
-            logger.warning(f"node list of version {kept.version} as it was kept")
+    def _make_admin_server(self) -> AdminServer | None:
+        if self.config.admin is None:
+            return None
+        calls = OperatorCalls(
+            self.engine,
+            self.discovery,
+            self.front,
+            self.ejections,
+            self._clock,
+            self._ready,
+            self.reload_counts,
+            self.fleet,
+            self.replication,
+        )
+        return AdminServer(calls.by_name())
 
-    def _nvme_front(self) -> NvmeFront | None:
-        if not self.config.nvme.front.listen:
+    def _make_telemetry(self) -> OtlpExporter | None:
+        if not self.config.telemetry.endpoint:
             return None
-        from shaletiller.net.nvme.server import NvmeFront
-
-        return NvmeFront(self.config.nvme.front, self.engine)
-
-    # ---- the operators' calls
-
-    def _ready(self, words: list[str]) -> list[str]:
-        if self._stopping or not self.discovery.held:
-            raise Refused("no: not ready")
-        return ["yes"]
-
-    def _stats(self, words: list[str]) -> list[str]:
-        engine = self.engine
-        gauges = {
-            "forwards": engine.counts.get("forwards", 0) + len(engine.send.out),  # out: mostly written
-            "outstanding": len(engine.table),
-            "discovered": len(engine.listed),
-            "ejected": len(engine.banned & engine.listed.keys()),
-            "sighup_applied": self.sighup["applied"],
-            "sighup_rejected": self.sighup["rejected"],
-            **(self.fleet.figures() if self.fleet is not None else {}),
-            **(self.discovery.book.figures(self._clock.now_ms()) if self.fleet is not None else {}),
-            **(self.promises.figures() if self.promises is not None else {}),
-        }
-        classes = [spec.name for spec in engine.settings.classes]
-        return ["", *metrics.lines(engine.counts, classes, gauges), "end"]
+        from shaletiller.telemetry.otlp import OtlpExporter
 
-    @staticmethod
-    def _node(words: list[str]) -> str:
-        if len(words) != 1:
-            raise Refused("wants the id of one storage node")
-        return words[0]
+        return OtlpExporter(self.config.telemetry, self.config.name, self.engine, self._clock)
 
-    async def _kept(self, word: Awaitable[None], first: str) -> list[str]:
-        """An operator's word that holds here: done when most of its copies have it."""
-        from shaletiller.net.replication import NotReplicatedError
+    # ---- what the parts call
 
-        try:
-            await word
-        except NotReplicatedError as error:
-            raise Refused("kept here only: no majority of its copies; call again later") from error
-        return [first]
-
-    def _disable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
-        node = self._node(words)
-        if node not in self.engine.listed and node not in self.bans.held:
-            raise Refused(f"no: no storage node {node[:64]} on the list")
-        self.bans.add(node)
-        if self.fleet is not None:
-            self.fleet.ban(node, True)
-        return [node] if self.promises is None else self._kept(self.promises.ban(node), node)
-
-    def _enable(self, words: list[str]) -> list[str] | Awaitable[list[str]]:
-        node = self._node(words)
-        if node not in self.engine.listed and node not in self.bans.held:
-            raise Refused(f"no: no storage node {node[:64]} on the list")
-        self.bans.remove(node)
-        if self.fleet is not None:
-            self.fleet.ban(node, False)
-        return [node] if self.promises is None else self._kept(self.promises.ban(node), node)
+    def _ready(self) -> bool:
+        return self.discovery.ready and not self._stopping
 
-    def _drain(self, drained: bool) -> list[str] | Awaitable[list[str]]:
-        self.front.drain(drained)
-        return [] if self.promises is None else self._kept(self.promises.drain(drained), "")
-
-    async def _look_at_bans(self) -> None:
-        while True:
-            await asyncio.sleep(BANS_S)
-            self.bans.look()
+    def _upstream_client(self, node: str) -> UpstreamClient:
+        return self._nvme_clients.get(node, self._http)
 
     @property
-    def _backs(self) -> tuple[UpstreamClient, ...]:
-        return (self._http, *self._boxes.values())
+    def _upstream_clients(self) -> tuple[UpstreamClient, ...]:
+        return (self._http, *self._nvme_clients.values())
+
+    def _receive_peer_message(self, peer: int, data: str) -> None:
+        self.engine.notify(PeerMessageReceived(peer, data))
 
-    def _back_of(self, node: str) -> UpstreamClient:
-        return self._boxes.get(node, self._http)
+    def _publish_departure(self, node: str, incarnation: int, version: int, state: EndpointState) -> None:
+        """Notify the other gateways of a departure that discovery has reported."""
+        if self.fleet is not None:
+            self.fleet.publish_departure(node, incarnation, version, state)
+
+    def _publish_endpoint_list(self, version: int, rows: Mapping[str, ServerRow]) -> None:
+        """Update the copies of the endpoint list at other gateways, which has changed."""
+        if self.replication is not None:
+            stored = ServerList(version, True, tuple(rows.values()))
+            self.replication.endpoint_lists.update(stored)
+
+    def _apply_ejections(self, changed: set[str]) -> None:
+        self.engine.eject(self.ejections.nodes, changed)
 
-    async def _stop_fronts(self, ends_ms: float) -> None:
-        while self._clock.now_ms() < ends_ms and (self.front.clients or (self.nvme and self.nvme.busy)):
-            await asyncio.sleep(WATCH_S)
-        self.front.end()
-        self.engine.answer_all()  # before either front ends: it is owed by both
-        fronts = (self.front, self.nvme) if self.nvme else (self.front,)
-        await asyncio.gather(*(front.stop(SPARE_MS / 2000) for front in fronts))
+    def _load_stored_list(self, stored: ServerList) -> None:
+        """Serve by an endpoint list of the replication's store, where discovery has sent no newer one yet."""
+        if self.discovery.load_stored_list(stored):
+            logger.info("endpoint list: version %d loaded from the replicated store", stored.version)
 
-    def _heard(self, peer: int, data: str) -> None:
-        self.engine.decide(PeerMessageReceived(peer, data))
+    async def _watch_ejections(self) -> None:
+        while True:
+            await asyncio.sleep(EJECTIONS_POLL_S)
+            self.ejections.reload()
+
+    # ---- start
 
     async def start(self) -> None:
-        if self.config.telemetry.endpoint:
-            # Loaded only where it is wanted: the library takes memory and time at the start.
-            from shaletiller.telemetry.otlp import Otlp
-
-            self.telemetry = Otlp(self.config.telemetry, self.config.name, self.engine, self._clock)
-        self.bans.look()  # before the first list: what the process before this one took out stays out
-        self.discovery.start_from_known()
-        if self.promises is not None:
-            self.promises.open()
-        if self.admin is not None and self.config.admin is not None:
-            await self.admin.start(*self.config.admin)
-            logger.warning(f"operators' door at {self.admin.address[0]}:{self.admin.address[1]}")
+        """Load the known state, then listen; the HTTP server accepts clients from its own start on."""
+        self.telemetry = self._make_telemetry()
+        # Before the first endpoint list: a node that the previous process had ejected gets no request.
+        self.ejections.reload()
+        self.discovery.load_known_list()
+        if self.replication is not None:
+            self.replication.open()
+        await self._start_admin_server()
+        await self._start_fleet()
+        self.front.start(*self.config.listen)
+        await self._start_nvme_target()
+        self._discovery_watch = self.engine.spawn(self.discovery.run())
+        self.engine.spawn(self._watch_ejections())
+        logger.info("gateway %s listens on %s:%d", self.config.name, *self.front.address)
+
+    async def _start_admin_server(self) -> None:
+        if self.admin is None or self.config.admin is None:
+            return
+        await self.admin.start(*self.config.admin)
+        logger.info("operators' calls are served on %s:%d", *self.admin.address)
+
+    async def _start_fleet(self) -> None:
         if self.config.settings.peer_messages_allowed and self.config.peer_listen is not None:
             await self.peers.start(self.config.peer_listen)
         if self.fleet is not None:
-            await self.fleet.start(self.peers, self.bans, tell=self.promises is None)
-        if self.promises is not None:
-            await self.promises.start()
-        self.front.start(*self.config.listen)
-        if self.nvme is not None:
-            await self.nvme.start(*read_address(self.config.nvme.front.listen, "front.listen"))
-            logger.warning(f"NVMe/TCP at {self.nvme.address[0]}:{self.nvme.address[1]}")
-        self._watch = self.engine.spawn(self.discovery.run())
-        self.engine.spawn(self._look_at_bans())
-        logger.warning(
-            f"gateway {self.config.name} listens at {self.front.address[0]}:{self.front.address[1]}"
-        )
+            await self.fleet.start(self.peers, self.ejections, announce_ejections=self.replication is None)
+        if self.replication is not None:
+            await self.replication.start()
 
-    def hup(self, read: Callable[[], Config]) -> None:
-        """SIGHUP: the file is read again; a faulty one leaves the configuration as it was."""
+    async def _start_nvme_target(self) -> None:
+        if self.nvme is None:
+            return
+        await self.nvme.start(*read_address(self.config.nvme.target.listen, "front.listen"))
+        logger.info("NVMe/TCP hosts are served on %s:%d", *self.nvme.address)
+
+    # ---- reload
+
+    def handle_sighup(self, read: Callable[[], Config]) -> None:
+        """Read the configuration again and apply it; a faulty one is rejected completely.
+
+        :param read: reads it; a ConfigError leaves the configuration as it is.
+        """
         try:
             config = read()
         except ConfigError as error:
-            self.sighup["rejected"] += 1
-            logger.warning(f"reload: {error}; the configuration stays as it was")
+            self.reload_counts["rejected"] += 1
+            logger.error("reload rejected, the configuration stays as it is: %s", error)
             return
-        self.sighup["applied"] += 1
+        self.reload_counts["applied"] += 1
         self.reload(config)
 
     def reload(self, config: Config) -> None:
-        """A new configuration, under load: the list comes from its `discovery` from now on.
-
-        The old agent may take no further call, so the watch moves at once; requests and the list in hand are
-        left alone.  The rest is fixed for the life of a process, and is said to be."""
-        fixed = [key for key in FIXED_KEYS if getattr(config, key) != getattr(self.config, key)]
-        if fixed:
-            logger.warning(f"reload: {', '.join(fixed)} need a restart, left as they were")
-        moved = config.discovery != self.config.discovery
-        if config.settings != self.config.settings:
-            self.engine.retune(config.settings)
-            for back in self._backs:
-                back.retune(config.settings)
-            self.discovery.retune(config.settings)
-            self._longest_ms = max(spec.deadline_ms for spec in config.settings.classes)
-            logger.warning(
-                f"reload: classes {', '.join(spec.name for spec in config.settings.classes)} from now on"
-            )
-        self.config = msgspec.structs.replace(
-            self.config, discovery=config.discovery, settings=config.settings
-        )
-        if moved:
-            self.discovery.move(config.discovery)  # as it starts, too: the watch begins at the new address
-        if moved and self._watch is not None and not self._watch.done():
-            self._watch.cancel()
-            self._watch = self.engine.spawn(self.discovery.run())
-        how = "" if moved else ", as before"
-        logger.warning(f"reload: discovery at {config.discovery[0]}:{config.discovery[1]}{how}")
+        """Apply a new configuration's settings and discovery address under load.
+
+        Requests in flight and the present endpoint list stay.  All other keys need a restart; those that
+        differ are logged.
+        """
+        needs_restart = [key for key in RESTART_KEYS if getattr(config, key) != getattr(self.config, key)]
+        if needs_restart:
+            logger.warning("reload: not applied before a restart: %s", ", ".join(needs_restart))
+        previous = self.config
+        if config.settings != previous.settings:
+            self._retune(config.settings)
+        self.config = msgspec.structs.replace(previous, discovery=config.discovery, settings=config.settings)
+        if config.discovery != previous.discovery:
+            self._move_discovery(config.discovery)
+        else:
+            logger.info("reload: discovery stays at %s:%d", *config.discovery)
+
+    def _retune(self, settings: Settings) -> None:
+        """Apply new settings to all parts."""
+        self.engine.retune(settings)
+        for client in self._upstream_clients:
+            client.retune(settings)
+        self.discovery.retune(settings)
+        self._longest_deadline_ms = longest_deadline_ms(settings)
+        names = ", ".join(spec.name for spec in settings.classes)
+        logger.info("reload: new settings apply to new requests; classes: %s", names)
+
+    def _move_discovery(self, address: tuple[str, int]) -> None:
+        """Watch the endpoint list at a new address immediately: the old agent may answer no further poll."""
+        self.discovery.set_address(address)  # during the start, too: the watch then begins at the new address
+        if self._discovery_watch is not None and not self._discovery_watch.done():
+            self._discovery_watch.cancel()
+            self._discovery_watch = self.engine.spawn(self.discovery.run())
+        logger.info("reload: discovery at %s:%d", *address)
+
+    # ---- graceful shutdown
 
     async def stop(self) -> None:
-        """A planned stop: clients still come at first, those that are there may ask on, and all that was
-        taken gets its answer before the process can be killed.
+        """Shut down gracefully: every accepted request has its response before the platform's SIGKILL.
 
-        To close what clients hold any sooner would turn them away while no other process takes over."""
+        New connections are accepted at first and open ones stay open: closed any sooner, they would send
+        clients away while no other process takes over.
+        """
         self._stopping = True
         if self.fleet is not None:
             self.fleet.stop()
-        ends_ms = self._clock.now_ms() + min(MOST_GRACE_MS, self._longest_ms) + KEEP_ACCEPTING_MS - SPARE_MS
-        self.front.ends_ms = ends_ms
-        await asyncio.sleep(min(KEEP_ACCEPTING_S, max(0.0, ends_ms - self._clock.now_ms()) / 1000))
-        self.front.shut()
+        grace_ms = min(MAX_KILL_DEADLINE_MS, self._longest_deadline_ms) + KILL_GRACE_MS - KILL_MARGIN_MS
+        ends_ms = self._clock.now_ms() + grace_ms
+        self.front.shutdown_deadline_ms = ends_ms
+        await asyncio.sleep(min(ACCEPT_AFTER_SIGTERM_S, max(0.0, ends_ms - self._clock.now_ms()) / 1000))
+        self.front.stop_accepting()
         if self.nvme is not None:
             self.nvme.shut()
-        await self._stop_fronts(ends_ms)
+        await self._stop_servers(ends_ms)
+        await self._close_parts()
+
+    async def _stop_servers(self, ends_ms: float) -> None:
+        while self._clock.now_ms() < ends_ms and self._serving:
+            await asyncio.sleep(SHUTDOWN_POLL_S)
+        self.front.close_after_responses()
+        self.engine.respond_to_all()  # before either server ends: both still owe responses
+        servers = (self.front, self.nvme) if self.nvme else (self.front,)
+        await asyncio.gather(*(server.stop(KILL_MARGIN_MS / 2000) for server in servers))
+
+    @property
+    def _serving(self) -> bool:
+        """Whether HTTP clients are connected or a completion is owed to an NVMe host."""
+        return bool(self.front.connections or (self.nvme and self.nvme.busy))
+
+    async def _close_parts(self) -> None:
         await self.engine.close()
-        for back in self._backs:
-            await back.close()
+        for client in self._upstream_clients:
+            await client.close()
         self.peers.close()
-        if self.promises is not None:
-            await self.promises.close()
+        if self.replication is not None:
+            await self.replication.close()
         if self.fleet is not None:
             self.fleet.close()
         if self.telemetry is not None:
             await self.telemetry.stop()
         if self.admin is not None:
             await self.admin.stop()
+
+
+def longest_deadline_ms(settings: Settings) -> float:
+    """The longest deadline that the settings give a request."""
+    return max(spec.deadline_ms for spec in settings.classes)
