--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -686,23 +686,23 @@
     round_ms = scheduler.state.site.round_ms
     new = settings(classes=(replace(SAFE, name="other"), SAFE), plans=(limited,))
     scheduler.retune(new)
-    assert (
-        scheduler.state.site.round_ms > round_ms
-        and scheduler.state.site.highest_value == SAFE.priority_weight * limited.value_factor
-    )
-    assert set(scheduler.state.site.class_specs) == {
-        "other",
-        "read",
-        "quick",
-    }  # the last for its pending request
+    site = scheduler.state.site
+    assert site.round_ms > round_ms
+    assert site.highest_value == SAFE.priority_weight * limited.value_factor
+    assert set(site.class_specs) == {"other", "read", "quick"}  # the last for its pending request
     upstream = gateway.upstream()
-    assert len(upstream.queues) == len(upstream.by_priority) == 9 and len(upstream.reserved_queues) == 3
-    assert in_flight(upstream) == 1 and scheduler.state.pending["pending"].queue.in_flight == 1
+    assert len(upstream.queues) == len(upstream.by_priority) == 9
+    assert len(upstream.reserved_queues) == 3
+    assert in_flight(upstream) == 1
+    assert scheduler.state.pending["pending"].queue.in_flight == 1
     scheduler.validate_state()
     gateway.request("limited", volume="v9", units=4.0)  # its store is empty: what went before is not known
-    assert gateway.finals("limited") and "limited" not in gateway.sent()
+    assert gateway.finals("limited")
+    assert "limited" not in gateway.sent()
     gateway.end_attempt("pending")
     scheduler.retune(new)
-    assert set(scheduler.state.site.class_specs) == {"other", "read"} and len(upstream.queues) == 6
-    assert in_flight(upstream) == 0 and upstream.in_flight_units == 0
+    assert set(scheduler.state.site.class_specs) == {"other", "read"}
+    assert len(upstream.queues) == 6
+    assert in_flight(upstream) == 0
+    assert upstream.in_flight_units == 0
     scheduler.validate_state()
--- a/tests/policy/test_guarantee.py
+++ b/tests/policy/test_guarantee.py
@@ -100,10 +100,11 @@
     served: list[tuple[float, float]] = field(default_factory=list)  # time, units
     repeated: set[str] = field(default_factory=set)
 
-    def play(self) -> Day:
+    def __post_init__(self) -> None:
+        """Prepare the scheduler, the node's workers and the queue of events."""
         known = self.customer
-        rng = random.Random(known.seed)
-        scheduler = Scheduler(
+        self._random = random.Random(known.seed)
+        self._scheduler = Scheduler(
             Settings(
                 known.classes,
                 (known.plan,),
@@ -122,81 +123,80 @@
             ),
             known.seed,
         )
-        busy_until = [0.0] * self.workers
-        queue: list[tuple[float, int, Event]] = []
+        self._works_ms = {spec.name: work for spec, work in zip(known.classes, known.works_ms, strict=True)}
+        self._busy_until = [0.0] * self.workers
+        self._queue: list[tuple[float, int, Event]] = []
         self._count = 0
+        self._units: dict[str, float] = {}  # by request
+        self._attempts: dict[str, int] = {}  # by request
 
-        def put(at: float, event: Event) -> None:
-            self._count += 1
-            heapq.heappush(queue, (at, self._count, event))
+    def _put(self, at: float, event: Event) -> None:
+        self._count += 1
+        heapq.heappush(self._queue, (at, self._count, event))
 
+    def play(self) -> Day:
+        """Play the day to its end."""
         started = 1.0 if self.cold else 0.0
-        put(
-            1.0,
-            EndpointListUpdate(
-                UpdateKind.FULL, (EndpointEntry("n", "a", 0, EndpointState.READY, 1.0, started),)
-            ),
-        )
+        node = EndpointEntry("n", "a", 0, EndpointState.READY, 1.0, started)
+        self._put(1.0, EndpointListUpdate(UpdateKind.FULL, (node,)))
+        self._draw_requests()
+        while self._queue and self._queue[0][0] < DAY_MS:
+            now, _, event = heapq.heappop(self._queue)
+            self._play_event(now, event)
+        return self
+
+    def _draw_requests(self) -> None:
+        known, rng = self.customer, self._random
         mean_ms = sum(w * p for w, p in zip(known.works_ms, known.parts, strict=True)) / sum(known.parts)
         at, number = 2.0, 0
         while at < DAY_MS:
             at += rng.expovariate(known.load * self.workers / mean_ms)
             spec = rng.choices(known.classes, known.parts)[0]
-            put(
-                at,
-                Request(
-                    f"{spec.name} {number}",
-                    0,
-                    f"x{number}",
-                    "p",
-                    spec.name,
-                    f"v{number % 3}",
-                    rng.choice(UNITS),
-                    spec.deadline_ms,
-                ),
+            request = Request(
+                f"{spec.name} {number}",
+                0,
+                f"x{number}",
+                "p",
+                spec.name,
+                f"v{number % 3}",
+                rng.choice(UNITS),
+                spec.deadline_ms,
             )
+            self._put(at, request)
             number += 1
-        works = {spec.name: work for spec, work in zip(known.classes, known.works_ms, strict=True)}
-        units: dict[str, float] = {}
-        attempts: dict[str, int] = {}
-        while queue and queue[0][0] < DAY_MS:
-            now, _, event = heapq.heappop(queue)
-            if isinstance(event, Request):
-                units[event.request] = event.units
-                self.asked.append((now, event.request_class, event.units))
-                owed = scheduler.fairness._work.deficit(event.request_class)
-            elif isinstance(event, AttemptEnded) and event.outcome is Outcome.OK:
-                self.served.append((now, units[event.request]))
-            for action in scheduler.handle(now, event):
-                full = isinstance(event, Request) and owed >= CREDIT_REQUESTS * MEAN_UNITS
-                if full and isinstance(action, Reject | Fail) and action.request == event.request:
-                    self.denied.append(event.request)
-                if isinstance(action, StartTimer):
-                    put(now + action.wait_ms, TimerExpired(action.timer))
-                elif isinstance(action, SendAttempt):
-                    name = action.request.split()[0]
-                    number = attempts.get(action.request, 0)
-                    attempts[action.request] = number + 1
-                    if number:
-                        self.repeated.add(action.request)
-                    else:
-                        self.sent.append((now, name, units[action.request]))
-                    worker = busy_until.index(min(busy_until))
-                    work_ms = works[name] * (1 + units[action.request] / MEAN_UNITS) / 2
-                    busy_until[worker] = max(busy_until[worker], now) + work_ms
-                    over = rng.random() > 0.02
-                    put(
-                        busy_until[worker],
-                        AttemptEnded(
-                            action.request,
-                            number,
-                            "n",
-                            Outcome.OK if over else Outcome.ERROR,
-                            busy_until[worker] - now,
-                            over,
-                        ),
-                    )
-        return self
+
+    def _play_event(self, now: float, event: Event) -> None:
+        owed_most = False
+        if isinstance(event, Request):
+            self._units[event.request] = event.units
+            self.asked.append((now, event.request_class, event.units))
+            owed = self._scheduler.fairness._work.deficit(event.request_class)
+            owed_most = owed >= CREDIT_REQUESTS * MEAN_UNITS
+        elif isinstance(event, AttemptEnded) and event.outcome is Outcome.OK:
+            self.served.append((now, self._units[event.request]))
+        for action in self._scheduler.handle(now, event):
+            if owed_most and isinstance(event, Request) and isinstance(action, Reject | Fail):
+                self.denied += [event.request] if action.request == event.request else []
+            if isinstance(action, StartTimer):
+                self._put(now + action.wait_ms, TimerExpired(action.timer))
+            elif isinstance(action, SendAttempt):
+                self._serve(now, action)
+
+    def _serve(self, now: float, action: SendAttempt) -> None:
+        """Let the first free worker serve an attempt; a few of them fail."""
+        name, units = action.request.split()[0], self._units[action.request]
+        number = self._attempts.get(action.request, 0)
+        self._attempts[action.request] = number + 1
+        if number:
+            self.repeated.add(action.request)
+        else:
+            self.sent.append((now, name, units))
+        worker = self._busy_until.index(min(self._busy_until))
+        work_ms = self._works_ms[name] * (1 + units / MEAN_UNITS) / 2
+        done_ms = self._busy_until[worker] = max(self._busy_until[worker], now) + work_ms
+        over = self._random.random() > 0.02
+        outcome = Outcome.OK if over else Outcome.ERROR
+        self._put(done_ms, AttemptEnded(action.request, number, "n", outcome, done_ms - now, over))
 
 
 def worth_shares(day: Day) -> dict[str, float]:
