--- a/shaletiller/policy/capacity_check.py
+++ b/shaletiller/policy/capacity_check.py
@@ -73,6 +73,6 @@
     def _slow_start_allows(self, upstream: Upstream, units: float) -> bool:
         settings, now_ms = self._state.site.settings, self._state.now_ms
         if finish_slow_start(upstream, settings, now_ms):
-            self._state.actions.append(WriteLog(f"node {upstream.node}: ramp over, no longer held for cold"))
+            self._state.actions.append(WriteLog(f"node {upstream.node}: slow start finished"))
         quota = self._state.volumes.quota(upstream.node or "")
         return warm_up_allows(upstream, settings, units, quota, now_ms)
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -271,7 +271,7 @@
         self, at_ms: float, ttl_ms: float = 300.0, later: float | None = None
     ) -> tuple[bool, ScriptedGateway]:
         keyed = dataclasses.replace(
-            SAFE, effect=Idempotency.KEYED, scope=DeduplicationScope.ALL, key_ttl_ms=ttl_ms
+            SAFE, effect=Idempotency.KEYED, deduplication_scope=DeduplicationScope.ALL, key_ttl_ms=ttl_ms
         )
         host = ScriptedGateway(classes=(keyed,))
         host.request("k")
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -150,7 +150,7 @@
     gateway.request("warm")
     gateway.handle(EndpointListUpdate(UpdateKind.CHANGES, (entry(state=EndpointState.DRAINING),)))
     lines = [action.line for _, action in gateway.log if isinstance(action, WriteLog)]
-    assert lines == ["node n1: ramp over, no longer held for cold", "shard 0: node n1 -> None"]
+    assert lines == ["node n1: slow start finished", "shard 0: node n1 -> None"]
 
 
 def slow_node(gateway: ScriptedGateway) -> None:
