--- a/tests/gateway/test_operators.py
+++ b/tests/gateway/test_operators.py
@@ -10,7 +10,8 @@
 from shaletiller.clock import Clock
 from shaletiller.config import read_config, read_config_again
 from shaletiller.gateway import Gateway
-from shaletiller.net import listener
+from shaletiller.net.listener import Listener
+from shaletiller.net.overload_control import OverloadControl
 from shaletiller.net.peers import PeerEndpoint
 from tests.support.scenario import Scenario
 
@@ -25,10 +26,11 @@
         the new process ends at its start with EADDRINUSE.
         """
         port = self.gateway.front.address[1]
-        other = listener.Door(lambda request: None, 8, Clock(), False, lambda *_: False)  # type: ignore[arg-type,return-value]
+        overload = OverloadControl(Clock(), lambda: False)
+        other = Listener(lambda request: None, 8, Clock(), lambda *_: False, overload)  # type: ignore[arg-type,return-value]
         other.listen("127.0.0.1", port)
         self.assertEqual(other.address[1], port)
-        other.shut()
+        other.stop_accepting()
         await self.play("""
             send c1 GET 5
             expect n1 GET 5
@@ -42,13 +44,13 @@
         The client must still get its response: a listener that is closed resets the connections queued in it.
         """
         front = self.gateway.front
-        listener = front._door._listener
+        listener = front._listener._socket
         assert listener is not None
         asyncio.get_running_loop().remove_reader(listener)  # the kernel queues the client
         reader, writer = await asyncio.open_connection(*front.address)
         writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         await asyncio.sleep(0.05)
-        front.shut()
+        front.stop_accepting()
         line = await asyncio.wait_for(reader.readline(), 2)
         self.assertEqual(line.split()[1], b"200")
         writer.close()
@@ -223,7 +225,7 @@
         Both connections end with their responses, new clients get 503, and after UNDRAIN clients are served
         again.
         """
-        timer = self.gateway.front._door._timer
+        timer = self.gateway.front._listener._sweep_timer
         assert timer is not None
         timer.cancel()  # the sweep would shut c1, idle, before it asks, one time in ten
         await self.play("""
