--- a/shaletiller/config/operator_model.py
+++ b/shaletiller/config/operator_model.py
@@ -96,7 +96,7 @@
         )
 
 
-class StorePart(Group, frozen=True):
+class StoreConfig(Group, frozen=True):
     """The store: a directory that survives the process, on a disk that keeps what was synced.
 
     `dir` is empty where there is none.  `segment_mb` is the size of its files.  `drill` names a file of
@@ -115,7 +115,7 @@
     level: Literal["copied", "local"] = "copied"
 
 
-class PromisesPart(Group, frozen=True):
+class ReplicationConfig(Group, frozen=True):
     """The replication between gateways; it needs a store and a fleet over TCP.
 
     `copies` is the number of replicas of a record.  The outcome of a write is known for `keep_s`.
@@ -134,5 +134,5 @@
     """The complete file."""
 
     fleet: FleetPart = FleetPart()
-    store: StorePart = StorePart()
-    promises: PromisesPart = PromisesPart()
+    store: StoreConfig = StoreConfig()
+    promises: ReplicationConfig = ReplicationConfig()
--- a/tests/fleet/test_codec.py
+++ b/tests/fleet/test_codec.py
@@ -1,4 +1,4 @@
-"""The PDU codec against bytes laid out by hand after the specification."""
+"""The NVMe/TCP codec against bytes laid out by hand after the specifications."""
 
 from __future__ import annotations
 
@@ -73,6 +73,7 @@
 
 
 def test_a_digest_that_was_declined_is_an_error() -> None:
+    """A host sends a command capsule with a header digest, which the ICResp has declined."""
     raw = bytearray(capsules.command_capsule(b""))
     raw[1] = 1
     with pytest.raises(PduError) as caught:
@@ -83,19 +84,28 @@
 @settings(derandomize=True, deadline=None)  # the same verdict every time
 @given(st.lists(st.binary(max_size=300), max_size=6))
 def test_any_bytes_are_units_or_an_error_and_never_held_without_bound(parts: list[bytes]) -> None:
+    """A host sends arbitrary bytes in pieces.
+
+    They are PDUs or end with an error, the decoder buffers no more than the largest PDU and one piece, and
+    the TermReq for the error is bounded too.
+    """
     decoder = pdu.PduDecoder(pdu.FROM_HOST)
-    held = 0
+    buffered = 0
+    fault: PduError | None = None
     try:
         for part in parts:
-            held += len(part) - sum(8 + len(u.header) + len(u.data) for u in taken(decoder, part))
-            assert held <= 72 + 128 + pdu.MAX_H2C_DATA + 300
+            buffered += len(part) - sum(8 + len(u.header) + len(u.data) for u in taken(decoder, part))
+            assert buffered <= 72 + 128 + pdu.MAX_H2C_DATA + 300
     except PduError as error:
-        assert len(pdu.term_req(pdu.PduType.C2H_TERM_REQ, error)) <= 24 + pdu.MAX_TERM_REQ_DATA
+        fault = error
+    if fault is not None:
+        assert len(pdu.term_req(pdu.PduType.C2H_TERM_REQ, fault)) <= 24 + pdu.MAX_TERM_REQ_DATA
 
 
 @settings(derandomize=True, deadline=None)  # the same verdict every time
 @given(st.binary(min_size=1, max_size=4096), st.integers(1, 50))
 def test_units_cut_anywhere_come_out_whole(data: bytes, step: int) -> None:
+    """Two PDUs arrive in pieces of any length: the decoder returns both, complete and in order."""
     raw = pdu.ic_req() + pdu.data_pdu(pdu.PduType.H2C_DATA, 1, 2, 0, data)
     decoder = pdu.PduDecoder(pdu.FROM_HOST)
     found = [unit for at in range(0, len(raw), step) for unit in taken(decoder, raw[at : at + step])]
