--- a/shaletiller/config/operator_checks.py
+++ b/shaletiller/config/operator_checks.py
@@ -4,7 +4,7 @@
 
 import re
 
-from shaletiller.config.operator_model import FleetPart, OperatorFile
+from shaletiller.config.operator_model import FleetConfig, OperatorFile
 
 ADDRESS = re.compile(r"\S+:\d{1,5}", re.ASCII)
 
@@ -19,7 +19,7 @@
     _check_fleet_options(file.fleet)
 
 
-def _check_fleet(fleet: FleetPart) -> None:
+def _check_fleet(fleet: FleetConfig) -> None:
     member_names = [member.name for member in fleet.member]
     for at, member in enumerate(fleet.member):
         _check_unique(member.name, member_names, f"fleet.member[{at}].name")
@@ -31,7 +31,7 @@
 
 
 def _check_replication(file: OperatorFile) -> None:
-    replication = file.promises
+    replication = file.replication
     class_names = [row.name for row in replication.class_]
     for at, name in enumerate(class_names):
         _check_unique(name, class_names, f"promises.class[{at}].name")
@@ -41,7 +41,7 @@
         raise ValueError('promises.on: needs the members of a fleet and its carrier "tcp"')
 
 
-def _check_fleet_options(fleet: FleetPart) -> None:
+def _check_fleet_options(fleet: FleetConfig) -> None:
     try:
         fleet.options(max(1, len(fleet.member)))
     except ValueError as error:
--- a/shaletiller/config/operator_model.py
+++ b/shaletiller/config/operator_model.py
@@ -39,7 +39,7 @@
     policy: Literal["strict", "available"] = "strict"
 
 
-class FleetPart(Group, frozen=True):
+class FleetConfig(Group, frozen=True):
     """The fleet: gateways that share rate limits, endpoint health and warm-up budgets.
 
     It is off unless members are listed, or the carrier is the platform's datagrams, whose peers they are.
@@ -135,6 +135,6 @@
 class OperatorFile(Group, frozen=True):
     """The complete file."""
 
-    fleet: FleetPart = FleetPart()
+    fleet: FleetConfig = FleetConfig()
     store: StoreConfig = StoreConfig()
-    promises: ReplicationConfig = ReplicationConfig()
+    replication: ReplicationConfig = msgspec.field(default=ReplicationConfig(), name="promises")
--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -136,11 +136,11 @@
         self.notify(ClientDisconnected(exchange.call.id))
 
     def update_endpoints(
-        self, kind: UpdateKind, version: int, endpoints: tuple[Endpoint, ...], late_ms: float = 0.0
+        self, kind: UpdateKind, version: int, endpoints: tuple[Endpoint, ...], staleness_ms: float = 0.0
     ) -> None:
         """Apply an update of the endpoint list; nodes ejected by hand stay gone to routes and scheduler.
 
-        :param late_ms: how long ago the update may have been notified at the most.
+        :param staleness_ms: how long ago the update may have been notified at the most.
         """
         if kind is not UpdateKind.FAILED:
             full = kind is not UpdateKind.CHANGES
@@ -148,7 +148,7 @@
             endpoints = tuple(map(self._masked, endpoints))
             self.routes.learn(endpoints, full=full)
         entries = tuple(endpoint.entry for endpoint in endpoints)
-        self.notify(EndpointListUpdate(kind, entries, version, late_ms))
+        self.notify(EndpointListUpdate(kind, entries, version, staleness_ms))
 
     def _list_endpoints(self, endpoints: tuple[Endpoint, ...], full: bool) -> None:
         if full:
@@ -164,7 +164,7 @@
         if endpoint.entry.node not in self.ejected or endpoint.entry.state is EndpointState.GONE:
             return endpoint
         entry = replace(endpoint.entry, state=EndpointState.GONE)
-        return Endpoint(entry, endpoint.address, endpoint.back)
+        return Endpoint(entry, endpoint.address, endpoint.client)
 
     def eject(self, ejected: frozenset[str], changed: set[str]) -> None:
         """Apply the list entries of nodes anew that operators have ejected or whose ejection they lifted.
@@ -185,7 +185,7 @@
         endpoint = self.endpoints.get(node)
         if endpoint is not None and started_ms > endpoint.entry.started_ms:
             entry = replace(endpoint.entry, started_ms=started_ms)
-            restarted = Endpoint(entry, endpoint.address, endpoint.back)
+            restarted = Endpoint(entry, endpoint.address, endpoint.client)
             self.update_endpoints(UpdateKind.CHANGES, 0, (restarted,))
 
     def count_result(self, request_class: str, result: FinalResult) -> None:
@@ -195,12 +195,12 @@
             self._counted_classes.add(request_class)
             self.counters.count_result(request_class, result)
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Apply new settings (SIGHUP) to new requests; those in flight keep their class."""
         self.settings = settings
-        self._scheduler.retune(settings)
+        self._scheduler.apply_settings(settings)
         self._accept = AcceptRequest(settings, self._clock, self.exchanges, self.attempts.in_flight)
-        self.routes.retune(settings.max_attempts, settings.hedging_allowed)
+        self.routes.apply_settings(settings.max_attempts, settings.hedging_allowed)
 
     def notify(self, event: Event) -> None:
         """Notify the scheduler; events that its actions cause follow in turn, never amid another one."""
@@ -300,7 +300,7 @@
     def _close_idle_connections(self, action: CloseIdleConnections) -> None:
         endpoint = self.routes.find(action.node)
         if endpoint is not None:
-            endpoint.back.close_idle(endpoint.address)
+            endpoint.client.close_idle(endpoint.address)
 
     def _write_log(self, action: WriteLog) -> None:
         logger.info("%s", action.line)
@@ -312,7 +312,7 @@
 
     async def _health_check(self, endpoint: Endpoint) -> None:
         sent_ms = self._clock.now_ms()
-        result = await endpoint.back.probe(endpoint.address)
+        result = await endpoint.client.probe(endpoint.address)
         latency_ms = self._clock.now_ms() - sent_ms
         self.notify(HealthCheckEnded(endpoint.entry.node, result.outcome, latency_ms, result.load_report))
 
--- a/shaletiller/core/forward.py
+++ b/shaletiller/core/forward.py
@@ -44,7 +44,7 @@
         remaining_ms = exchange.deadline_ms - self._clock.now_ms()
         wait_ms = min(timeout_ms, remaining_ms) if timeout_ms > 0 else remaining_ms
         task = asyncio.ensure_future(
-            endpoint.back.attempt(endpoint.address, exchange.call, wait_ms, start_within_ms)
+            endpoint.client.attempt(endpoint.address, exchange.call, wait_ms, start_within_ms)
         )
         attempt.task = task
         self.in_flight[exchange.call.id, attempt.number] = attempt
--- a/shaletiller/core/interfaces.py
+++ b/shaletiller/core/interfaces.py
@@ -36,7 +36,7 @@
         :param start_within_ms: an attempt that cannot be written by then is not written at all.
         """
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Apply new settings to what begins from now on."""
 
     async def probe(self, address: str) -> AttemptResult:
--- a/shaletiller/core/route.py
+++ b/shaletiller/core/route.py
@@ -16,7 +16,7 @@
 
     entry: EndpointEntry
     address: str
-    back: UpstreamClient
+    client: UpstreamClient
 
 
 class RouteTable:
@@ -27,7 +27,7 @@
         self._hedging_allowed = hedging_allowed
         self._endpoints: dict[str, Endpoint] = {}
 
-    def retune(self, max_attempts: int, hedging_allowed: bool) -> None:
+    def apply_settings(self, max_attempts: int, hedging_allowed: bool) -> None:
         """Apply new settings."""
         self._max_attempts = max_attempts
         self._hedging_allowed = hedging_allowed
@@ -43,7 +43,7 @@
             if endpoint is None and not full:
                 continue
             if endpoint is None or self._is_replaced(known, endpoint):
-                known.back.close_idle(known.address)
+                known.client.close_idle(known.address)
             if endpoint is None:
                 del self._endpoints[node]
         for node, endpoint in listed.items():
--- a/shaletiller/fleet/codec.py
+++ b/shaletiller/fleet/codec.py
@@ -34,7 +34,6 @@
 REPLAY_WINDOW = 512
 
 UInt63 = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-Whole = UInt63  # the name under which the replication messages import it
 Member = Annotated[int, msgspec.Meta(ge=0, lt=1 << 16)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=96)]
 MilliUnits = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]  # thousandths of a unit
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -99,8 +99,10 @@
             EndpointRegistry(self._publish_departure),
             self._publish_endpoint_list,
         )
-        self.discovery.retune(config.settings)
-        self.front = HttpServer(self.engine, config.client_sockets, lambda: self.discovery.ready, self._clock)
+        self.discovery.apply_settings(config.settings)
+        self.http_server = HttpServer(
+            self.engine, config.client_sockets, lambda: self.discovery.ready, self._clock
+        )
         self.fleet = self._make_fleet_agent()
         self.peers = PeerEndpoint(
             config.peers,
@@ -149,7 +151,7 @@
 
     def _make_replication_agent(self) -> ReplicationAgent | None:
         operator = self.config.operator
-        if operator is None or self.fleet is None or not operator.promises.on:
+        if operator is None or self.fleet is None or not operator.replication.on:
             return None
         from shaletiller.net.replication.agent import ReplicationAgent
 
@@ -160,7 +162,7 @@
             self._clock,
             self.config.name,
             self.ejections,
-            self.front,
+            self.http_server,
             self._load_stored_list,
         )
         return agent
@@ -171,7 +173,7 @@
         calls = OperatorCalls(
             self.engine,
             self.discovery,
-            self.front,
+            self.http_server,
             self.ejections,
             self._clock,
             self._ready,
@@ -239,11 +241,11 @@
             self.replication.open()
         await self._start_admin_server()
         await self._start_fleet()
-        self.front.start(*self.config.listen)
+        self.http_server.start(*self.config.listen)
         await self._start_nvme_target()
         self._discovery_watch = self.engine.spawn(self.discovery.run())
         self.engine.spawn(self._watch_ejections())
-        logger.info("gateway %s listens on %s:%d", self.config.name, *self.front.address)
+        logger.info("gateway %s listens on %s:%d", self.config.name, *self.http_server.address)
 
     async def _start_admin_server(self) -> None:
         if self.admin is None or self.config.admin is None:
@@ -301,10 +303,10 @@
 
     def _retune(self, settings: Settings) -> None:
         """Apply new settings to all parts."""
-        self.engine.retune(settings)
+        self.engine.apply_settings(settings)
         for client in self._upstream_clients:
-            client.retune(settings)
-        self.discovery.retune(settings)
+            client.apply_settings(settings)
+        self.discovery.apply_settings(settings)
         self._longest_deadline_ms = longest_deadline_ms(settings)
         names = ", ".join(spec.name for spec in settings.classes)
         logger.info("reload: new settings apply to new requests; classes: %s", names)
@@ -330,9 +332,9 @@
             self.fleet.stop()
         grace_ms = min(MAX_KILL_DEADLINE_MS, self._longest_deadline_ms) + KILL_GRACE_MS - KILL_MARGIN_MS
         ends_ms = self._clock.now_ms() + grace_ms
-        self.front.shutdown_deadline_ms = ends_ms
+        self.http_server.shutdown_deadline_ms = ends_ms
         await asyncio.sleep(min(ACCEPT_AFTER_SIGTERM_S, max(0.0, ends_ms - self._clock.now_ms()) / 1000))
-        self.front.stop_accepting()
+        self.http_server.stop_accepting()
         if self.nvme is not None:
             self.nvme.shut()
         await self._stop_servers(ends_ms)
@@ -341,15 +343,15 @@
     async def _stop_servers(self, ends_ms: float) -> None:
         while self._clock.now_ms() < ends_ms and self._serving:
             await asyncio.sleep(SHUTDOWN_POLL_S)
-        self.front.close_after_responses()
+        self.http_server.close_after_responses()
         self.engine.respond_to_all()  # before either server ends: both still owe responses
-        servers = (self.front, self.nvme) if self.nvme else (self.front,)
+        servers = (self.http_server, self.nvme) if self.nvme else (self.http_server,)
         await asyncio.gather(*(server.stop(KILL_MARGIN_MS / 2000) for server in servers))
 
     @property
     def _serving(self) -> bool:
         """Whether HTTP clients are connected or a completion is owed to an NVMe host."""
-        return bool(self.front.connections or (self.nvme and self.nvme.busy))
+        return bool(self.http_server.connections or (self.nvme and self.nvme.busy))
 
     async def _close_parts(self) -> None:
         await self.engine.close()
--- a/shaletiller/net/discovery.py
+++ b/shaletiller/net/discovery.py
@@ -149,7 +149,7 @@
         self._on_list_changed = on_list_changed
         self.set_address(address)
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Apply new settings: where lists are pushed, the backoff is shorter."""
         self._is_pushed = not settings.subscribed
         self._max_backoff_ms = MAX_BACKOFF_MS
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -10,7 +10,7 @@
 
 from shaletiller.clock import Clock, Timer
 from shaletiller.config import Config, ConfigError, read_address
-from shaletiller.config.operator_model import FleetPart
+from shaletiller.config.operator_model import FleetConfig
 from shaletiller.core.engine import Engine
 from shaletiller.core.manual_ejection import ManualEjections
 from shaletiller.fleet.coordinator import FleetCoordinator
@@ -44,7 +44,7 @@
     def __init__(
         self,
         config: Config,
-        part: FleetPart,
+        part: FleetConfig,
         engine: Engine,
         clock: Clock,
         on_departure: DepartureHandler,
@@ -80,17 +80,17 @@
             self._links = Links(me, addresses, self.receive, config.seed)
 
     @staticmethod
-    def _fleet_name(config: Config, part: FleetPart) -> str:
+    def _fleet_name(config: Config, part: FleetConfig) -> str:
         """Return the name by which members recognize each other.
 
         Gateways that replicate lease tables lend by other rules than those that do not: two fleets.
         """
-        replication = config.operator.promises if config.operator is not None else None
+        replication = config.operator.replication if config.operator is not None else None
         has_tables = replication is not None and replication.on and replication.lease_tables
         return f"{part.name}+tables" if has_tables else part.name
 
     @staticmethod
-    def _members(config: Config, part: FleetPart) -> tuple[list[str], int]:
+    def _members(config: Config, part: FleetConfig) -> tuple[list[str], int]:
         """Return the names of all members, and the number of this one.
 
         With the carrier `datagrams` the platform numbers the gateways, and each reaches the others at
--- a/shaletiller/net/http_upstream.py
+++ b/shaletiller/net/http_upstream.py
@@ -127,7 +127,7 @@
             )
         return self._open_session
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Apply new settings to what begins from now on: timeouts, and what is read of responses."""
         self._settings = settings
         if self._open_session is not None and isinstance(self._open_session.connector, UpstreamConnector):
--- a/shaletiller/net/nvme/upstream.py
+++ b/shaletiller/net/nvme/upstream.py
@@ -42,11 +42,11 @@
 
     def __init__(self, config: NvmeUpstreamConfig, settings: Settings, max_sockets: int) -> None:
         self._config = config
-        self.retune(settings)
+        self.apply_settings(settings)
         self._free_associations = asyncio.Semaphore(max(1, max_sockets // SOCKETS_PER_ASSOCIATION))
         self._idle: list[tuple[str, Association]] = []  # by address, the most recently used last
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Apply new settings to what begins from now on."""
         self._connect_timeout_s = settings.connect_timeout_ms / MS_PER_S
         self._idle_s = settings.connection_idle_ms / MS_PER_S * IDLE_TIME_PART
--- a/shaletiller/net/replication/agent.py
+++ b/shaletiller/net/replication/agent.py
@@ -48,7 +48,7 @@
         :param drain_switch: set at a start to what the replicas hold.
         :param list_consumer: given the endpoint lists that were cached, at a start.
         """
-        settings = operator.promises
+        settings = operator.replication
         member = fleet.coordinator.fleet
         self._clock, self._engine = clock, engine
         self._opener = StoreOpener(operator.store, clock)
--- a/shaletiller/net/replication/storage.py
+++ b/shaletiller/net/replication/storage.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from shaletiller.clock import Clock
-from shaletiller.config.operator_model import StorePart
+from shaletiller.config.operator_model import StoreConfig
 from shaletiller.store.errors import DamagedStoreError, StoreLockedError
 from shaletiller.store.file_system import FaultInjectingFileSystem, FileSystem
 from shaletiller.store.segment_store import SegmentStore
@@ -19,7 +19,7 @@
 class StoreOpener:
     """Opens the store that the operators' file names."""
 
-    def __init__(self, settings: StorePart, clock: Clock) -> None:
+    def __init__(self, settings: StoreConfig, clock: Clock) -> None:
         """Open stores by these settings; nothing is opened yet."""
         self._settings, self._clock = settings, clock
         self._directory = Path(settings.dir)
--- a/shaletiller/policy/scheduler.py
+++ b/shaletiller/policy/scheduler.py
@@ -65,9 +65,9 @@
         """The settings in force, with the removed classes of which requests are still under way."""
         return self.state.site.settings
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Take new settings under load; what is pending keeps its class."""
-        self.state.retune(settings)
+        self.state.apply_settings(settings)
         self.endpoints.rearrange_queues()
 
     def handle(self, now_ms: float, event: events.Event) -> list[Action]:
--- a/shaletiller/state/latency.py
+++ b/shaletiller/state/latency.py
@@ -28,7 +28,7 @@
         self._all_classes_ms = 0.0  # weighted by how often each class is answered
         self.lost_share = 0.0  # of overdue attempts, those that are never answered
 
-    def retune(self) -> None:
+    def apply_settings(self) -> None:
         """Follow the classes of new settings."""
         self._class_ms = {name: self._class_ms.get(name, 0.0) for name in self._site.class_specs}
 
--- a/shaletiller/state/runtime.py
+++ b/shaletiller/state/runtime.py
@@ -40,7 +40,7 @@
         site = SiteSettings(settings)
         return cls(site, LatencyEstimates(site), VolumeTable(site))
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Take new settings under load.
 
         What is pending keeps its class; one that is removed is known for as long as requests or attempts of
@@ -49,4 +49,4 @@
         under_way = [*self.pending.values(), *(attempt.pending for attempt in self.attempts.values())]
         specs = (*(pending.spec for pending in under_way), *settings.classes)
         self.site.update(settings, tuple({spec.name: spec for spec in specs}.values()))
-        self.latency.retune()
+        self.latency.apply_settings()
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -40,7 +40,7 @@
     async def probe(self, address: str) -> AttemptResult:
         return AttemptResult(Outcome.OK)
 
-    def retune(self, settings: Settings) -> None: ...
+    def apply_settings(self, settings: Settings) -> None: ...
 
     def close_idle(self, address: str) -> None:
         self.closed += 1
--- a/tests/gateway/test_operators.py
+++ b/tests/gateway/test_operators.py
@@ -25,7 +25,7 @@
         The new one must be able to listen there too, and the old one goes on serving: without SO_REUSEPORT
         the new process ends at its start with EADDRINUSE.
         """
-        port = self.gateway.front.address[1]
+        port = self.gateway.http_server.address[1]
         overload = OverloadControl(Clock(), lambda: False)
         other = Listener(lambda request: None, 8, Clock(), lambda *_: False, overload)  # type: ignore[arg-type,return-value]
         other.listen("127.0.0.1", port)
@@ -43,7 +43,7 @@
 
         The client must still get its response: a listener that is closed resets the connections queued in it.
         """
-        front = self.gateway.front
+        front = self.gateway.http_server
         listener = front._listener._socket
         assert listener is not None
         asyncio.get_running_loop().remove_reader(listener)  # the kernel queues the client
@@ -225,7 +225,7 @@
         Both connections end with their responses, new clients get 503, and after UNDRAIN clients are served
         again.
         """
-        timer = self.gateway.front._listener._sweep_timer
+        timer = self.gateway.http_server._listener._sweep_timer
         assert timer is not None
         timer.cancel()  # the sweep would shut c1, idle, before it asks, one time in ten
         await self.play("""
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -165,7 +165,7 @@
         await super().asyncTearDown()
 
     async def wire(self) -> RawClient:
-        self.wires.append(await RawClient.open(self.gateway.front.address))
+        self.wires.append(await RawClient.open(self.gateway.http_server.address))
         return self.wires[-1]
 
     def at(
@@ -254,7 +254,7 @@
             with self.subTest(before=before):
                 wire = await self.wire()
                 wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-                self.gateway.front.set_draining(True)
+                self.gateway.http_server.set_draining(True)
                 wire.send(encode_request(1))
                 await self.play("expect n1 GET 1")
                 self.at_close(wire, lambda wire=wire: wire.send(encode_request(2)), before)
@@ -263,7 +263,7 @@
                 self.assertEqual(await wire.answer(), (200, body))
                 await wire.end()
                 wire.close()
-                self.gateway.front.set_draining(False)
+                self.gateway.http_server.set_draining(False)
                 await self.retried(2)
 
     async def test_a_response_that_closes_a_crowded_connection_is_complete(self) -> None:
@@ -281,7 +281,7 @@
                 self.assertEqual(await wire.answer(), (200, b"ok"))
                 await wire.end()
                 wire.close()
-                await until(lambda: not self.gateway.front.connections, "its end")
+                await until(lambda: not self.gateway.http_server.connections, "its end")
 
     async def test_half_closed_connections_are_evicted_for_newcomers(self) -> None:
         """Clients that were sent away keep their half-closed connections, up to the connection limit.
@@ -289,19 +289,19 @@
         The next client must be served all the same: half-closed connections are evicted first, and do not
         count as a crowd.
         """
-        listener, crowd = self.gateway.front._listener, 40
+        listener, crowd = self.gateway.http_server._listener, 40
         self.enterContext(PATCH("shaletiller.net.connection_limits.HALF_CLOSE_TIMEOUT_MS", 60_000.0))
         self.enterContext(PATCH.object(listener.table, "max_connections", crowd))
-        self.gateway.front.set_draining(True)
+        self.gateway.http_server.set_draining(True)
         for _ in range(crowd):
             wire = await self.wire()
             wire.send(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
             self.assertEqual((await wire.answer())[0], 503)
             await wire.end()  # and the client does not close its side
-        self.assertEqual((self.gateway.front.connections, listener.is_crowded), (crowd, False))
-        self.gateway.front.set_draining(False)
+        self.assertEqual((self.gateway.http_server.connections, listener.is_crowded), (crowd, False))
+        self.gateway.http_server.set_draining(False)
         await self.served(await self.wire(), 1)
-        self.assertEqual(self.gateway.front.connections, crowd)
+        self.assertEqual(self.gateway.http_server.connections, crowd)
 
     async def test_a_partial_request_at_the_close_of_an_idle_connection_is_ignored(self) -> None:
         """A client has sent a part of a request as its idle connection is closed.
@@ -313,7 +313,7 @@
         self.at_close(wire, lambda: wire.send(encode_request(2)[:30]))
         with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
             await wire.end()
-        await until(lambda: not self.gateway.front.connections, "the connection's end")
+        await until(lambda: not self.gateway.http_server.connections, "the connection's end")
 
     async def test_a_client_that_never_closes_a_half_closed_connection_holds_no_place(self) -> None:
         """A client does not close a connection that the gateway has half-closed.
@@ -324,8 +324,10 @@
         await self.served(wire, 1)
         with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
             await wire.end()
-        self.assertEqual(self.gateway.front.connections, 1)  # the gateway waits for the client's own close
-        await until(lambda: not self.gateway.front.connections, "the end without it")
+        self.assertEqual(
+            self.gateway.http_server.connections, 1
+        )  # the gateway waits for the client's own close
+        await until(lambda: not self.gateway.http_server.connections, "the end without it")
 
     async def test_a_request_timeout_response_reaches_a_client_that_is_still_sending(self) -> None:
         """A client sends its head too slowly and goes on sending as it gets a 408.
@@ -341,8 +343,8 @@
             wire.send(b"y" * 1000)
             await wire.end()
             wire.close()
-            await until(lambda: not self.gateway.front.connections, "the end of the linger")
-        await until(lambda: not self.gateway.front._listener._tasks, "the end of its task")
+            await until(lambda: not self.gateway.http_server.connections, "the end of the linger")
+        await until(lambda: not self.gateway.http_server._listener._tasks, "the end of its task")
 
     async def test_an_unread_rejection_reaches_a_client_that_is_still_sending(self) -> None:
         """Under overload a new connection's request is rejected unread, while its client goes on sending.
@@ -352,7 +354,7 @@
         for name in ("OVERLOAD_AFTER_MS", "MAX_QUEUE_AGE_MS"):
             self.enterContext(PATCH(f"shaletiller.net.connection_limits.{name}", 0.0))
         self.enterContext(PATCH("shaletiller.net.connection_limits.STARTS_PER_TURN", 0))
-        listener, wire = self.gateway.front._listener, await self.wire()
+        listener, wire = self.gateway.http_server._listener, await self.wire()
         wire.send(encode_request(1, "PUT", b"x" * 60000))
         self.at(
             listener.overload, "_retry_after_allowed", lambda: wire.send(b"y" * 1000)
@@ -384,7 +386,7 @@
                 self.at_close(other, lambda wire=other: wire.send(encode_request(3)), before)
                 # `wire` sends one just before: what is read then is answered, and forwarded to no node.
                 self.at(
-                    self.gateway.front,
+                    self.gateway.http_server,
                     "close_after_responses",
                     lambda wire=wire: wire.send(encode_request(4)),
                     before,
@@ -474,7 +476,7 @@
 
         Its client must get a 503 and an end without a reset.
         """
-        listener, wire = self.gateway.front._listener, await self.wire()
+        listener, wire = self.gateway.http_server._listener, await self.wire()
         await until(lambda: not listener.accept_queue, "the first to be started")
         self.enterContext(PATCH.object(listener, "_start_connections", lambda: None))
         late = await self.wire()
@@ -491,7 +493,7 @@
 
         It must be half-closed once it has one, and the request that its client sends then must not be read.
         """
-        listener = self.gateway.front._listener
+        listener = self.gateway.http_server._listener
         late: list[RawClient] = []
 
         def comes() -> None:
@@ -502,7 +504,9 @@
             late.append(RawClient(ours))
             listener._start_connection(AcceptedSocket(listener.clock.now_ms(), theirs))
 
-        self.at(listener, "stop_accepting", comes, before=False, which=lambda: self.gateway.front._closing)
+        self.at(
+            listener, "stop_accepting", comes, before=False, which=lambda: self.gateway.http_server._closing
+        )
         self.at_any_close(lambda: late[0].send(encode_request(1)))
         await asyncio.wait_for(self.stop(), PATIENCE_S)
         await late[0].end()
@@ -771,7 +775,7 @@
         self.comes_up()
         self.accepted.pop().close()
         self.fillers.pop().close()
-        await until(lambda: not self.gateway.front.connections, "the clients' end")
+        await until(lambda: not self.gateway.http_server.connections, "the clients' end")
         self.assertEqual(connections_to(self.port), 0)
         self.full.settimeout(1.5)  # a second after the first SYN each would ask again
         with self.assertRaises(TimeoutError):
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -276,7 +276,7 @@
         host = ScriptedGateway(classes=(keyed,))
         host.request("k")
         if later is not None:
-            host.scheduler.retune(
+            host.scheduler.apply_settings(
                 dataclasses.replace(
                     host.scheduler.settings, classes=(dataclasses.replace(keyed, key_ttl_ms=later),)
                 )
@@ -364,7 +364,7 @@
         wire.send(encode_request(2, "PUT", b"x", Request_Timeout_Ms="400"))
         await self.play("expect n1 PUT 2 x")
         self.gateway.engine._scheduler.handle = lambda now_ms, event: []  # a scheduler that never acts
-        self.gateway.engine._scheduler.retune = lambda settings: None
+        self.gateway.engine._scheduler.apply_settings = lambda settings: None
         read, write, _ = EFFECTS["classes"]
         self.reload_settings(classes=[read, {**write, "effect": "read_like"}], domain=SETTINGS["domain"])
         self.assertEqual((await wire.answer())[0], 502)  # it may have run, so it must not be rejected
@@ -574,7 +574,7 @@
         began = time.monotonic()
         await gateway.start()
         self.addAsyncCleanup(gateway.engine.close)
-        self.addAsyncCleanup(gateway.front.stop, 0.1)
+        self.addAsyncCleanup(gateway.http_server.stop, 0.1)
         self.addAsyncCleanup(gateway._http.close)
         self.addAsyncCleanup(gateway.nvme.stop, 0.1)
         self.addAsyncCleanup(gateway.admin.stop)
@@ -582,7 +582,7 @@
         return time.monotonic() - began, await self.up()
 
     async def up(self) -> int:
-        wire = await RawClient.open(self.second.front.address)
+        wire = await RawClient.open(self.second.http_server.address)
         wire.send(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         status, _ = await wire.answer()
         wire.close()
@@ -604,7 +604,7 @@
                 took, status = await self.starts()
                 self.assertEqual(status, 200)
                 self.assertLess(took, 10.0)  # the operators' limit
-                wire = await RawClient.open(self.second.front.address)
+                wire = await RawClient.open(self.second.http_server.address)
                 wire.send(encode_request(1))
                 await self.play("expect n1 GET 1\nsend n1 200 ok")
                 self.assertEqual(await wire.answer(), (200, b"ok"))
@@ -646,7 +646,7 @@
         rows = [self.row("n1", "leaving"), self.row("n2", "active")]
         await Server.send(agent, "200", json.dumps({"version": 9, "full": True, "servers": rows}))
         await until(lambda: self.second.discovery._version == 9, "the new list")
-        wire = await RawClient.open(self.second.front.address)
+        wire = await RawClient.open(self.second.http_server.address)
         wire.send(encode_request(1, Request_Timeout_Ms="200"))
         self.assertEqual((await wire.answer())[0], 503)  # it has been draining for an unknown time
         self.assertEqual(self.came, 0)
@@ -659,15 +659,15 @@
     sockets = 64
 
     async def assert_nothing_left(self) -> None:
-        await until(lambda: not self.gateway.front.connections, "no connection to be left")
-        listener = self.gateway.front._listener
+        await until(lambda: not self.gateway.http_server.connections, "no connection to be left")
+        listener = self.gateway.http_server._listener
         self.assertFalse(listener.accept_queue or listener.overload or self.gateway.engine.exchanges)
         await until(
             lambda: not listener._tasks and not self.gateway.engine.attempts.in_flight, "no task to be left"
         )
 
     async def flood(self, act: Any, count: int = 300) -> None:
-        address, most = self.gateway.front.address, 0
+        address, most = self.gateway.http_server.address, 0
 
         async def one(number: int) -> None:
             nonlocal most
@@ -677,7 +677,7 @@
             except (OSError, AssertionError):
                 pass  # rejected
             finally:
-                most = max(most, self.gateway.front.connections)
+                most = max(most, self.gateway.http_server.connections)
                 wire.close()
 
         for at in range(0, count, 50):
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -249,7 +249,7 @@
         )
         await self.play("wait 500")
         with self.assertRaises(ConnectionError):
-            await asyncio.open_connection(*self.gateway.front.address)
+            await asyncio.open_connection(*self.gateway.http_server.address)
         node = await self.party("n1")
         node.current = next(writer for writer in node.writers if writer is not node.current)
         await self.play(
@@ -443,7 +443,7 @@
         aiohttp's handler must never run for them.
         """
         long = unittest.mock.AsyncMock()
-        with unittest.mock.patch.object(self.gateway.front._listener._server, "request_handler", long):
+        with unittest.mock.patch.object(self.gateway.http_server._listener._server, "request_handler", long):
             await self.play("""
                 send c1 PUT 5 hello
                 expect n1 PUT 5 hello
@@ -492,7 +492,7 @@
         The second must not be handled before the first has its response: clients match them by order.
         """
         offered: list[str] = []
-        listener, patch = self.gateway.front._listener, unittest.mock.patch.object
+        listener, patch = self.gateway.http_server._listener, unittest.mock.patch.object
         self.enterContext(patch(listener, "fast_path", lambda _, head, body: not offered.append(head.path)))
         long = self.enterContext(patch(listener._server, "request_handler", unittest.mock.AsyncMock()))
         transport = unittest.mock.Mock(spec=asyncio.Transport)
@@ -559,7 +559,7 @@
         self.assertGreater(crowd, self.sockets / 3)  # so many may wait for responses
         for number in range(crowd - 1):
             await self.play(f"send c{number} GET up\nexpect c{number} 200")
-        self.assertEqual(self.gateway.front.connections, crowd - 1)
+        self.assertEqual(self.gateway.http_server.connections, crowd - 1)
         await self.play(
             "send c97 raw ''\n"
             "send c98 GET 1 shard=9 timeout=50\nexpect c98 503 Connection=close\nexpect c98 end\n"
@@ -576,7 +576,7 @@
         for name in ("OVERLOAD_AFTER_MS", "MAX_QUEUE_AGE_MS"):
             self.enterContext(unittest.mock.patch(f"shaletiller.net.connection_limits.{name}", 0.0))
         self.enterContext(unittest.mock.patch("shaletiller.net.connection_limits.STARTS_PER_TURN", 1))
-        clients = [socket.create_connection(self.gateway.front.address) for _ in range(8)]
+        clients = [socket.create_connection(self.gateway.http_server.address) for _ in range(8)]
         for each in clients[:-3]:
             each.sendall(b"PUT /api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\n\r\n")  # would be a 400
         clients[0].sendall(b"GET /api?key=0000000000000001 HTTP/1.1\r\n")
@@ -613,7 +613,7 @@
             await self.fill("send cN GET up\nexpect cN 200")
             client = await self.party("c0")
             client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")  # still unread
-            listener = self.gateway.front._listener
+            listener = self.gateway.http_server._listener
             self.assertTrue(listener._free_place())
             await self.play("expect c0 200\nexpect c1 end")
 
@@ -728,7 +728,7 @@
 
         These must be closed without being started.
         """
-        listener, pairs = self.gateway.front._listener, [socket.socketpair() for _ in range(3)]
+        listener, pairs = self.gateway.http_server._listener, [socket.socketpair() for _ in range(3)]
         pairs[0][0].sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         pairs[0][0].close()  # it will not read a response any more
         pairs[1][0].close()
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -685,7 +685,7 @@
     scheduler = gateway.scheduler
     round_ms = scheduler.state.site.round_ms
     new = settings(classes=(replace(SAFE, name="other"), SAFE), plans=(limited,))
-    scheduler.retune(new)
+    scheduler.apply_settings(new)
     site = scheduler.state.site
     assert site.round_ms > round_ms
     assert site.highest_value == SAFE.priority_weight * limited.value_factor
@@ -700,7 +700,7 @@
     assert gateway.finals("limited")
     assert "limited" not in gateway.sent()
     gateway.end_attempt("pending")
-    scheduler.retune(new)
+    scheduler.apply_settings(new)
     assert set(scheduler.state.site.class_specs) == {"other", "read"}
     assert len(upstream.queues) == 6
     assert in_flight(upstream) == 0
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -84,9 +84,9 @@
         changed = entry(node, shard, state=state, started_ms=started_ms)
         self.gateway.handle(EndpointListUpdate(UpdateKind.CHANGES, (changed,)))
 
-    def retune(self) -> None:
+    def apply_settings(self) -> None:
         classes = CLASSES if self.random.random() < 0.5 else CLASSES[::-1]
-        self.gateway.scheduler.retune(settings(classes=classes, plans=PLANS, ordering_gap_ms=50.0))
+        self.gateway.scheduler.apply_settings(settings(classes=classes, plans=PLANS, ordering_gap_ms=50.0))
 
     def step(self) -> None:
         weights = {
@@ -95,7 +95,7 @@
             self.disconnect: 3,
             self.response: 2,
             self.endpoints: 2,
-            self.retune: 1,
+            self.apply_settings: 1,
         }
         self.random.choices(list(weights), list(weights.values()))[0]()
 
--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -122,7 +122,7 @@
 
         async def one(number: int) -> tuple[int, bytes, int]:
             kind, tier, fate, tenant = plan[number]
-            wire = await RawClient.open(self.gateway.front.address)
+            wire = await RawClient.open(self.gateway.http_server.address)
             write, shard = WRITES[kind], 7 if fate == "no node" else 1
             key = {"Idempotency_Key": f"k{number}"} if EFFECTS[kind] == "idempotency_key" else {}
             wire.send(
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -105,7 +105,7 @@
 
 class Client(Party):
     async def start(self) -> None:
-        self.reader, self.writer = await asyncio.open_connection(*self.scene.gateway.front.address)
+        self.reader, self.writer = await asyncio.open_connection(*self.scene.gateway.http_server.address)
 
     async def send(self, method: str, number: str, *rest: str, **heads: str) -> None:
         if method == "raw":
@@ -480,7 +480,7 @@
         for party in self.parties.values():
             await party.stop()
         await self.gateway.engine.close()
-        await self.gateway.front.stop(0.1)
+        await self.gateway.http_server.stop(0.1)
         for back in (self.gateway._http, *self.gateway._nvme_clients.values()):
             await back.close()
         if self.gateway.nvme is not None:
