--- a/shaletiller/config/operator_model.py
+++ b/shaletiller/config/operator_model.py
@@ -102,7 +102,7 @@
     """The store: a directory that survives the process, on a disk that keeps what was synced.
 
     `dir` is empty where there is none.  `segment_mb` is the size of its files.  `drill` names a file of
-    faults to inject below the store, for drills only (`store/files.py`).
+    faults to inject below the store, for drills only (`store/file_system.py`).
     """
 
     dir: str = ""
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -144,10 +144,9 @@
             return None
         from shaletiller.net.fleet import FleetAgent
 
-        agent = FleetAgent(
+        return FleetAgent(
             self.config, operator.fleet, self.engine, self._clock, self.discovery.apply_peer_report
         )
-        return agent
 
     def _make_replication_agent(self) -> ReplicationAgent | None:
         operator = self.config.operator
@@ -155,7 +154,7 @@
             return None
         from shaletiller.net.replication.agent import ReplicationAgent
 
-        agent = ReplicationAgent(
+        return ReplicationAgent(
             operator,
             self.fleet,
             self.engine,
@@ -165,7 +164,6 @@
             self.http_server,
             self._load_stored_list,
         )
-        return agent
 
     def _make_admin_server(self) -> AdminServer | None:
         if self.config.admin is None:
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -44,6 +44,7 @@
 from shaletiller.replication.records import decode_row as read_row
 from shaletiller.replication.records import decode_value as read_says
 from shaletiller.settings import decoder
+from shaletiller.settings.errors import SettingsError
 from shaletiller.store import segment_store, writer
 
 FLEET_KINDS = {
@@ -161,7 +162,7 @@
     endpoint_lists.LIST_PREFIX,
     lease_tables.LEASE_PREFIX,
 )
-FaultyConfig, FaultyFile = config.ConfigError, OperatorFileError
+FaultyConfig, FaultyFile, FaultySettings = config.ConfigError, OperatorFileError, SettingsError
 pack_part, bucket_of = codec.encode, acceptor.digest_bucket
 read_settings, read_config, simulator_reads = decoder.read_settings, config.read_config, adapter.read_batch
 
@@ -657,7 +658,7 @@
 
 @pytest.mark.parametrize(("path", "value", "told"), FAULTS)
 def test_a_faulty_setting_is_named_by_the_sites_own_key(path, value, told):
-    with pytest.raises(ValueError) as error:
+    with pytest.raises(FaultySettings) as error:
         read_settings(changed(path, value))
     assert str(error.value).startswith(told)
 
