--- a/shaletiller/core/accept.py
+++ b/shaletiller/core/accept.py
@@ -9,7 +9,7 @@
 from shaletiller.core.model import ClientCall, Exchange, FinalResponse
 from shaletiller.settings.model import ClassSpec, Idempotency, Settings
 
-# Every class may be given a time-out of a minute: below that it is the site's and its clients' affair.
+# Every class accepts a timeout of up to a minute, whatever its deadline.
 MAX_TIMEOUT_MS = 60_000.0
 # A class with a longer limit of its own may be given twice that; beyond, a time-out is a client's mistake.
 DEADLINE_MULTIPLE = 2
--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -61,7 +61,7 @@
 
 MAX_COUNTED_CLASSES = 64  # clients choose class names: they must not grow the counters without end
 # A request without a response gets one so long after its deadline: the scheduler's own response comes first,
-# and the platform allows 50 ms.
+# and the platform allows 50 ms after the deadline.
 DEADLINE_GUARD_MS = 15.0
 
 
@@ -240,14 +240,18 @@
     def respond_to_all(self) -> None:
         """Respond to every request that is in flight, for the process ends."""
         for exchange in list(self.exchanges.values()):
-            self._guard_deadline(exchange)
+            self._end_unanswered(exchange, "the process ends")
 
     def _guard_deadline(self, exchange: Exchange) -> None:
         """Respond to a request that has no response when its deadline has passed."""
+        self._end_unanswered(exchange, "its deadline has passed")
+
+    def _end_unanswered(self, exchange: Exchange, reason: str) -> None:
         if exchange.ended:
             return
-        logger.warning("request %s: no response by its deadline, ended by the guard", exchange.call.id)
         self.respond.give_up(exchange)
+        result = exchange.result.name.lower() if exchange.result is not None else "unknown"
+        logger.warning("request %s: no response but %s: %s", exchange.call.id, reason, result)
         for attempt in exchange.attempts:
             self.attempts.stop(attempt, Outcome.TIMEOUT)
         self.notify(ClientDisconnected(exchange.call.id))
--- a/shaletiller/core/model.py
+++ b/shaletiller/core/model.py
@@ -18,8 +18,9 @@
 class ClientCall:
     """A client's request, as a server decoded it.
 
-    `method`, `target` and `body` are forwarded to the storage node unchanged.  `hosts` is the number of
-    gateways through which the volume's requests come; a `shard` of -1 stands for a new object.
+    `method`, `target` and `body` are forwarded to the storage node unchanged.  `volume_gateways` is the
+    number of gateways through which the volume's requests come, `timeout_ms` all the time that the client gives; a
+    `shard` of -1 stands for a new object.
     """
 
     id: str
@@ -89,10 +90,11 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """A client request from its acceptance to its final response and the end of its last attempt.
+    """A client request from its acceptance to its final response.
 
-    It is owned by the engine until it has its result.  `on_result` is set for writes whose outcome is
-    replicated: it is called once with the response, or with None where the client disconnected.
+    It stands in `Engine.exchanges` until then; its attempts may outlive it in `AttemptSender.in_flight`.
+    `on_result` is set for writes whose outcome is replicated: it is called once with the response, or with
+    None where the client disconnected.
     """
 
     call: ClientCall
--- a/shaletiller/fleet/leases/accounts.py
+++ b/shaletiller/fleet/leases/accounts.py
@@ -69,7 +69,7 @@
             requested = self.units_in_window(now_ms)
             spare = self.max_request_units if requested > 0 else 0.0
             return Allowance(0.0, min(self.limit.burst, HEADROOM_FACTOR * requested + spare))
-        rate = min(self.limit.rate, HEADROOM_FACTOR * self.demand.add(now_ms))
+        rate = min(self.limit.rate, HEADROOM_FACTOR * self.demand.rate(now_ms))
         burst = self.limit.burst * rate / self.limit.rate if self.limit.rate > 0 else 0.0
         spare = self.max_request_units if rate > 0 else 0.0
         return Allowance(rate, min(self.limit.burst, burst + spare))
@@ -129,9 +129,8 @@
             demand=DecayingRate(memory_ms=DEMAND_MEMORY_MS),
             last_used_ms=now_ms,
         )
-        if (
-            previous is not None
-        ):  # the limit was reconfigured: what is lent of the old value must expire first
+        if previous is not None:
+            # The limit was reconfigured: what is lent of the old value must expire first.
             account.quiet_until_ms = max(quiet_until_ms, now_ms + self._timing.pledge_wait_ms + settle_ms)
             account.demand, account.max_request_units = previous.demand, previous.max_request_units
         return account
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -230,7 +230,7 @@
     # ---- start
 
     async def start(self) -> None:
-        """Load the known state, then listen; the HTTP server accepts clients from its own start on."""
+        """Load the known state, then listen; HTTP clients are accepted before the NVMe target is up."""
         self.telemetry = self._make_telemetry()
         # Before the first endpoint list: a node that the previous process had ejected gets no request.
         self.ejections.reload()
@@ -284,22 +284,22 @@
     def reload(self, config: Config) -> None:
         """Apply a new configuration's settings and discovery address under load.
 
-        Requests in flight and the present endpoint list stay.  All other keys need a restart; those that
-        differ are logged.
+        Requests in flight and the present endpoint list stay.  Other keys need a restart; those that differ
+        are logged, except `seed` and `known`, which matter at a start only.
         """
         needs_restart = [key for key in RESTART_KEYS if getattr(config, key) != getattr(self.config, key)]
         if needs_restart:
             logger.warning("reload: not applied before a restart: %s", ", ".join(needs_restart))
         previous = self.config
         if config.settings != previous.settings:
-            self._retune(config.settings)
+            self._apply_settings(config.settings)
         self.config = msgspec.structs.replace(previous, discovery=config.discovery, settings=config.settings)
         if config.discovery != previous.discovery:
             self._move_discovery(config.discovery)
         else:
             logger.info("reload: discovery stays at %s:%d", *config.discovery)
 
-    def _retune(self, settings: Settings) -> None:
+    def _apply_settings(self, settings: Settings) -> None:
         """Apply new settings to all parts."""
         self.engine.apply_settings(settings)
         for client in self._upstream_clients:
--- a/shaletiller/messages/actions.py
+++ b/shaletiller/messages/actions.py
@@ -1,4 +1,8 @@
-"""Actions: what the scheduler asks the gateway to do.  Times are milliseconds."""
+"""Actions: what the scheduler asks the gateway to do.  Times are milliseconds.
+
+The present policy sends no health checks or peer messages, fetches no list and closes no idle connections:
+those actions belong to the simulator's wire and to the engine's interface.
+"""
 
 from __future__ import annotations
 
--- a/shaletiller/messages/events.py
+++ b/shaletiller/messages/events.py
@@ -68,7 +68,10 @@
 
 
 class ResponseStarted(Message, frozen=True):
-    """The response has begun to reach the client, which owns the attempt from here on."""
+    """The response has begun to reach the client: the attempt is neither hedged nor given up any more.
+
+    Sent by the simulator only; the gateway forwards complete responses.
+    """
 
     request: str
     attempt: int
--- a/shaletiller/net/http_upstream.py
+++ b/shaletiller/net/http_upstream.py
@@ -270,9 +270,8 @@
     async def _read_body(headers: Mapping[str, str], content: aiohttp.StreamReader) -> bytes | None:
         """Read a response's body.
 
-        :returns: None, and the connection must not be used again, if the body is too large, has no defined
-        end,
-            or stops half way.
+        :returns: None if the body is too large, has no defined end or stops half way; the connection must
+            then not be used again.
         """
         length = headers.get("Content-Length")
         has_defined_end = (length is None) != (headers.get("Transfer-Encoding") is None)
--- a/shaletiller/net/nvme/io_commands.py
+++ b/shaletiller/net/nvme/io_commands.py
@@ -86,9 +86,8 @@
             return
         pending.missing_bytes = size
         command_id = pending.command.command_id
-        self._queue.stream.send(
-            r2t(command_id, command_id, 0, size)
-        )  # the command id is its transfer tag too
+        # The command id is the transfer tag, too.
+        self._queue.stream.send(r2t(command_id, command_id, 0, size))
 
     def receive_data(self, pdu: Pdu) -> None:
         """Take an H2CData PDU; with the last one the Write is submitted.
--- a/shaletiller/net/replication/agent.py
+++ b/shaletiller/net/replication/agent.py
@@ -59,8 +59,8 @@
         self.node = ReplicationNode(member.me, groups, None, now_ms, settings.repair_bytes_a_second)
         self.port = ReplicationPort(self.node, codec, fleet.send, member.membership, clock)
         self._writes = ReplicatedWrites(self.node, int(now_ms), settings.keep_s * 1000)
-        services = frozenset(row.name for row in settings.class_ if row.level == "copied")
-        self.writes = WriteReplicator(self.port, self._writes, engine, clock, services)
+        replicated_classes = frozenset(row.name for row in settings.class_ if row.level == "copied")
+        self.writes = WriteReplicator(self.port, self._writes, engine, clock, replicated_classes)
         self.commands = ReplicatedCommands(
             self.port, fleet.coordinator, ejections, drain_switch, clock, gateway
         )
--- a/shaletiller/net/replication/writes.py
+++ b/shaletiller/net/replication/writes.py
@@ -38,11 +38,11 @@
         writes: ReplicatedWrites,
         engine: Engine,
         clock: Clock,
-        services: frozenset[str],
+        replicated_classes: frozenset[str],
     ) -> None:
         """Replicate the writes of these classes."""
         self._port, self._writes, self._engine, self._clock = port, writes, engine, clock
-        self._services = services
+        self._replicated_classes = replicated_classes
         self._exchanges: dict[int, Exchange] = {}
         self._number = 0
         port.subscribe(self)
@@ -53,7 +53,7 @@
         :returns: False for any other request, which the engine admits itself.
         """
         call = exchange.call
-        if call.request_class not in self._services or not call.write:
+        if call.request_class not in self._replicated_classes or not call.write:
             return False
         key = register_key(call)
         if not self._port.group_has_majority(key):
@@ -115,7 +115,7 @@
 def register_key(call: ClientCall) -> str:
     """Return the key that the attempts of one write share.
 
-    That is its class, its tenant's volume, and its idempotency key, or else its own id; hashed where that is
+    That is its class, its volume, and its idempotency key, or else its own id; hashed where that is
     too long for a key.
     """
     key = f"w:{call.request_class}:{call.volume}:{call.idempotency_key or call.id}"
--- a/shaletiller/policy/admission.py
+++ b/shaletiller/policy/admission.py
@@ -43,7 +43,7 @@
         upstream = self.endpoints.upstream_for(request.shard)
         pending = PendingRequest.create(request, spec, volume, upstream, state.now_ms, UNREACHED_PART)
         state.pending[pending.id] = pending
-        if not self.limits.rate_limit_allows(pending):
+        if not self.limits.check_rate_limit(pending):
             self.completion.give_up(pending)
         elif pending.spec.ordered and request.object_key:
             self.ordering.enqueue(pending)
@@ -76,8 +76,8 @@
     def _can_be_in_time(self, pending: PendingRequest, upstream: Upstream) -> bool:
         """Whether a request that waits here is expected to meet its latency objective.
 
-        A node that is too slow for a request gets it as a trial only, which is half a latency off on average;
-        excess work would wait for its turn in vain.
+        A node that is too slow for a request gets it as a trial only: the next one is half a latency away on
+        average, and excess work would wait for it in vain.
         """
         too_slow = self.capacity.is_too_slow(pending, upstream)
         if too_slow and pending.queue.spec.key.tier is Tier.EXCESS:
--- a/shaletiller/policy/capacity_check.py
+++ b/shaletiller/policy/capacity_check.py
@@ -39,10 +39,10 @@
         part = min(1.0, in_use / (settings.shards or in_use or 1))
         self._gateways_per_node = settings.gateways * part
 
-    def allows(self, pending: PendingRequest, upstream: Upstream, joins_batch: bool = False) -> bool:
+    def allows(self, pending: PendingRequest, upstream: Upstream, ignore_latency: bool = False) -> bool:
         """Whether a request may be sent to the upstream's node now.
 
-        :param joins_batch: it follows a request for the same object, whose node need not be quick enough.
+        :param ignore_latency: for the same object as one just sent, or a hedge: a slow node will do, too.
         """
         if not self._endpoints.takes_work(upstream):
             return False
@@ -51,7 +51,7 @@
         in_flight = upstream.in_flight_units
         if in_flight > 0 and upstream.concurrency_limit - in_flight < pending.units:
             return False
-        too_slow = not joins_batch and self.is_too_slow(pending, upstream)
+        too_slow = not ignore_latency and self.is_too_slow(pending, upstream)
         if too_slow and not self._is_trial(pending, upstream):
             return False
         return self._slow_start_allows(upstream, pending.units)
--- a/shaletiller/policy/completion.py
+++ b/shaletiller/policy/completion.py
@@ -54,7 +54,7 @@
             self.finish(pending)
 
     def answer_expiring(self) -> None:
-        """Give up what would pass its deadline unanswered before the next round, or in its timer's tick."""
+        """Give up what would pass its deadline before the next round's timer expires, a tick late at most."""
         last_ms = self.state.next_round_ms + self.state.site.settings.tick_ms
         for pending in list(self.state.pending.values()):
             waits = not pending.attempts_in_flight and not pending.response_started
--- a/shaletiller/policy/concurrency_limit.py
+++ b/shaletiller/policy/concurrency_limit.py
@@ -43,7 +43,7 @@
     queues = upstream.queues.values()
     demands = [
         Demand(
-            rounded_rate(queue.arrivals.add(now_ms)),
+            rounded_rate(queue.arrivals.rate(now_ms)),
             queue.spec.priority_weight,
             site.settings.mean_units,
             queue.spec.rounds,
--- a/shaletiller/policy/dispatch.py
+++ b/shaletiller/policy/dispatch.py
@@ -12,10 +12,10 @@
 from shaletiller.policy.completion import RequestCompletion
 from shaletiller.policy.endpoint_table import EndpointTable
 from shaletiller.policy.key_ordering import KeyOrdering
-from shaletiller.policy.latency_threshold import attempt_timeout_ms
+from shaletiller.policy.latency_threshold import overdue_after_ms
 from shaletiller.policy.retries import RetryPolicy
 from shaletiller.policy.volume_limits import VolumeLimits
-from shaletiller.state.records import Attempt, PendingRequest, RequestQueue, Upstream
+from shaletiller.state.records import AttemptInFlight, PendingRequest, RequestQueue, Upstream
 from shaletiller.state.runtime import PolicyState
 
 
@@ -91,7 +91,7 @@
         key = head.request.object_key
         run = [each for each in queue.requests if each is head or each.request.object_key == key != ""]
         for each in run:
-            if each is head or self.capacity.allows(each, upstream, joins_batch=True):
+            if each is head or self.capacity.allows(each, upstream, ignore_latency=True):
                 queue.requests.remove(each)
                 self._take_slot(each, batch)
         return True
@@ -122,12 +122,12 @@
     def _start_attempt(self, pending: PendingRequest) -> None:
         state, upstream, node = self.state, pending.upstream, pending.upstream.node or ""
         zone, number = self.endpoints.zone_of(node), pending.attempts_started
-        state.attempts[pending.id, number] = Attempt(pending, upstream, node, zone, state.now_ms)
+        state.attempts[pending.id, number] = AttemptInFlight(pending, upstream, node, zone, state.now_ms)
         pending.attempts_started += 1
         pending.attempts_in_flight += 1
         self.ordering.record_sent(pending)
         window_ms = self.retries.start_window_ms(pending)
         state.actions.append(SendAttempt(pending.id, node, start_within_ms=window_ms))
-        timeout_ms = attempt_timeout_ms(pending, state.latency)
+        timeout_ms = overdue_after_ms(pending, state.latency)
         if state.now_ms + timeout_ms < pending.deadline_ms:  # by its deadline the attempt has ended anyway
             state.actions.append(StartTimer(timeout_ms, AttemptOverdueTimer(pending.id, number)))
--- a/shaletiller/policy/endpoint_table.py
+++ b/shaletiller/policy/endpoint_table.py
@@ -127,7 +127,7 @@
         return max(upstreams, key=lambda each: (self._free_units(each), -each.shard))
 
     def _free_units(self, upstream: Upstream) -> float:
-        failed = upstream.failed_units.add(self._state.now_ms)
+        failed = upstream.failed_units.rate(self._state.now_ms)
         return upstream.concurrency_limit - upstream.in_flight_units - failed
 
     def rearrange_queues(self) -> None:
--- a/shaletiller/policy/latency_threshold.py
+++ b/shaletiller/policy/latency_threshold.py
@@ -50,7 +50,7 @@
         return self._tightest_ms * (LOWEST_VALUE_PART + (HIGHEST_VALUE_PART - LOWEST_VALUE_PART) * value)
 
 
-def attempt_timeout_ms(pending: PendingRequest, latency: LatencyEstimates) -> float:
+def overdue_after_ms(pending: PendingRequest, latency: LatencyEstimates) -> float:
     """Return how long an attempt may take before it is overdue.
 
     By the expected latency of its class and node, doubled with each attempt overdue since its last response.
--- a/shaletiller/policy/outcomes.py
+++ b/shaletiller/policy/outcomes.py
@@ -14,10 +14,10 @@
 from shaletiller.policy.dispatch import Dispatcher
 from shaletiller.policy.endpoint_table import EndpointTable
 from shaletiller.policy.key_ordering import KeyOrdering
-from shaletiller.policy.latency_threshold import LatencyThreshold, attempt_timeout_ms
+from shaletiller.policy.latency_threshold import LatencyThreshold, overdue_after_ms
 from shaletiller.policy.retries import RetryPolicy
 from shaletiller.settings.model import Idempotency
-from shaletiller.state.records import Attempt, PendingRequest
+from shaletiller.state.records import AttemptInFlight, PendingRequest
 from shaletiller.state.runtime import PolicyState
 
 # Overdue attempts are taken for lost, and their slots for free, while more than this share of them is never
@@ -46,7 +46,7 @@
         pending = attempt.pending
         pending.attempts_in_flight -= 1
         attempt.release_slot()
-        if event.latency_ms > attempt_timeout_ms(pending, self.state.latency):
+        if event.latency_ms > overdue_after_ms(pending, self.state.latency):
             self.state.latency.record_overdue(event.outcome)
         # After the process stood still, what it finds waiting says nothing about the nodes.
         if attempt.node == attempt.upstream.node and self.state.now_ms != self.state.resumed_ms:
@@ -65,7 +65,7 @@
         if event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED):
             self.dispatcher.release(attempt.upstream)
 
-    def _learn(self, attempt: Attempt, event: AttemptEnded) -> None:
+    def _learn(self, attempt: AttemptInFlight, event: AttemptEnded) -> None:
         """Judge the node by an outcome.
 
         Errors and resets do not lower its concurrency limit: they say nothing about load, and a sound node
@@ -80,7 +80,7 @@
             self.endpoints.record_rejection(attempt.node)
             upstream.on_time_balance -= 1
 
-    def _learn_response(self, attempt: Attempt, latency_ms: float) -> None:
+    def _learn_response(self, attempt: AttemptInFlight, latency_ms: float) -> None:
         pending, upstream, now_ms = attempt.pending, attempt.upstream, self.state.now_ms
         upstream.overdue_streak = 0
         self.endpoints.record_response(attempt.node)
@@ -128,7 +128,7 @@
         if timer.request in self.state.pending and not pending.response_started and in_time:
             self._hedge(attempt, timer.attempt)
 
-    def _hedge(self, attempt: Attempt, number: int) -> None:
+    def _hedge(self, attempt: AttemptInFlight, number: int) -> None:
         """Send a hedged request beside an attempt, which counts as executed; or cancel the attempt first.
 
         As in "The Tail at Scale" (J. Dean, L. Barroso, 2013).  Without hedging the outcome of the cancelled
@@ -141,7 +141,7 @@
         if not settings.hedging_allowed:
             if settings.cancellation_allowed:
                 self.state.actions.append(CancelAttempt(pending.id, number))
-        elif self.capacity.allows(pending, pending.upstream, joins_batch=True):
+        elif self.capacity.allows(pending, pending.upstream, ignore_latency=True):
             pending.possibly_executed = pending.possibly_executed or attempt
             if self.retries.idempotency_allows(pending):
                 self.dispatcher.send_now(pending)
--- a/shaletiller/policy/volume_limits.py
+++ b/shaletiller/policy/volume_limits.py
@@ -29,7 +29,7 @@
     state: PolicyState
     fairness: ClassFairness
 
-    def rate_limit_allows(self, pending: PendingRequest) -> bool:
+    def check_rate_limit(self, pending: PendingRequest) -> bool:
         """Rate limit: whether the volume's bucket has tokens for a request and all unsent ones before it.
 
         The limit holds for all gateways together and must never be exceeded.  So each spends its even part
@@ -99,10 +99,10 @@
         site, now_ms = self.state.site, self.state.now_ms
         mean_units = site.settings.mean_units
         node_rate = upstream.concurrency_limit * 1000 / site.round_ms
-        reserved = sum(queue.arrivals.add(now_ms) for queue in upstream.reserved_queues) * mean_units
+        reserved = sum(queue.arrivals.rate(now_ms) for queue in upstream.reserved_queues) * mean_units
         # A volume takes part while it requests half a mean request a second or more.
         demands = upstream.excess_demand.items()
-        taking_part = [name for name, demand in demands if demand.add(now_ms) >= mean_units / 2]
+        taking_part = [name for name, demand in demands if demand.rate(now_ms) >= mean_units / 2]
         weight = sum(self.state.volumes[name].plan.weight for name in taking_part)
         return (
             max(0.0, node_rate - reserved) * volume.plan.weight / max(weight, volume.plan.weight, MIN_WEIGHT)
--- a/shaletiller/rate_counters.py
+++ b/shaletiller/rate_counters.py
@@ -50,6 +50,10 @@
         self.at_ms = now_ms
         return self.total * 1000 / self.memory_ms
 
+    def rate(self, now_ms: float) -> float:
+        """Return the rate a second."""
+        return self.add(now_ms)
+
 
 class SlidingWindowSum:
     """A sliding-window log: the exact sum of what was counted within a window that ends now."""
--- a/shaletiller/replication/writes.py
+++ b/shaletiller/replication/writes.py
@@ -24,9 +24,8 @@
 
 # A claim that takes longer leaves too little of the request's time for the write itself.
 MAX_CLAIM_MS, MAX_CLAIM_PART = 400.0, 0.4
-CLEANUP_MS = (
-    30_000.0  # how long a record that no client waits for is tried; afterwards the key reads "failed"
-)
+# How long a record that no client waits for is tried; afterwards the key reads "failed".
+CLEANUP_MS = 30_000.0
 CLOCK_MARGIN_MS = 2_000.0  # records outlive their retention by this much, since clocks differ by a second
 MIN_RETRY_AFTER_MS = 20.0  # empirical: an immediate retry would find the same intent
 NO_MAJORITY_RETRY_AFTER_MS = 500.0  # empirical: load of retries against delay once the majority is back
--- a/shaletiller/state/records.py
+++ b/shaletiller/state/records.py
@@ -80,9 +80,8 @@
     last_response_ms: float = -math.inf
     warming_up_since_ms: float | None = None
     warm_up_sends: SlidingWindowSum = field(default_factory=SlidingWindowSum)  # units
-    excess_demand: dict[str, DecayingRate] = field(
-        default_factory=dict
-    )  # units past the reservation, by volume
+    # Units requested past the reservation, by volume.
+    excess_demand: dict[str, DecayingRate] = field(default_factory=dict)
     failed_units: DecayingRate = field(default_factory=DecayingRate)  # units a second that failed
 
     def arrange_queues(self, specs: Sequence[QueueSpec], initial_slots: int) -> None:
@@ -99,7 +98,7 @@
         )
         self.reserved_queues = [queue for key, queue in self.queues.items() if key.tier is Tier.RESERVED]
 
-    def migrate_to(self, node: str | None, attempts: Iterable[Attempt]) -> None:
+    def migrate_to(self, node: str | None, attempts: Iterable[AttemptInFlight]) -> None:
         """Another node serves the shard: attempts in flight at the previous one hold no slot of this one."""
         self.node, self.in_flight_units, self.overdue_streak = node, 0.0, 0
         for queue in self.queues.values():
@@ -140,7 +139,7 @@
     drawn_from: TokenBucket | None = None
     attempts_started: int = 0
     attempts_in_flight: int = 0
-    possibly_executed: Attempt | None = None
+    possibly_executed: AttemptInFlight | None = None
     queued: bool = False
     response_started: bool = False
 
@@ -180,7 +179,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class AttemptInFlight:
     """An attempt whose outcome is not known yet."""
 
     pending: PendingRequest
--- a/shaletiller/state/runtime.py
+++ b/shaletiller/state/runtime.py
@@ -8,7 +8,7 @@
 from shaletiller.messages.actions import Action
 from shaletiller.settings.model import Settings
 from shaletiller.state.latency import LatencyEstimates
-from shaletiller.state.records import Attempt, KeyQueue, PendingRequest
+from shaletiller.state.records import AttemptInFlight, KeyQueue, PendingRequest
 from shaletiller.state.site import SiteSettings
 from shaletiller.state.volumes import VolumeTable
 
@@ -30,7 +30,7 @@
     resumed_ms: float = -math.inf
     next_round_ms: float = math.inf
     pending: dict[str, PendingRequest] = field(default_factory=dict)  # by request id
-    attempts: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # by request id and number
+    attempts: dict[tuple[str, int], AttemptInFlight] = field(default_factory=dict)  # by request id and number
     key_queues: dict[str, KeyQueue] = field(default_factory=dict)  # by object key
     actions: list[Action] = field(default_factory=list)
 
