--- a/shaletiller/core/model.py
+++ b/shaletiller/core/model.py
@@ -19,8 +19,8 @@
     """A client's request, as a server decoded it.
 
     `method`, `target` and `body` are forwarded to the storage node unchanged.  `volume_gateways` is the
-    number of gateways through which the volume's requests come, `timeout_ms` all the time that the client gives; a
-    `shard` of -1 stands for a new object.
+    number of gateways through which the volume's requests come, `timeout_ms` all the time that the client
+    gives; a `shard` of -1 stands for a new object.
     """
 
     id: str
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -505,8 +505,8 @@
                 )
                 update = next(each for each in seen if isinstance(each, EndpointListUpdate))
                 waited = self.gateway._clock.now_ms() - answered
-                self.assertGreater(update.late_ms, 90.0 if how != "silent" else 0.0)
-                self.assertLess(update.late_ms, waited + 50.0)
+                self.assertGreater(update.staleness_ms, 90.0 if how != "silent" else 0.0)
+                self.assertLess(update.staleness_ms, waited + 50.0)
                 await self.asyncTearDown()
                 await self.asyncSetUp()
 
@@ -525,7 +525,7 @@
         await until(
             lambda: len([each for each in seen if isinstance(each, EndpointListUpdate)]) == 3, "the lists"
         )
-        self.assertEqual(seen[-1].late_ms, 0.0)
+        self.assertEqual(seen[-1].staleness_ms, 0.0)
 
     async def test_after_the_grace_a_node_gets_no_requests_and_those_in_progress_are_answered(self) -> None:
         """A node drains, and its grace period ends while it has a request in progress.
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -373,7 +373,7 @@
 
     async def test_the_scheduler_may_request_the_full_list(self) -> None:
         """The scheduler requests the full list; the call must be made beside the watch."""
-        self.gateway.engine.fetch_list()
+        self.gateway.engine._services.fetch_endpoint_list()
         await self.play("wait 50")
         node = await self.party("d")
         calls = [node.came.get_nowait()[0] for _ in range(2)]
@@ -408,7 +408,7 @@
             expect c1 200
         """)
         (done,) = (event for event in seen if isinstance(event, AttemptEnded))
-        self.assertEqual((done.used, done.report), (1.0, (("inflight", 7.0),)))
+        self.assertEqual((done.usage_percent_plus_one, done.load_report), (1.0, (("inflight", 7.0),)))
 
 
 class IdleNodeConnections(Scenario):
@@ -830,7 +830,11 @@
             with self.subTest(figure[:40]):
                 seen = self.seen()
                 await self.answer(ok % figure, "expect c1 200 ok")
-                done = [(each.used, each.report) for each in seen if isinstance(each, AttemptEnded)]
+                done = [
+                    (each.usage_percent_plus_one, each.load_report)
+                    for each in seen
+                    if isinstance(each, AttemptEnded)
+                ]
                 self.assertEqual(done, [(0.0, ())])
 
 
@@ -909,7 +913,7 @@
 
         That list may be older than the new one's, and must be ignored.
         """
-        self.gateway.engine.fetch_list()  # beside the watch, and not cancelled with it
+        self.gateway.engine._services.fetch_endpoint_list()  # beside the watch, and not cancelled with it
         agent = await self.party("d")
         calls = [await agent.next() for _ in range(2)]
         agent.current = next(call[3] for call in calls if "since" not in call[0])
