--- /dev/null
+++ b/tests/conftest.py
@@ -0,0 +1,41 @@
+"""Tests listed in KNOWN-RED.txt run as all others; their failure is printed and does not fail the run."""
+
+from __future__ import annotations
+
+from collections.abc import Generator
+from pathlib import Path
+
+import pytest
+
+KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
+
+
+def known_red() -> set[str]:
+    """The node ids in KNOWN-RED.txt: the lines that begin with `test: `."""
+    if not KNOWN_RED.exists():
+        return set()
+    lines = KNOWN_RED.read_text().splitlines()
+    return {line.removeprefix("test: ").strip() for line in lines if line.startswith("test: ")}
+
+
+@pytest.hookimpl(wrapper=True)
+def pytest_runtest_makereport(
+    item: pytest.Item, call: pytest.CallInfo[None]
+) -> Generator[None, pytest.TestReport, pytest.TestReport]:
+    """Report the failure of a listed test as expected; a listed test that passes counts as passed."""
+    report = yield
+    if report.failed and item.nodeid in known_red():
+        report.outcome = "skipped"
+        report.wasxfail = "listed in KNOWN-RED.txt"
+    return report
+
+
+def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
+    """Print the listed tests, and which of them failed."""
+    listed = known_red()
+    if not listed:
+        return
+    failed = {report.nodeid for report in terminalreporter.stats.get("xfailed", [])}
+    terminalreporter.section("KNOWN-RED.txt")
+    for test in sorted(listed):
+        terminalreporter.line(f"{test}: {'failed' if test in failed else 'did not fail'}")
