--- a/shaletiller/lab/cli.py
+++ b/shaletiller/lab/cli.py
@@ -108,7 +108,9 @@
     """Real processes whose discovery fails, lies or forgets."""
     try:
         out = asyncio.run(
-            discovery_scenarios.run(gateways, seconds, seed, scenario.load(faults, "discovery"), on=not alone)
+            discovery_scenarios.run(
+                gateways, seconds, seed, scenario.load(faults, "discovery"), fleet_enabled=not alone
+            )
         )
     except (LabError, scenario.ScenarioError) as error:
         typer.echo(f"lab: {error}", err=True)
--- a/shaletiller/lab/discovery_scenarios.py
+++ b/shaletiller/lab/discovery_scenarios.py
@@ -1,29 +1,37 @@
-"""`lab discovery`: real gateway processes whose discovery fails, lies or forgets.
+"""`lab discovery`: real gateway processes whose discovery fails, sends wrong lists, or loses changes.
 
-All gateways send reads to all storage nodes all the time.  Judged, from what nodes, discovery and clients
-wrote down: sends to nodes that had left, or drained past their grace, and of which any gateway had been told;
-the time from a restart to the first request served; that nodes which discovery goes on naming are used; and
-the calls that discovery got.
+All gateways send reads to all storage nodes all the time.  Checked, from what nodes, discovery and clients
+recorded: attempts at nodes that had left, or were draining beyond their grace period, after any gateway had
+been notified of it; the time from a restart to the first request served; that nodes which discovery goes on
+listing are used; and the rate of calls to discovery.
 """
 
 from __future__ import annotations
 
-import asyncio
+import math
 import tempfile
+from collections import Counter
 from pathlib import Path
 from typing import Any
 
-from shaletiller.lab.fleet_scenarios import SHARDS, Rig, count
-from shaletiller.lab.guarantees import Guarantee, Outcome
+from shaletiller.lab.fleet_scenarios import unanswered_requests
+from shaletiller.lab.fleet_testbed import SHARDS, Rig
+from shaletiller.lab.guarantees import Guarantee, Outcome, count
 from shaletiller.lab.load_generator import Load, Stream
 from shaletiller.lab.replication_scenarios import filled
 from shaletiller.lab.scenario import Scenario
-from shaletiller.lab.storage_nodes import now_ms
+from shaletiller.lab.storage_nodes import StorageNode
 
-SPREAD_MS = 500.0  # a change that one gateway was told is acted on by all connected within that
-GRACE_MS = 1_000.0  # a draining node may get work so long
-FIRST_MS = 2_000.0  # from a restart's first answer at the door to the first request served
-CALLS = 25.0  # a second, of each gateway: a watch is a second, a failure's wait 50 ms at the least
+# A change that one gateway was notified of is in force at all connected gateways within this.
+SPREAD_MS = 500.0
+# A draining node may get requests for so long.
+GRACE_MS = 1_000.0
+# From the first answer at the admin port after a restart to the first request served.
+FIRST_RESPONSE_MS = 2_000.0
+# Calls a second of one gateway: a watch lasts a second, and the shortest backoff after a failure is 50 ms.
+MAX_CALLS_PER_S = 25.0
+# A node that is still listed is used by all gateways in this last part of a run; several requests each.
+LAST_USE_MS = 1_500.0
 OPERATOR = """store {
     dir "FOLDER/store"
 }
@@ -34,6 +42,7 @@
 
 
 def settings() -> dict[str, Any]:
+    """Return the settings of all gateways: one class and one plan without a limit."""
     return {
         "tick-ms": 2.0,
         "discovery": "automatic",
@@ -59,121 +68,144 @@
     seed: int,
     scenario: Scenario,
     folder: Path | None = None,
-    on: bool = True,
+    fleet_enabled: bool = True,
 ) -> Outcome:
-    """One run and its verdict; `on`: with the fleet and the store, or each gateway alone."""
-    with tempfile.TemporaryDirectory() as made:
-        of = Rig(
-            gateways, seed, seconds, folder or Path(made), "tcp", settings(), OPERATOR if on else "", on=on
+    """Run a fleet through a scenario, and check its guarantees.
+
+    :param folder: for the gateways' files; by default a temporary one.
+    :param fleet_enabled: with the fleet and stores; otherwise each gateway is alone.
+    """
+    with tempfile.TemporaryDirectory() as temporary:
+        rig = Rig(
+            gateways,
+            seed,
+            seconds,
+            folder or Path(temporary),
+            "tcp",
+            settings(),
+            OPERATOR if fleet_enabled else "",
+            fleet_enabled=fleet_enabled,
         )
-        load = Load({}, seed)
         try:
-            await of.start()
-            if on:
-                await filled(of)
-            load = Load({name: process.port for name, process in of.processes.items()}, seed)
-            of.began_ms = now_ms() + 100.0
+            await rig.start()
+            if fleet_enabled:
+                await filled(rig)
             end_ms = seconds * 1000
-            asked = load.draw(
-                [
-                    Stream(name, 100 + at, "free", "read", 270.0, 0.0, end_ms, SHARDS + 1)
-                    for at, name in enumerate(of.names)
-                ]
-            )
-            units = {each.request: float(each.units) for each in asked}
-            for node in of.nodes:
-                node.units_of = lambda request: units.get(request, 1.0)
-            await asyncio.gather(load.play(asked, of.began_ms), of.play(scenario.faults))
-            stats = {name: await process.stats() for name, process in of.processes.items() if process.alive}
+            streams = [
+                Stream(name, 100 + number, "free", "read", 270.0, 0.0, end_ms, SHARDS + 1)
+                for number, name in enumerate(rig.names)
+            ]
+            load = await rig.run(streams, scenario.faults)
+            stats = await rig.stats()
         finally:
-            await of.stop()
-        return judge(of, load, scenario, stats)
-
-
-def judge(of: Rig, load: Load, scenario: Scenario, stats: dict[str, dict[str, int]]) -> Outcome:
-    """From the records of nodes, discovery and clients."""
-    out = Outcome(f"discovery {scenario.name}", of.seed)
-    out.guarantees.append(_gone(of))
-    out.guarantees += _restarts(of, load)
-    left = {node for node, state in of.discovery.states.items() if state == "left"}
-    last_ms = of.began_ms + of.seconds * 1000 - 1_500.0
-    for node in of.nodes:
-        if node.name not in left and node.state == "up":
-            used = {each.gateway for each in node.attempts if each.at_ms >= last_ms}
-            if used != set(of.names):
-                out.guarantees.append(
-                    Guarantee(
-                        f"gateways that use {node.name} at the end", len(of.names), len(used), "at least"
-                    )
-                )
-    silent = [
-        each
-        for each in load.asked
-        if each.status == 0
-        and not of.processes[each.gateway].was_down(each.due_ms - 50.0, each.ended_ms + 50.0)
-    ]
-    out.guarantees.append(Guarantee("unanswered", 0, len(silent), note=f"{len(load.asked)} requests"))
-    calls: dict[str, int] = {}
-    for at, gateway in of.discovery.calls:
-        if at >= of.began_ms:
-            calls[gateway] = calls.get(gateway, 0) + 1
+            await rig.stop()
+        return judge(rig, load, scenario, stats)
+
+
+def judge(rig: Rig, load: Load, scenario: Scenario, stats: dict[str, dict[str, int]]) -> Outcome:
+    """Check the guarantees from the records of nodes, discovery and clients.
+
+    :param stats: the counters of each gateway, which are only shown.
+    """
+    out = Outcome(f"discovery {scenario.name}", rig.seed)
+    out.guarantees.append(_check_departed_nodes(rig))
+    out.guarantees += _check_restarts(rig, load)
+    out.guarantees += _check_listed_nodes(rig)
+    unanswered = unanswered_requests(rig, load)
+    out.guarantees.append(Guarantee("unanswered", 0, len(unanswered), note=f"{len(load.asked)} requests"))
+    calls = dict(Counter(call.gateway for call in rig.discovery.calls if call.at_ms >= rig.began_ms))
     out.guarantees.append(
         Guarantee(
             "calls to discovery a second, of one gateway",
-            CALLS,
-            max(calls.values(), default=0) / of.seconds,
-            note=f"{sum(calls.values()) / of.seconds:.1f} of all",
+            MAX_CALLS_PER_S,
+            max(calls.values(), default=0) / rig.seconds,
+            note=f"{sum(calls.values()) / rig.seconds:.1f} of all",
         )
     )
     out.figures = {"statuses": count(str(each.status) for each in load.asked), "stats": stats, "calls": calls}
-    out.course = [f"{at / 1000:7.2f} s  {what}" for at, what in of.course]
+    out.course = rig.course_lines()
     return out
 
 
-def _gone(of: Rig) -> Guarantee:
-    """Sends to a node past what any gateway was told of it: drained past its grace, or left."""
-    late, worst = 0, 0.0
-    for node in of.nodes:
-        told = [
-            (of.discovery.told_ms.get((node.name, "leaving")), GRACE_MS),
-            (of.discovery.told_ms.get((node.name, "left")), 0.0),
-        ]
-        ends = [at + more + SPREAD_MS for at, more in told if at is not None]
-        back = [at for at, name, state in of.discovery.changes if name == node.name and state == "active"]
-        if not ends or (back and back[-1] > min(ends) - SPREAD_MS - GRACE_MS):
+def _check_listed_nodes(rig: Rig) -> list[Guarantee]:
+    """Each node that is up and still listed is used by all gateways; only violations are returned."""
+    last_ms = rig.began_ms + rig.seconds * 1000 - LAST_USE_MS
+    found = []
+    for node in rig.nodes:
+        if node.state != "up" or rig.discovery.states.get(node.name) == "left":
             continue
-        for each in node.attempts:
-            # One that has just started hears of it within as long.
-            starts = [end + SPREAD_MS for _, end in of.processes[each.gateway].down if end <= each.at_ms]
-            if each.at_ms > max([min(ends), *starts]):
-                late += 1
-                worst = max(worst, each.at_ms - min(ends))
+        used_by = {attempt.gateway for attempt in node.attempts if attempt.at_ms >= last_ms}
+        if used_by != set(rig.names):
+            name = f"gateways that use {node.name} at the end"
+            found.append(Guarantee(name, len(rig.names), len(used_by), "at least"))
+    return found
+
+
+def _check_departed_nodes(rig: Rig) -> Guarantee:
+    """No gateway sends to a node that has left, or drains beyond its grace, once any was notified of that."""
+    late_ms = [late_ms for node in rig.nodes for late_ms in _late_attempts_ms(rig, node)]
     return Guarantee(
         "sends to nodes that anyone knew to be gone",
         0,
-        late,
-        note=f"the latest {worst:.0f} ms past the bound" if late else "",
+        len(late_ms),
+        note=f"the latest {max(late_ms):.0f} ms past the bound" if late_ms else "",
     )
 
 
-def _restarts(of: Rig, load: Load) -> list[Guarantee]:
-    """From each restart to the first request served there."""
-    worst, number = 0.0, 0
-    for name, process in of.processes.items():
-        for up_ms in process.up_ms[1:]:
-            served = [
-                each.ended_ms
-                for each in load.asked
-                if each.gateway == name and each.status == 200 and each.ended_ms >= up_ms
-            ]
-            number += 1
-            worst = max(worst, min(served, default=float("inf")) - up_ms)
-    return (
-        [
-            Guarantee(
-                "first request served after a restart", FIRST_MS, worst, unit="ms", note=f"{number} restarts"
-            )
+def _late_attempts_ms(rig: Rig, node: StorageNode) -> list[float]:
+    """Return for each attempt at a departed node how late it was, except those that were in time."""
+    bound_ms = _last_use_ms(rig, node)
+    found = []
+    for attempt in node.attempts:
+        # A gateway that has just started is notified of the departure within as long.
+        starts_ms = [
+            span.end_ms + SPREAD_MS
+            for span in rig.processes[attempt.gateway].down
+            if span.end_ms <= attempt.at_ms
         ]
-        if number
-        else []
-    )
+        if attempt.at_ms > max([bound_ms, *starts_ms]):
+            found.append(attempt.at_ms - bound_ms)
+    return found
+
+
+def _last_use_ms(rig: Rig, node: StorageNode) -> float:
+    """Return until when a node may be used; infinity if it has not departed, or is listed again."""
+    first_sent_ms = rig.discovery.first_sent_ms
+    ends_ms = [
+        first_sent_ms[node.name, state] + grace_ms + SPREAD_MS
+        for state, grace_ms in (("leaving", GRACE_MS), ("left", 0.0))
+        if (node.name, state) in first_sent_ms
+    ]
+    if not ends_ms:
+        return math.inf
+    listed_again_ms = [
+        change.at_ms
+        for change in rig.discovery.changes
+        if change.node == node.name and change.state == "active"
+    ]
+    if listed_again_ms and listed_again_ms[-1] > min(ends_ms) - SPREAD_MS - GRACE_MS:
+        return math.inf
+    return min(ends_ms)
+
+
+def _check_restarts(rig: Rig, load: Load) -> list[Guarantee]:
+    """A gateway serves its first request soon after a restart."""
+    waits_ms = [
+        _first_served_ms(load, name, up_ms) - up_ms
+        for name, process in rig.processes.items()
+        for up_ms in process.up_ms[1:]
+    ]
+    if not waits_ms:
+        return []
+    name = "first request served after a restart"
+    note = f"{len(waits_ms)} restarts"
+    return [Guarantee(name, FIRST_RESPONSE_MS, max(0.0, *waits_ms), unit="ms", note=note)]
+
+
+def _first_served_ms(load: Load, gateway: str, since_ms: float) -> float:
+    served_ms = [
+        each.ended_ms
+        for each in load.asked
+        if each.gateway == gateway and each.status == 200 and each.ended_ms >= since_ms
+    ]
+    return min(served_ms, default=math.inf)
--- a/shaletiller/lab/fleet_simulation.py
+++ b/shaletiller/lab/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""The fleet code on a virtual clock: schedules of faults, and how talk and spread grow with the fleet."""
+"""Simulated fleets: many schedules of faults, and how traffic and propagation time grow with the fleet."""
 
 from __future__ import annotations
 
@@ -8,130 +8,162 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import asdict, dataclass, field
 from functools import partial
+from pathlib import Path
 from typing import Any
 
 from shaletiller.fleet.core import FleetOptions
 from shaletiller.fleet.health_gossip import HealthKind
 from shaletiller.fleet.leases import LeaseTiming
 from shaletiller.fleet.quotas import Allowance
-from shaletiller.lab.fault_schedules import Seen, play
-from shaletiller.lab.virtual_network import Limit, World, overshoot, use
-
-MEET_MS = 4_000.0  # a fleet of any size has met by then
-CHUNK = 20
-MOST_LIMITED = 400  # in larger fleets the use of a limit is not looked at: two minutes of rest come before it
+from shaletiller.lab.fault_schedules import ScheduleResult, run_schedule
+from shaletiller.lab.limit_usage import Limit, overshoot, utilization
+from shaletiller.lab.virtual_fleet import VirtualFleet
+
+# Gateways of a fleet of any size know each other by then.
+MEET_MS = 4_000.0
+# Longer than a health record takes to reach all gateways, also with losses, so that records do not overlap.
+RECORD_INTERVAL_MS = 1_500.0
+# Longer than any run: no health record expires in one.
+RECORD_TTL_MS = 3_600_000.0
+# In larger fleets the use of a limit is not measured: two minutes in which own parts are unavailable would
+# come before it.
+MAX_GATEWAYS_WITH_LIMIT = 400
+# Schedules that a worker process takes at a time: empirical, fewer cost calls between processes, more leave
+# cores idle at the end.
+SCHEDULES_PER_CALL = 20
+# Violated schedules that are reported in full.
+MAX_REPORTED_FAILURES = 20
 
 
 @dataclass(slots=True)
-class Size:
-    """A fleet of one size: what it says, and how long news takes."""
+class FleetMeasurement:
+    """Traffic and propagation time of a fleet of one size; the names are those of the JSON report.
+
+    :param loss: probability that a message is lost.
+    :param messages_a_second: sent by one gateway.
+    :param bytes_a_second: sent by one gateway.
+    :param spread_ms: for each health record, the time until all gateways had it.
+    :param use: the part of a limit's rate that was spent, see `utilization`.
+    :param over: units by which the limit was exceeded, see `overshoot`.
+    """
 
     gateways: int
     loss: float
-    messages_a_second: float  # of one gateway
+    messages_a_second: float
     bytes_a_second: float
-    spread_ms: list[float] = field(default_factory=list)  # of each piece of news, until all had it
+    spread_ms: list[float] = field(default_factory=list)
     use: float = 0.0
     over: float = 0.0
 
 
-def at_size(gateways: int, seed: int, loss: float = 0.0, news: int = 8) -> Size:
-    """Bans at random gateways, one after the other, and a limit that one gateway asks for whole."""
-    world = World(gateways, seed, FleetOptions())
-    for link in world.each_link():
+def measure_size(gateways: int, seed: int, loss: float = 0.0, news: int = 8) -> FleetMeasurement:
+    """Eject nodes at random gateways one after the other, while one gateway requests an entire limit.
+
+    :param news: number of nodes ejected.
+    """
+    world = VirtualFleet(gateways, seed, FleetOptions())
+    for link in world.all_links():
         link.loss = loss
     draw = random.Random(f"size {gateways} {seed}")
     for gateway in world.gateways:
         world.time.at(draw.uniform(0, 1_000.0), gateway.start)
     limit = Limit("v:strict", Allowance(400.0, 400.0))
-    # A member's own part rests for a term after its start; with many members that is long.
-    limited = gateways <= MOST_LIMITED
+    limited = gateways <= MAX_GATEWAYS_WITH_LIMIT
+    # A gateway's own part is unavailable for a term after its start; with many gateways that is long.
     settle_ms = MEET_MS + (LeaseTiming.for_members(gateways).pledge_wait_ms if limited else 0.0)
-    end_ms = settle_ms + news * 1_500.0
+    end_ms = settle_ms + news * RECORD_INTERVAL_MS
     if limited:
         world.load(0, limit, 600.0, settle_ms - MEET_MS / 2, end_ms, gateways)
     world.time.run(settle_ms)
     sent, sent_bytes = world.sent, world.sent_bytes
-    found = Size(gateways, loss, 0.0, 0.0)
+    found = FleetMeasurement(gateways, loss, 0.0, 0.0)
     for number in range(news):
-        at_ms, node = settle_ms + number * 1_500.0, f"s-{number}"
-        world.time.run(at_ms)
-        teller = world.gateways[draw.randrange(gateways)]
-        assert teller.fleet is not None
-        teller.fleet.publish_health(node, HealthKind.EJECTED, 0, 1, 3_600_000.0, teller.clock())
-        world.time.run(at_ms + 1_500.0)
-        heard = [when for when, _, which, _, held in world.heard if which == node and held]
-        missing = gateways - len(heard)
-        found.spread_ms.append(max(heard) - at_ms if not missing else float("inf"))
+        at_ms = settle_ms + number * RECORD_INTERVAL_MS
+        found.spread_ms.append(_propagation_ms(world, draw, f"s-{number}", at_ms))
     span_s = (world.time.now_ms - settle_ms) / 1000
     found.messages_a_second = (world.sent - sent) / gateways / span_s
     found.bytes_a_second = (world.sent_bytes - sent_bytes) / gateways / span_s
-    found.use = use(world.spends, limit, settle_ms, end_ms) if limited else float("nan")
+    found.use = utilization(world.spends, limit, settle_ms, end_ms) if limited else float("nan")
     found.over = overshoot(world.spends, limit, world.drift)
     return found
 
 
-def schedules(seeds: Iterable[int], gateways: int, processes: int | None = None) -> list[Seen]:
-    """Play the schedules of these seeds, on all cores; the order of what comes back is theirs."""
+def _propagation_ms(world: VirtualFleet, draw: random.Random, node: str, at_ms: float) -> float:
+    """Eject a node at a random gateway; return the time until all have the record, infinity if not all do."""
+    world.time.run(at_ms)
+    publisher = world.gateways[draw.randrange(world.members)]
+    assert publisher.fleet is not None
+    publisher.fleet.publish_health(node, HealthKind.EJECTED, 0, 1, RECORD_TTL_MS, publisher.clock())
+    world.time.run(at_ms + RECORD_INTERVAL_MS)
+    received_ms = [change.at_ms for change in world.health_changes if change.node == node and change.agreed]
+    return max(received_ms) - at_ms if len(received_ms) == world.members else float("inf")
+
+
+def run_schedules(seeds: Iterable[int], gateways: int, processes: int | None = None) -> list[ScheduleResult]:
+    """Run the schedules of these seeds on all cores; results are in the order of the seeds."""
     with ProcessPoolExecutor(processes or os.cpu_count()) as pool:
-        return list(pool.map(partial(play, members=gateways), seeds, chunksize=CHUNK))
+        return list(pool.map(partial(run_schedule, members=gateways), seeds, chunksize=SCHEDULES_PER_CALL))
 
 
-def summary(found: list[Seen]) -> dict[str, Any]:
-    """What the schedules gave together."""
-    broken = [each for each in found if each.broken]
+def summary(results: list[ScheduleResult]) -> dict[str, Any]:
+    """Summarize schedules, under the key names of the JSON report."""
+    violated = [each for each in results if each.violations]
+    reports = [each.report() for each in results]
     mean = {
-        name: sum(getattr(each, name) for each in found) / len(found)
+        name: sum(report[name] for report in reports) / len(results)
         for name in ("use_cut", "use_healed", "messages_a_second")
     }
     return {
-        "schedules": len(found),
-        "broken": len(broken),
-        "worst_overshoot_units": max((max(each.over.values()) for each in found), default=0.0),
+        "schedules": len(results),
+        "broken": len(violated),
+        "worst_overshoot_units": max(max(each.overshoot_units.values()) for each in results),
         **mean,
-        "failures": [asdict(each) for each in broken[:20]],
+        "failures": [each.report() for each in violated[:MAX_REPORTED_FAILURES]],
     }
 
 
 def study(gateways: int, count: int, seed: int, sizes: list[int], loss: float = 0.0) -> dict[str, Any]:
-    """Schedules from a seed on, and fleets of these sizes."""
-    found = schedules(range(seed, seed + count), gateways) if count else []
+    """Run `count` schedules from a seed on, and measure fleets of these sizes.
+
+    :returns: the JSON report.
+    """
+    results = run_schedules(range(seed, seed + count), gateways) if count else []
     with ProcessPoolExecutor() as pool:
-        sized = list(pool.map(partial(at_size, seed=seed, loss=loss), sizes))
+        measured = list(pool.map(partial(measure_size, seed=seed, loss=loss), sizes))
     return {
         "gateways": gateways,
         "seed": seed,
-        "schedules": summary(found) if found else {},
-        "sizes": [asdict(each) for each in sized],
+        "schedules": summary(results) if results else {},
+        "sizes": [asdict(each) for each in measured],
     }
 
 
 def lines(found: dict[str, Any]) -> list[str]:
-    """The study in words."""
-    told, runs = [], found["schedules"]
+    """Return the lines printed for a study."""
+    printed, runs = [], found["schedules"]
     if runs:
-        told.append(
+        printed.append(
             f"{'!!' if runs['broken'] else 'ok'} {runs['schedules']} schedules of {found['gateways']} "
             f"gateways: {runs['broken']} broke a guarantee; most over a strict limit "
             f"{runs['worst_overshoot_units']:.3f} units; "
             f"use in trouble {runs['use_cut']:.2f}, two terms after healing {runs['use_healed']:.2f}; "
             f"{runs['messages_a_second']:.0f} messages/s a gateway"
         )
-        told += [f"   seed {each['seed']}: {'; '.join(each['broken'])}" for each in runs["failures"]]
+        printed += [f"   seed {each['seed']}: {'; '.join(each['broken'])}" for each in runs["failures"]]
     if found["sizes"]:
-        told.append("gateways   loss  messages/s   bytes/s  spread ms: mean    most   use of a limit")
+        printed.append("gateways   loss  messages/s   bytes/s  spread ms: mean    most   use of a limit")
     for each in found["sizes"]:
         spread = each["spread_ms"]
         mean_ms = sum(spread) / len(spread)
-        told.append(
+        printed.append(
             f"{each['gateways']:8d} {each['loss']:6.2f} {each['messages_a_second']:11.1f} "
             f"{each['bytes_a_second']:9.0f} {mean_ms:15.0f} {max(spread):7.0f} {each['use']:16.3f}"
         )
-    return told
+    return printed
 
 
-def draw(found: dict[str, Any], path: Any) -> None:
-    """Talk and spread by the size of the fleet, as a picture."""
+def draw(found: dict[str, Any], path: Path) -> None:
+    """Draw traffic and propagation time by the size of the fleet into a PNG file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -148,7 +180,7 @@
         marker="o",
         label="mean",
     )
-    right.set(xscale="log", xlabel="gateways", ylabel="ms until all have heard", ylim=(0, None))
+    right.set(xscale="log", xlabel="gateways", ylabel="ms until all have the record", ylim=(0, None))
     right.legend()
     for axes in (left, right):
         axes.grid(alpha=0.3)
--- a/shaletiller/lab/gateway_processes.py
+++ b/shaletiller/lab/gateway_processes.py
@@ -1,53 +1,82 @@
-"""Real gateway processes: configured, started, signalled, asked at their doors, and looked at from
-outside."""
+"""Real gateway processes: configured, started, signalled, called at their admin ports, and measured."""
 
 from __future__ import annotations
 
 import asyncio
 import itertools
 import json
+import math
 import os
 import shutil
 import signal
 import socket
 import sys
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from shaletiller.lab.storage_nodes import now_ms
 
 ROOT = Path(__file__).parent.parent.parent
-READY_S = 30.0
-PORTS, BLOCK = (10_000, 32_000), 200  # below those that Linux gives to outgoing connections
-CALL_S = 3.0
-ACCEPTS_MS = 700.0  # a process that is told to stop takes new connections for so long
-TICKS = os.sysconf("SC_CLK_TCK")
+LOOPBACK = "127.0.0.1"
+# Empirical: a process that is not ready by then has failed; longer delays the report of that, shorter fails
+# runs on a busy machine.
+READY_TIMEOUT_S = 30.0
+READY_POLL_S = 0.02
+# Ports below those that Linux gives to outgoing connections; each laboratory process begins at a block of its
+# own.
+FIRST_PORT, END_PORT, PORTS_PER_BLOCK = 10_000, 32_000, 200
+# Ports tried before giving up, in blocks.
+MAX_BLOCKS = 10
+# Empirical: the admin port answers in milliseconds; shorter fails runs on a busy machine.
+CALL_TIMEOUT_S = 3.0
+# A process that shuts down accepts new connections for about this long.
+ACCEPTS_AFTER_SIGTERM_MS = 700.0
+# A graceful shutdown takes less: requests have timeouts of about a second.
+SHUTDOWN_TIMEOUT_S = 8.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+LOG_TAIL_CHARACTERS = 500
 
 
 class LabError(Exception):
-    """The laboratory could not do what it was asked; nothing was shown either way."""
+    """The laboratory could not do what it was asked to; nothing was shown either way."""
 
 
-_ports = itertools.count()
+_port_offsets = itertools.count()
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """A port that nothing has, that the kernel gives to no connection, and that no laboratory beside this one
-    takes meanwhile: gateways share a port with whoever else has it (SO_REUSEPORT), without a word."""
-    first = PORTS[0] + os.getpid() % ((PORTS[1] - PORTS[0]) // BLOCK) * BLOCK
-    while (at := next(_ports)) < 10 * BLOCK:
-        port = PORTS[0] + (first - PORTS[0] + at) % (PORTS[1] - PORTS[0])
-        with socket.socket(type=kind) as found:
+    """Return a port that is free, and that neither the kernel nor another laboratory gives to something else.
+
+    Gateways listen with SO_REUSEPORT, so two that were given the same port would share it silently.
+
+    :raises LabError: if none is free.
+    """
+    ports = END_PORT - FIRST_PORT
+    first = os.getpid() % (ports // PORTS_PER_BLOCK) * PORTS_PER_BLOCK
+    while (offset := next(_port_offsets)) < MAX_BLOCKS * PORTS_PER_BLOCK:
+        port = FIRST_PORT + (first + offset) % ports
+        with socket.socket(type=kind) as probe:
             try:
-                found.bind(("127.0.0.1", port))
+                probe.bind((LOOPBACK, port))
             except OSError:
                 continue
             return port
     raise LabError("no free port")
 
 
-class Process:
-    """One gateway.  It keeps its folder over restarts, unless that is wiped."""
+class Downtime(NamedTuple):
+    """A span in which a process could not run: killed, suspended, or starting."""
+
+    begin_ms: float
+    end_ms: float = math.inf
+
+
+class GatewayProcess:
+    """One gateway; its folder, with its store, outlives restarts.
+
+    `config` is the content of the configuration file, `operator_path` the operators' file.  `up_ms` has the
+    times at which it began to serve, one for each start; `down` the spans in which it could not run.
+    """
 
     def __init__(
         self,
@@ -57,161 +86,208 @@
         operator: str = "",
         seed: int = 0,
     ) -> None:
+        """Write the process's files, without starting it.
+
+        :param config: entries of the configuration file; names, addresses and limits are added.
+        :param operator: content of the operators' file; empty: started without one.
+        """
         self.name, self.folder = name, folder
         folder.mkdir(parents=True, exist_ok=True)
         self.port, self.admin_port = free_port(), free_port()
-        self._operator = folder / "operator.kdl"
+        self.operator_path = folder / "operator.kdl"
         self.write_operator(operator)
-        self._config = folder / "config.json"
-        self.told = {
+        self._config_path = folder / "config.json"
+        self._log_path = folder / "log.txt"
+        self.config = {
             "name": name,
-            "listen": f"127.0.0.1:{self.port}",
-            "admin": f"127.0.0.1:{self.admin_port}",
+            "listen": f"{LOOPBACK}:{self.port}",
+            "admin": f"{LOOPBACK}:{self.admin_port}",
             "limits": {"sockets": 1024},
             "seed": seed,
             **config,
         }
-        self._write()
+        self._write_config()
         self._process: asyncio.subprocess.Process | None = None
         self.paused = False
-        self.starts = 0
-        self.up_ms: list[float] = []  # when it began to serve, after each start
-        self.down: list[list[float]] = []  # from when to when it could not run: killed, stopped, or starting
+        self.up_ms: list[float] = []
+        self.down: list[Downtime] = []
 
     def write_operator(self, text: str) -> None:
-        self._operator.write_text(text)
+        """Replace the operators' file."""
+        self.operator_path.write_text(text)
 
-    def _write(self) -> None:
-        self._config.write_text(json.dumps(self.told))
+    def _write_config(self) -> None:
+        self._config_path.write_text(json.dumps(self.config))
 
     @property
     def pid(self) -> int:
+        """The process id.
+
+        :raises LabError: if the process was never started.
+        """
         if self._process is None:
             raise LabError(f"{self.name}: not started")
         return self._process.pid
 
     @property
     def alive(self) -> bool:
+        """Whether the process exists; it may be suspended."""
         return self._process is not None and self._process.returncode is None
 
+    # ---- its start
+
     async def start(self, known: dict[str, Any] | None = None) -> None:
-        """Start the program; `known` is the node list that it is given."""
+        """Start the process, and wait until it is ready.
+
+        :param known: the node list that it is started with; by default that of the last start.
+        :raises LabError: if it ends, or is not ready in time.
+        """
         if known is not None:
-            self.told["known"] = known
-            self._write()
-        began = now_ms()
-        if not self.down or self.down[-1][1] != float("inf"):
-            self.down.append([began, float("inf")])
-        env = {
-            "EDGE_CONFIG": str(self._config),
+            self.config["known"] = known
+            self._write_config()
+        begin_ms = now_ms()
+        if not self.down or self.down[-1].end_ms != math.inf:
+            self.down.append(Downtime(begin_ms))
+        with self._log_path.open("ab") as log:
+            self._process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "shaletiller",
+                cwd=ROOT,
+                env=self._environment(),
+                stdout=log,
+                stderr=log,
+            )
+        self.paused = False
+        await self._wait_until_ready()
+
+    def _environment(self) -> dict[str, str]:
+        environment = {
+            "EDGE_CONFIG": str(self._config_path),
             "TMPDIR": str(self.folder),
             "PATH": os.environ.get("PATH", ""),
         }
-        if self._operator.stat().st_size:
-            env["EDGE_OPERATOR"] = str(self._operator)
-        log = (self.folder / "log.txt").open("ab")
-        self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "shaletiller", cwd=ROOT, env=env, stdout=log, stderr=log
-        )
-        log.close()
-        self.starts += 1
-        self.paused = False
-        await self._ready()
+        if self.operator_path.stat().st_size:
+            environment["EDGE_OPERATOR"] = str(self.operator_path)
+        return environment
 
-    async def _ready(self) -> None:
-        until = now_ms() + READY_S * 1000
-        while now_ms() < until:
+    async def _wait_until_ready(self) -> None:
+        end_ms = now_ms() + READY_TIMEOUT_S * 1000
+        while now_ms() < end_ms:
             if not self.alive:
-                raise LabError(f"{self.name} ended: {(self.folder / 'log.txt').read_text()[-500:]}")
-            try:
-                if (await self.call("READY"))[0].startswith("done"):
-                    self.up_ms.append(now_ms())
-                    self.down[-1][1] = now_ms()
-                    return
-            except (OSError, LabError):
-                pass
-            await asyncio.sleep(0.02)
-        raise LabError(f"{self.name}: not ready after {READY_S:.0f} s")
+                raise LabError(f"{self.name} ended: {self._log_path.read_text()[-LOG_TAIL_CHARACTERS:]}")
+            if await self._is_ready():
+                self.up_ms.append(now_ms())
+                self._end_downtime()
+                return
+            await asyncio.sleep(READY_POLL_S)
+        raise LabError(f"{self.name}: not ready after {READY_TIMEOUT_S:.0f} s")
+
+    async def _is_ready(self) -> bool:
+        try:
+            return (await self.call("READY"))[0].startswith("done")
+        except (OSError, LabError):
+            return False  # it does not listen yet
+
+    def _end_downtime(self) -> None:
+        self.down[-1] = self.down[-1]._replace(end_ms=now_ms())
+
+    # ---- its admin port
 
     async def call(self, line: str) -> list[str]:
-        """A call at the operators' door: the lines of its answer."""
+        """Send a command to the admin port, and return the lines of the answer.
+
+        :raises LabError: if there is no answer.
+        """
         try:
-            async with asyncio.timeout(CALL_S):
-                reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
+            async with asyncio.timeout(CALL_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(LOOPBACK, self.admin_port)
                 writer.write(line.encode() + b"\n")
-                found = (await reader.read()).decode().splitlines()
+                answer = (await reader.read()).decode().splitlines()
                 writer.close()
         except TimeoutError as error:
-            raise LabError(f"{self.name}: no answer to {line!r} in {CALL_S:.0f} s") from error
-        if not found:
+            raise LabError(f"{self.name}: no answer to {line!r} in {CALL_TIMEOUT_S:.0f} s") from error
+        if not answer:
             raise LabError(f"{self.name}: empty answer to {line!r}")
-        return found
+        return answer
 
     async def stats(self) -> dict[str, int]:
+        """Return the gateway's own counters, by their names in STATS."""
         lines = await self.call("STATS")
         return {name: int(value) for name, _, value in (line.partition("=") for line in lines) if value}
 
+    # ---- faults
+
     def _signal(self, number: signal.Signals) -> None:
         if self.alive:
             os.kill(self.pid, number)
 
     async def kill(self) -> None:
-        """SIGKILL, and wait for the end."""
+        """Send SIGKILL, and wait for the end."""
         if not self.alive:
             return
         if not self.paused:
-            self.down.append([now_ms(), float("inf")])
+            self.down.append(Downtime(now_ms()))
         self._signal(signal.SIGKILL)
         assert self._process is not None
         await self._process.wait()
 
     def wipe(self) -> None:
-        """The machine is lost with its disk: all that the process kept is gone, its configuration stays."""
+        """Delete the store, as if the machine were lost with its disk; the configuration stays.
+
+        :raises LabError: if the process is alive.
+        """
         if self.alive:
             raise LabError(f"{self.name}: its folder can be wiped only while it is down")
         for path in self.folder.iterdir():
-            if path not in (self._config, self._operator) and path.name != "log.txt":
+            if path not in (self._config_path, self.operator_path, self._log_path):
                 shutil.rmtree(path) if path.is_dir() else path.unlink()
 
     def drill(self, faults: dict[str, Any]) -> None:
-        """Faults under its store, from now on; an operators' file with `drill` looks there."""
+        """Set the faults of the disk under the store, for a process whose operators' file has a `drill`."""
         self.drills.write_text(json.dumps(faults))
 
     @property
     def drills(self) -> Path:
+        """The file with the disk's faults."""
         return self.folder / "drill.json"
 
     def pause(self) -> None:
+        """Suspend the process with SIGSTOP."""
         self._signal(signal.SIGSTOP)
         self.paused = True
-        self.down.append([now_ms(), float("inf")])
+        self.down.append(Downtime(now_ms()))
 
     def resume(self) -> None:
+        """Continue the process with SIGCONT."""
         self._signal(signal.SIGCONT)
         if self.paused:
             self.paused = False
-            self.down[-1][1] = now_ms()
+            self._end_downtime()
 
     async def stop(self) -> None:
-        """SIGTERM, and SIGKILL where that takes too long."""
+        """Shut the process down with SIGTERM, and with SIGKILL if that takes too long."""
         if not self.alive:
             return
         self.resume()
-        self.down.append([now_ms() + ACCEPTS_MS, float("inf")])  # then its listener closes
+        self.down.append(Downtime(now_ms() + ACCEPTS_AFTER_SIGTERM_MS))
         self._signal(signal.SIGTERM)
         assert self._process is not None
         try:
-            async with asyncio.timeout(8.0):
+            async with asyncio.timeout(SHUTDOWN_TIMEOUT_S):
                 await self._process.wait()
         except TimeoutError:
             await self.kill()
 
+    # ---- measurements
+
     def was_down(self, begin_ms: float, end_ms: float) -> bool:
         """Whether the process could not run at some time of a span."""
-        return any(begin < end_ms and end > begin_ms for begin, end in self.down)
+        return any(span.begin_ms < end_ms and span.end_ms > begin_ms for span in self.down)
 
     def usage(self) -> tuple[float, float]:
-        """CPU seconds used, and megabytes resident."""
+        """Return the CPU seconds used, and the resident memory in megabytes."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
-        resident = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
-        return (int(fields[11]) + int(fields[12])) / TICKS, resident * os.sysconf("SC_PAGE_SIZE") / 1e6
+        resident_pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
+        cpu_s = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
+        return cpu_s, resident_pages * os.sysconf("SC_PAGE_SIZE") / 1e6
--- a/shaletiller/lab/guarantees.py
+++ b/shaletiller/lab/guarantees.py
@@ -1,8 +1,9 @@
-"""What a run is held to: each guarantee with its bound and what was measured, from what the stand-ins saw."""
+"""The guarantees checked after a run: each with its bound and what was measured."""
 
 from __future__ import annotations
 
 import json
+from collections import Counter
 from collections.abc import Iterable
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
@@ -11,7 +12,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Guarantee:
-    """One line of a verdict.  `measured` must not be above the bound, or, for `at least`, not below it."""
+    """One check; the field names are keys of the JSON report.
+
+    :param bound: the limit of what may be measured.
+    :param sense: `at most`: the measured value must not be above the bound; `at least`: not below it.
+    :param unit: of both values.
+    :param note: printed after the result.
+    """
 
     name: str
     bound: float
@@ -22,24 +29,33 @@
 
     @property
     def kept(self) -> bool:
+        """Whether the guarantee holds."""
         return self.measured <= self.bound if self.sense == "at most" else self.measured >= self.bound
 
 
 @dataclass
 class Outcome:
-    """A run's verdict, and what else it showed."""
+    """The result of a run; the field names are keys of the JSON report.
+
+    :param name: of the scenario.
+    :param guarantees: what was checked.
+    :param figures: other measurements, which are shown and not checked.
+    :param course: the faults as they were applied, with their times, as text.
+    """
 
     name: str
     seed: int
     guarantees: list[Guarantee] = field(default_factory=list)
     figures: dict[str, Any] = field(default_factory=dict)
-    course: list[str] = field(default_factory=list)  # what was done to it, when
+    course: list[str] = field(default_factory=list)
 
     @property
     def kept(self) -> bool:
+        """Whether all guarantees hold."""
         return all(each.kept for each in self.guarantees)
 
     def plain(self) -> dict[str, Any]:
+        """Return the content of the JSON report."""
         return {
             **asdict(self),
             "kept": self.kept,
@@ -47,12 +63,18 @@
         }
 
     def write(self, path: Path) -> None:
+        """Write the JSON report."""
         path.write_text(json.dumps(self.plain(), indent=1, default=str) + "\n")
 
     def lines(self) -> Iterable[str]:
-        """A plain table."""
+        """Return one printed line for each guarantee: `ok` or `!!`, name, measured value and bound."""
         width = max((len(each.name) for each in self.guarantees), default=0)
         for each in self.guarantees:
-            said = f"{each.measured:10.3f} {each.unit:6} {each.sense} {each.bound:g}"
+            result = f"{each.measured:10.3f} {each.unit:6} {each.sense} {each.bound:g}"
             note = f"  {each.note}" if each.note else ""
-            yield f"{'ok' if each.kept else '!!'} {each.name:{width}} {said}{note}"
+            yield f"{'ok' if each.kept else '!!'} {each.name:{width}} {result}{note}"
+
+
+def count(values: Iterable[str]) -> dict[str, int]:
+    """Return how often each value occurs, in the order of the values."""
+    return dict(sorted(Counter(values).items()))
--- a/shaletiller/lab/http_messages.py
+++ b/shaletiller/lab/http_messages.py
@@ -1,5 +1,7 @@
-"""As much of HTTP/1.1 as the laboratory's own clients and servers speak: whole messages with a
-Content-Length."""
+"""The subset of HTTP/1.1 that the laboratory's clients and stand-in servers speak.
+
+Only complete messages with a Content-Length, one at a time on a connection.
+"""
 
 from __future__ import annotations
 
@@ -8,57 +10,79 @@
 from dataclasses import dataclass
 from typing import cast
 
+END_OF_HEADERS = b"\r\n\r\n"
+
 
 @dataclass(slots=True, frozen=True)
-class Message:
-    """A request or an answer: its first line, its headers under lower-case names, its body."""
+class HttpMessage:
+    """A request or a response.
 
-    first: str
-    heads: dict[str, str]
+    :param start_line: the request line or the status line.
+    :param headers: by lower-case name.
+    """
+
+    start_line: str
+    headers: dict[str, str]
     body: bytes
 
     @property
     def status(self) -> int:
-        return int(self.first.split(" ", 2)[1])
+        """The status code of a response."""
+        return int(self.start_line.split(" ", 2)[1])
+
 
+class HttpConnection(asyncio.Protocol):
+    """One connection, of a client or of a server.
 
-class Peer(asyncio.Protocol):
-    """One connection; `came` is called with each whole message, `ended` once with the connection's end."""
+    :param on_message: called with each complete message.
+    :param on_closed: called once, when the connection has ended.
+    """
 
-    def __init__(self, came: Callable[[Peer, Message], None], ended: Callable[[Peer], None]) -> None:
-        self._came, self._ended = came, ended
-        self._held = b""
+    def __init__(
+        self,
+        on_message: Callable[[HttpConnection, HttpMessage], None],
+        on_closed: Callable[[HttpConnection], None],
+    ) -> None:
+        self._on_message, self._on_closed = on_message, on_closed
+        self._buffer = b""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport of a new connection."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are not of that class
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end of the connection."""
         self.transport = None
-        self._ended(self)
+        self._on_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        self._held += data
-        while (end := self._held.find(b"\r\n\r\n")) >= 0:
-            first, *lines = self._held[:end].decode("latin1").split("\r\n")
+        """Parse what arrived, and report each complete message."""
+        self._buffer += data
+        while (end := self._buffer.find(END_OF_HEADERS)) >= 0:
+            start_line, *lines = self._buffer[:end].decode("latin1").split("\r\n")
             parts = [line.partition(":") for line in lines]
-            heads = {name.lower(): value.strip() for name, _, value in parts}
-            whole = end + 4 + int(heads.get("content-length", "0"))
-            if len(self._held) < whole:
+            headers = {name.lower(): value.strip() for name, _, value in parts}
+            body_begin = end + len(END_OF_HEADERS)
+            body_end = body_begin + int(headers.get("content-length", "0"))
+            if len(self._buffer) < body_end:
                 return
-            body, self._held = self._held[end + 4 : whole], self._held[whole:]
-            self._came(self, Message(first, heads, body))
+            body, self._buffer = self._buffer[body_begin:body_end], self._buffer[body_end:]
+            self._on_message(self, HttpMessage(start_line, headers, body))
 
     @property
     def open(self) -> bool:
+        """Whether a message can still be sent."""
         return self.transport is not None and not self.transport.is_closing()
 
-    def write(self, first: str, heads: dict[str, str], body: bytes = b"") -> None:
+    def write(self, start_line: str, headers: dict[str, str], body: bytes = b"") -> None:
+        """Send a message; on a connection that has ended it is dropped."""
         if self.transport is not None:
-            lines = "".join(f"{name}: {value}\r\n" for name, value in heads.items())
-            head = f"{first}\r\n{lines}Content-Length: {len(body)}\r\n\r\n"
+            lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
+            head = f"{start_line}\r\n{lines}Content-Length: {len(body)}\r\n\r\n"
             self.transport.write(head.encode("latin1") + body)
 
     def abort(self) -> None:
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
--- a/shaletiller/lab/load_generator.py
+++ b/shaletiller/lab/load_generator.py
@@ -1,8 +1,7 @@
-"""Clients in open loop: requests are drawn ahead from a seed, and sent when they are due, whatever came
-before.
+"""Open-loop clients: requests are drawn in advance from a seed, and sent when due, however slow the answers.
 
-Latency counts from when a request was due.  Each client speaks to one gateway, one request at a time on a
-connection.
+Latency counts from the time at which a request was due, so a gateway that stalls cannot hide it (coordinated
+omission: Tene, "How NOT to Measure Latency", 2013).  Each connection carries one request at a time.
 """
 
 from __future__ import annotations
@@ -13,15 +12,23 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from shaletiller.lab.http_messages import Message, Peer
+from shaletiller.lab.http_messages import HttpConnection, HttpMessage
 from shaletiller.lab.storage_nodes import now_ms
 
-SLACK_MS = 250.0  # past its time a request without an answer is taken for unanswered
+# Beyond its own timeout a request without an answer counts as unanswered.  Empirical: shorter counts answers
+# that only the laboratory's own clients delayed.
+ANSWER_SLACK_MS = 250.0
 
 
 @dataclass(slots=True, frozen=True)
 class Stream:
-    """Requests of one volume through one gateway: `rate` units a second between two times of the run."""
+    """Requests of one volume through one gateway, between two times of the run.
+
+    :param rate: units a second.
+    :param hosts: gateways through which the volume's clients send, as the requests state it.
+    :param keyed: whether the requests have idempotency keys.
+    :param repeats: part of the requests that is sent again later through another gateway, with the same key.
+    """
 
     gateway: str
     volume: int
@@ -36,13 +43,18 @@
     write: bool = False
     keyed: bool = False
     timeout_ms: float = 900.0
-    # Of the requests, so many are asked again through another gateway later, with the same key.
     repeats: float = 0.0
 
 
 @dataclass(slots=True)
 class Asked:
-    """A request and what became of it."""
+    """A request and its result.
+
+    :param due_ms: when it is to be sent; `sent_ms`: when it was.
+    :param key: its idempotency key, or empty.
+    :param status: of the answer, 0 without one; `why` has the reason.
+    :param content: id of the request that this one repeats: it requests the same.
+    """
 
     due_ms: float
     gateway: str
@@ -51,54 +63,76 @@
     units: int
     shard: int
     key: str = ""
-    status: int = 0  # 0: no answer
+    status: int = 0
     body: bytes = b""
     sent_ms: float = 0.0
     ended_ms: float = 0.0
     why: str = ""
-    content: str = ""  # the request that this one repeats: what is asked is the same
+    content: str = ""
+
+    def write_to(self, connection: HttpConnection) -> None:
+        """Send the request on a connection."""
+        stream = self.stream
+        headers = {
+            "Host": "app.svc",
+            "Request-Id": self.request,
+            "Request-Class": stream.service,
+            "Tier": stream.plan,
+            "Request-Timeout-Ms": str(int(stream.timeout_ms)),
+            "IO-Info": f"volume={stream.volume:016x},units={self.units},shard={self.shard},"
+            f"hosts={stream.hosts}",
+        }
+        if self.key:
+            headers["Idempotency-Key"] = self.key
+        method = "PUT" if stream.write else "GET"
+        content = self.content or self.request
+        target = f"/api?key={int(content, 16):016x}"
+        body = content.encode() if stream.write else b""
+        connection.write(f"{method} {target} HTTP/1.1", headers, body)
 
 
 @dataclass
 class Load:
-    """Plays streams against gateways.  `ports` has each gateway's port for clients."""
+    """Sends the requests of streams to gateways.
+
+    :param ports: each gateway's port for clients.
+    :param asked: the requests sent so far.
+    """
 
     ports: dict[str, int]
     seed: int
     asked: list[Asked] = field(default_factory=list)
 
     def __post_init__(self) -> None:
+        """Begin without connections."""
         self._idle: dict[str, deque[_Client]] = {name: deque() for name in self.ports}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._number = 0
 
     def draw(self, streams: list[Stream]) -> list[Asked]:
-        """All requests, in the order in which they are due (milliseconds of the run)."""
-        found = []
-        for at, stream in enumerate(streams):
-            draw = random.Random(f"{self.seed} stream {at} {stream.gateway} {stream.volume}")
-            mean = (1 + stream.max_units) / 2
-            at_ms = stream.begin_ms
-            while True:
-                at_ms += draw.expovariate(stream.rate / mean) * 1000
-                if at_ms >= stream.end_ms:
-                    break
-                key = f"{draw.getrandbits(64):016x}" if stream.keyed else ""
-                found.append(
-                    Asked(
-                        at_ms,
-                        stream.gateway,
-                        f"{draw.getrandbits(64):016x}",
-                        stream,
-                        draw.randint(1, stream.max_units),
-                        draw.randrange(stream.shards),
-                        key,
-                    )
-                )
+        """Return all requests of the streams in the order of their due times, in milliseconds of the run."""
+        found = [each for number, stream in enumerate(streams) for each in self._draw_stream(number, stream)]
         return sorted(found, key=lambda each: each.due_ms)
 
+    def _draw_stream(self, number: int, stream: Stream) -> list[Asked]:
+        """Draw the requests of a Poisson stream."""
+        draw = random.Random(f"{self.seed} stream {number} {stream.gateway} {stream.volume}")
+        mean_units = (1 + stream.max_units) / 2
+        found: list[Asked] = []
+        at_ms = stream.begin_ms
+        while True:
+            at_ms += draw.expovariate(stream.rate / mean_units) * 1000
+            if at_ms >= stream.end_ms:
+                return found
+            key = f"{draw.getrandbits(64):016x}" if stream.keyed else ""
+            request = f"{draw.getrandbits(64):016x}"
+            units, shard = draw.randint(1, stream.max_units), draw.randrange(stream.shards)
+            found.append(Asked(at_ms, stream.gateway, request, stream, units, shard, key))
+
     async def play(self, asked: list[Asked], began_ms: float) -> None:
-        """Send each request when it is due; returns when all have ended."""
+        """Send each request when it is due, and wait until all have ended.
+
+        :param began_ms: the time of the run's begin; it is added to each request's `due_ms`.
+        """
         for each in asked:
             each.due_ms += began_ms
             wait_ms = each.due_ms - now_ms()
@@ -109,81 +143,69 @@
             await asyncio.wait(self._tasks)
 
     def ask(self, each: Asked) -> asyncio.Task[None]:
+        """Send a request now.
+
+        :returns: a task that ends when the request has been answered or has failed.
+        """
         self.asked.append(each)
-        task = asyncio.ensure_future(self._ask(each))
+        task = asyncio.ensure_future(self._send(each))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def _ask(self, each: Asked) -> None:
-        stream = each.stream
-        idle = self._idle[each.gateway]
-        client: _Client | None = None
-        while idle and client is None:
-            client = idle.pop()
-            if not client.peer.open:
-                client = None
+    async def _send(self, each: Asked) -> None:
+        client = self._idle_client(each.gateway)
         try:
-            async with asyncio.timeout((stream.timeout_ms + SLACK_MS) / 1000):
+            async with asyncio.timeout((each.stream.timeout_ms + ANSWER_SLACK_MS) / 1000):
                 if client is None:
                     client = await _Client.connect(self.ports[each.gateway])
                 each.sent_ms = now_ms()
-                found = await client.ask(self._message(each))
-            each.status, each.body = found.status, found.body
-            if client.peer.open and found.heads.get("connection", "") != "close":
-                idle.append(client)
+                answer = await client.send(each.write_to)
+            each.status, each.body = answer.status, answer.body
+            if client.connection.open and answer.headers.get("connection", "") != "close":
+                self._idle[each.gateway].append(client)
             else:
-                client.peer.abort()
+                client.connection.abort()
         except TimeoutError:
             each.why = "no answer in time"
             if client is not None:
-                client.peer.abort()
+                client.connection.abort()
         except OSError as error:
             each.why = str(error) or type(error).__name__
         each.ended_ms = now_ms()
 
-    def _message(self, each: Asked) -> Callable[[Peer], None]:
-        stream = each.stream
-        heads = {
-            "Host": "app.svc",
-            "Request-Id": each.request,
-            "Request-Class": stream.service,
-            "Tier": stream.plan,
-            "Request-Timeout-Ms": str(int(stream.timeout_ms)),
-            "IO-Info": f"volume={stream.volume:016x},units={each.units},shard={each.shard},"
-            f"hosts={stream.hosts}",
-        }
-        if each.key:
-            heads["Idempotency-Key"] = each.key
-        method = "PUT" if stream.write else "GET"
-        content = each.content or each.request
-        target = f"/api?key={int(content, 16):016x}"
-        body = content.encode() if stream.write else b""
-        return lambda peer: peer.write(f"{method} {target} HTTP/1.1", heads, body)
+    def _idle_client(self, gateway: str) -> _Client | None:
+        """Return the connection used last of those that are idle and still open."""
+        idle = self._idle[gateway]
+        while idle:
+            client = idle.pop()
+            if client.connection.open:
+                return client
+        return None
 
 
 class _Client:
     """A connection that carries one request at a time."""
 
     def __init__(self) -> None:
-        self._answer: asyncio.Future[Message] | None = None
-        self.peer = Peer(self._came, self._ended)
+        self._answer: asyncio.Future[HttpMessage] | None = None
+        self.connection = HttpConnection(self._on_message, self._on_closed)
 
     @classmethod
     async def connect(cls, port: int) -> _Client:
         client = cls()
-        await asyncio.get_running_loop().create_connection(lambda: client.peer, "127.0.0.1", port)
+        await asyncio.get_running_loop().create_connection(lambda: client.connection, "127.0.0.1", port)
         return client
 
-    def _came(self, peer: Peer, message: Message) -> None:
+    def _on_message(self, connection: HttpConnection, message: HttpMessage) -> None:
         if self._answer is not None and not self._answer.done():
             self._answer.set_result(message)
 
-    def _ended(self, peer: Peer) -> None:
+    def _on_closed(self, connection: HttpConnection) -> None:
         if self._answer is not None and not self._answer.done():
             self._answer.set_exception(ConnectionResetError("connection ended without an answer"))
 
-    async def ask(self, write: Callable[[Peer], None]) -> Message:
+    async def send(self, write: Callable[[HttpConnection], None]) -> HttpMessage:
         self._answer = asyncio.get_running_loop().create_future()
-        write(self.peer)
+        write(self.connection)
         return await self._answer
--- a/shaletiller/lab/replication_benchmark.py
+++ b/shaletiller/lab/replication_benchmark.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from shaletiller.lab.fleet_scenarios import SHARDS
+from shaletiller.lab.fleet_testbed import SHARDS
 from shaletiller.lab.load_generator import Asked, Load, Stream
 from shaletiller.lab.replication_scenarios import filled, rig
 from shaletiller.lab.storage_nodes import now_ms
--- a/shaletiller/lab/replication_scenarios.py
+++ b/shaletiller/lab/replication_scenarios.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-from shaletiller.lab.fleet_scenarios import SHARDS, Rig, count
+from shaletiller.lab.fleet_testbed import SHARDS, Rig
 from shaletiller.lab.gateway_processes import LabError
-from shaletiller.lab.guarantees import Guarantee, Outcome
+from shaletiller.lab.guarantees import Guarantee, Outcome, count
 from shaletiller.lab.load_generator import Asked, Load, Stream
 from shaletiller.lab.scenario import Scenario
 from shaletiller.lab.storage_nodes import now_ms
--- a/shaletiller/lab/replication_simulation.py
+++ b/shaletiller/lab/replication_simulation.py
@@ -19,7 +19,7 @@
 
 import xxhash
 
-from shaletiller.lab.virtual_network import Clocked, Link
+from shaletiller.lab.virtual_network import Link, VirtualClock
 from shaletiller.replication.effects import OperationResult, PersistRecords, SendMessage
 from shaletiller.replication.groups import ReplicaGroups
 from shaletiller.replication.node import ReplicationNode
@@ -229,7 +229,7 @@
     seed: int
     make: Any = ReplicationNode
     zones: tuple[str, ...] = ()
-    time: Clocked = field(default_factory=Clocked)
+    time: VirtualClock = field(default_factory=VirtualClock)
     runs: Counter[str] = field(default_factory=Counter)
     asked: list[Told] = field(default_factory=list)
     sent: int = 0
--- a/shaletiller/lab/storage_nodes.py
+++ b/shaletiller/lab/storage_nodes.py
@@ -1,47 +1,59 @@
-"""Stand-in storage nodes and discovery, on the platform's protocol; each writes down what it saw.
+"""Stand-in storage nodes: they speak the platform's protocol, and record each attempt that arrives.
 
-A node serves with so many cores, work that goes by a request's units, in turn of arrival, and turns away what
-its queue has no room for.  After a start it is cold: its capacity rises evenly to the whole.  It can be
-closed (its machine refuses connections), silent (it takes what comes and says nothing) or slow.  Each gateway
-reaches it at an address of its own, by which the node knows which gateway sent what.
+A node has a number of cores; a request occupies one for a time that depends on its units, in order of
+arrival, and is rejected when the queue is full.  It can be closed (its machine refuses connections) and
+restarted; after that it may warm up: its capacity rises linearly.  Each gateway reaches it at an address of
+its own, by which the node knows which gateway sent what.
 """
 
 from __future__ import annotations
 
 import asyncio
 import functools
-import json
 import time
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Any, Literal
 
-from shaletiller.lab.http_messages import Message, Peer
+from shaletiller.lab.http_messages import HttpConnection, HttpMessage
 
-
-def now_ms() -> float:
-    """The laboratory's one clock: milliseconds of the Unix epoch, carried on by the monotonic clock."""
-    return OFFSET_MS + time.monotonic() * 1000
+_EPOCH_OFFSET_MS = (time.time() - time.monotonic()) * 1000
 
 
-OFFSET_MS = (time.time() - time.monotonic()) * 1000
+def now_ms() -> float:
+    """Return the laboratory's time: milliseconds of the Unix epoch, from a clock that never goes back."""
+    return _EPOCH_OFFSET_MS + time.monotonic() * 1000
 
 
 @dataclass(slots=True, frozen=True)
 class Attempt:
-    """A request as a node took it, whole."""
+    """A complete request as a node received it.
+
+    :param key: its idempotency key, or empty.
+    :param ran: whether it was executed; otherwise it was rejected.
+    """
 
     at_ms: float
     node: str
     gateway: str
     request: str
-    key: str  # Idempotency-Key
+    key: str
     write: bool
     ran: bool
 
 
-class Node:
-    """One storage node of one shard."""
+class StorageNode:
+    """One storage node of one shard.
+
+    :param unit_ms: time that one core needs for one unit of a request.
+    :param queue: requests in the node at a time; more are rejected.
+    :param warm_up_ms: time after a restart until it has its full capacity.
+    :param start_part: part of the capacity that it has just after a restart.
+
+    `started_ms` is 0 for a node that has not restarted.  `runs` counts the executions by request id.
+    `units_of` returns the units of a request: a gateway forwards no more of a request than the protocol
+    requires, so the node has to get its size from the client.
+    """
 
     def __init__(
         self,
@@ -50,99 +62,88 @@
         cores: int = 4,
         unit_ms: float = 2.0,
         queue: int = 64,
-        slow_start_ms: float = 0.0,
+        warm_up_ms: float = 0.0,
         start_part: float = 1.0,
     ) -> None:
         self.name, self.shard = name, shard
         self._cores, self._unit_ms, self._queue = cores, unit_ms, queue
-        self._ramp_ms, self._start_part = slow_start_ms, start_part
-        self.started_ms = 0.0  # 0: long ago
-        self.state: Literal["up", "closed", "silent"] = "up"
-        self.slow = 1.0
-        self._free_ms = [0.0] * cores
-        self._held = 0
+        self._warm_up_ms, self._start_part = warm_up_ms, start_part
+        self.started_ms = 0.0
+        self.state: Literal["up", "closed"] = "up"
+        self._core_free_ms = [0.0] * cores
+        self._in_flight = 0
         self.attempts: list[Attempt] = []
-        self.runs: dict[str, int] = {}  # by request id
+        self.runs: dict[str, int] = {}
         self.ports: dict[str, int] = {}
         self._servers: dict[str, asyncio.Server] = {}
-        self._open: set[Peer] = set()
-        # A gateway passes on no more of a request than the protocol says; its size is its client's to know.
+        self._connections: set[HttpConnection] = set()
         self.units_of: Callable[[str], float] = lambda request: 1.0
 
     async def start(self, gateways: list[str]) -> None:
-        """Listen for each gateway at an address of its own; the same ones after a restart."""
+        """Listen for each gateway at an address of its own; after a restart at the same ones."""
         loop = asyncio.get_running_loop()
         for gateway in gateways:
-            factory = functools.partial(self._peer, gateway)
+            factory = functools.partial(self._connection, gateway)
             server = await loop.create_server(factory, "127.0.0.1", self.ports.get(gateway, 0))
             self._servers[gateway] = server
             self.ports[gateway] = server.sockets[0].getsockname()[1]
 
-    def _peer(self, gateway: str) -> Peer:
-        peer = Peer(lambda peer, message: self._came(gateway, peer, message), self._open.discard)
-        self._open.add(peer)
-        return peer
+    def _connection(self, gateway: str) -> HttpConnection:
+        connection = HttpConnection(functools.partial(self._on_request, gateway), self._connections.discard)
+        self._connections.add(connection)
+        return connection
 
     def close(self) -> None:
-        """The process dies: its connections are reset, new ones refused."""
+        """Crash the process: its connections are reset, new ones refused."""
         self.state = "closed"
         for server in self._servers.values():
             server.close()
-        for peer in list(self._open):
-            peer.abort()
+        for connection in list(self._connections):
+            connection.abort()
 
     async def restart(self) -> None:
-        """It starts anew, cold, at the same addresses."""
+        """Start the process again, at the same addresses; it warms up."""
         if self.state != "closed":
             self.close()
-        self.state, self.started_ms, self.slow = "up", now_ms(), 1.0
-        self._free_ms, self._held = [0.0] * self._cores, 0
+        self.state, self.started_ms = "up", now_ms()
+        self._core_free_ms, self._in_flight = [0.0] * self._cores, 0
         await self.start(list(self.ports))
 
     @property
     def capacity(self) -> float:
-        """The part of its cores' power that it has now."""
-        if not self.started_ms or self._ramp_ms <= 0:
-            return 1.0 / self.slow
-        age = min(1.0, (now_ms() - self.started_ms) / self._ramp_ms)
-        return (self._start_part + (1 - self._start_part) * age) / self.slow
-
-    def _came(self, gateway: str, peer: Peer, message: Message) -> None:
-        if self.state == "silent":
-            return
-        heads = message.heads
-        runs = self._held < self._queue
+        """The part of its full capacity that the node has now."""
+        if not self.started_ms or self._warm_up_ms <= 0:
+            return 1.0
+        age = min(1.0, (now_ms() - self.started_ms) / self._warm_up_ms)
+        return self._start_part + (1 - self._start_part) * age
+
+    def _on_request(self, gateway: str, connection: HttpConnection, message: HttpMessage) -> None:
+        headers = message.headers
+        accepted = self._in_flight < self._queue
         at_ms = now_ms()
-        request = heads.get("request-id", "")
-        self.attempts.append(
-            Attempt(
-                at_ms,
-                self.name,
-                gateway,
-                request,
-                heads.get("idempotency-key", ""),
-                message.first.startswith("PUT"),
-                runs,
-            )
-        )
-        if not runs:
-            peer.write("HTTP/1.1 503 Full", {"Not-Started": "1"})
+        request = headers.get("request-id", "")
+        key = headers.get("idempotency-key", "")
+        write = message.start_line.startswith("PUT")
+        self.attempts.append(Attempt(at_ms, self.name, gateway, request, key, write, accepted))
+        if not accepted:
+            connection.write("HTTP/1.1 503 Full", {"Not-Started": "1"})
             return
         self.runs[request] = self.runs.get(request, 0) + 1
-        self._held += 1
-        core = min(range(self._cores), key=self._free_ms.__getitem__)
-        done_ms = max(at_ms, self._free_ms[core]) + self.units_of(request) * self._unit_ms / self.capacity
-        self._free_ms[core] = done_ms
-
-        def answer() -> None:
-            self._held = max(0, self._held - 1)
+        self._in_flight += 1
+        core = min(range(self._cores), key=self._core_free_ms.__getitem__)
+        begin_ms = max(at_ms, self._core_free_ms[core])
+        done_ms = begin_ms + self.units_of(request) * self._unit_ms / self.capacity
+        self._core_free_ms[core] = done_ms
+
+        def respond() -> None:
+            self._in_flight = max(0, self._in_flight - 1)
             if self.state == "up":
-                peer.write("HTTP/1.1 200 OK", {}, f"{self.name} {request}".encode())
+                connection.write("HTTP/1.1 200 OK", {}, f"{self.name} {request}".encode())
 
-        asyncio.get_running_loop().call_later(max(0.0, done_ms - at_ms) / 1000, answer)
+        asyncio.get_running_loop().call_later(max(0.0, done_ms - at_ms) / 1000, respond)
 
     def row(self, gateway: str, state: str = "active") -> dict[str, Any]:
-        """Its line of the node list, as discovery tells it to a gateway."""
+        """Return the node's line of the node list, as discovery sends it to a gateway."""
         return {
             "id": self.name,
             "addr": f"127.0.0.1:{self.ports[gateway]}",
@@ -153,102 +154,3 @@
             "weight": 1.0,
             "started_ms": int(self.started_ms),
         }
-
-
-@dataclass
-class Discovery:
-    """The node list, at an address for each gateway.  `changes` holds each version's states by node."""
-
-    nodes: list[Node]
-    version: int = 1
-    states: dict[str, str] = field(default_factory=dict)
-    ports: dict[str, int] = field(default_factory=dict)
-    calls: list[tuple[float, str]] = field(default_factory=list)
-    silent: bool = False
-    serves: frozenset[str] | None = None  # overbooked: all but these gateways get a 503
-    empty: bool = False  # by mistake: whole lists have nothing in them
-    changes: list[tuple[float, str, str]] = field(default_factory=list)  # when, node, state
-    told_ms: dict[tuple[str, str], float] = field(default_factory=dict)  # node, state: first told
-
-    def __post_init__(self) -> None:
-        self._changed: dict[str, int] = {}
-        self._waiting: dict[Peer, tuple[str, int, asyncio.TimerHandle]] = {}
-
-    async def start(self, gateways: list[str]) -> None:
-        loop = asyncio.get_running_loop()
-        for gateway in gateways:
-            server = await loop.create_server(
-                lambda gateway=gateway: Peer(  # type: ignore[misc]
-                    lambda peer, message: self._came(gateway, peer, message), self._ended
-                ),
-                "127.0.0.1",
-                0,
-            )
-            self.ports[gateway] = server.sockets[0].getsockname()[1]
-
-    def rows(self, gateway: str, since: int | None = None) -> list[dict[str, Any]]:
-        """The lines that changed after a version, or all."""
-        found = []
-        for node in self.nodes:
-            state = self.states.get(node.name, "active")
-            if since is None and state == "left":
-                continue
-            if since is None or self._changed.get(node.name, 0) > since:
-                found.append(node.row(gateway, state))
-        return found
-
-    def told(self, gateway: str, since: int | None) -> bytes:
-        whole = since is None or since > self.version
-        rows = [] if self.empty else self.rows(gateway, None if whole else since)
-        for row in rows:
-            self.told_ms.setdefault((row["id"], row["state"]), now_ms())
-        return json.dumps({"version": self.version, "full": whole, "servers": rows}).encode()
-
-    def change(self, node: str, state: str | None = None) -> None:
-        """A node's line is another from now on; those that watch hear of it."""
-        if state is not None:
-            self.states[node] = state
-            self.changes.append((now_ms(), node, state))
-        self.version += 1
-        self._changed[node] = self.version
-        for peer in list(self._waiting):
-            self._answer(peer)
-
-    def put_back(self, versions: int) -> None:
-        """Restored from a copy: its version, and what it knows of nodes' states, are those of so many changes
-        ago."""
-        self.version = max(1, self.version - versions)
-        for _, node, _ in self.changes[-versions:]:
-            self.states.pop(node, None)
-            self._changed.pop(node, None)
-
-    def _ended(self, peer: Peer) -> None:
-        waiting = self._waiting.pop(peer, None)
-        if waiting is not None:
-            waiting[2].cancel()
-
-    def _came(self, gateway: str, peer: Peer, message: Message) -> None:
-        self.calls.append((now_ms(), gateway))
-        if self.silent:
-            return
-        if self.serves is not None and gateway not in self.serves:
-            peer.write("HTTP/1.1 503 Overbooked", {})
-            return
-        query = message.first.split(" ")[1].partition("?")[2]
-        asked = dict(part.partition("=")[::2] for part in query.split("&") if part)
-        since = int(asked["since"]) if "since" in asked else None
-        if since is None or since != self.version:
-            peer.write("HTTP/1.1 200 OK", {}, self.told(gateway, since))
-            return
-        wait_s = int(asked.get("timeout_ms", "0")) / 1000
-        timer = asyncio.get_running_loop().call_later(wait_s, self._answer, peer)
-        self._waiting[peer] = gateway, since, timer
-
-    def _answer(self, peer: Peer) -> None:
-        found = self._waiting.pop(peer, None)
-        if found is not None:
-            gateway, since, timer = found
-            timer.cancel()
-            served = self.serves is None or gateway in self.serves
-            if not self.silent and served:
-                peer.write("HTTP/1.1 200 OK", {}, self.told(gateway, since))
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -38,8 +38,8 @@
     QuotaBucket,
 )
 from shaletiller.fleet.rendezvous import highest_ranked, ranked
-from shaletiller.lab.fault_schedules import play
-from shaletiller.lab.virtual_network import World
+from shaletiller.lab.fault_schedules import run_schedule
+from shaletiller.lab.virtual_fleet import VirtualFleet
 
 GROUP, INCARNATION = 77, 1_700_000_000_000
 RECORD = HealthRecord("s-1", HealthKind.UNREACHABLE, 2, 5, timestamp_of(INCARNATION), INCARNATION + 60_000, 1)
@@ -808,5 +808,5 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_schedules_with_replicated_tables_exceed_no_strict_limit(seed: int) -> None:
     """Fleets with replicated lease tables go through random faults: no limit is exceeded."""
-    seen = play(seed, world=World(5, seed, tables=True))
-    assert not [each for each in seen.broken if "limit" in each and "use" not in each], seen.broken
+    seen = run_schedule(seed, world=VirtualFleet(5, seed, tables=True))
+    assert not [each for each in seen.violations if "limit" in each and "use" not in each], seen.violations
--- a/tests/fleet/test_fleet_guards.py
+++ b/tests/fleet/test_fleet_guards.py
@@ -20,9 +20,10 @@
 from shaletiller.fleet.leases.granter import Granter, LimitPool
 from shaletiller.fleet.leases.owner import Owner
 from shaletiller.fleet.quotas import NO_ALLOWANCE, Allowance, ExpiringAllowances, Quota
-from shaletiller.lab.fault_schedules import play
-from shaletiller.lab.fleet_simulation import at_size, lines, study
-from shaletiller.lab.virtual_network import Limit, Spend, World, overshoot, use
+from shaletiller.lab.fault_schedules import run_schedule
+from shaletiller.lab.fleet_simulation import lines, measure_size, study
+from shaletiller.lab.limit_usage import Limit, Spend, overshoot, utilization
+from shaletiller.lab.virtual_fleet import VirtualFleet
 
 SEEDS = range(1, 31)
 SUM_EXCEEDED = "add up to"  # how the checker reports quotas that exceed a limit together
@@ -30,7 +31,7 @@
 
 def broken(seeds: range) -> list[str]:
     """The guarantees violated in the schedules of these seeds."""
-    return [violation for seed in seeds for violation in play(seed).broken]
+    return [violation for seed in seeds for violation in run_schedule(seed).violations]
 
 
 def sum_is_exceeded(seeds: range) -> bool:
@@ -44,7 +45,7 @@
 
 
 def test_a_schedule_is_reproducible() -> None:
-    assert play(7) == play(7)
+    assert run_schedule(7) == run_schedule(7)
 
 
 @contextmanager
@@ -75,7 +76,7 @@
 
 def _excess_after_restart() -> float:
     """By how much quotas exceed a limit when an idle owner is killed and restarts, its part lent out."""
-    world = World(3, 3, FleetOptions())
+    world = VirtualFleet(3, 3, FleetOptions())
     limit = Limit("v:strict", Allowance(100.0, 60.0))
     for gateway in world.gateways:
         gateway.start()
@@ -113,7 +114,7 @@
 
 def _overshoot_of_moved_traffic() -> float:
     """By how much a warm-up budget is exceeded when its traffic moves from one gateway to the others."""
-    world = World(3, 5, FleetOptions())
+    world = VirtualFleet(3, 5, FleetOptions())
     limit = Limit("c:n", Allowance(0.0, 30.0), settle_ms=3_000.0)
     for gateway in world.gateways:
         gateway.start()
@@ -166,7 +167,7 @@
     within = [Spend(at, 0, "c", 5.0) for at in (0.0, 1_000.0)]
     assert overshoot(within, windowed) == 0.0
     assert overshoot([*within, Spend(1_900.0, 1, "c", 1.0)], windowed) == 1.0
-    assert use(spends, limit, 0.0, 1_000.0) == 1.0
+    assert utilization(spends, limit, 0.0, 1_000.0) == 1.0
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
@@ -176,7 +177,7 @@
     The larger fleet sends less than twice the messages of each gateway, every record reaches all gateways in
     time, and the limit is used and not exceeded.
     """
-    small, large = at_size(5, 1, loss, news=3), at_size(30, 1, loss, news=3)
+    small, large = measure_size(5, 1, loss, news=3), measure_size(30, 1, loss, news=3)
     assert large.messages_a_second < 2.0 * small.messages_a_second
     bound_ms = 500.0 if not loss else 2_000.0
     assert max(small.spread_ms + large.spread_ms) < bound_ms
--- a/tests/fleet/test_fleet_process.py
+++ b/tests/fleet/test_fleet_process.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from shaletiller.lab import fleet_scenarios, scenario
+from shaletiller.lab import fleet_scenarios, fleet_testbed, scenario
 from shaletiller.lab.guarantees import Guarantee, Outcome
 
 ROOT = Path(__file__).parent.parent.parent
@@ -34,7 +34,7 @@
     assert out.kept, "\n".join([*out.course, *out.lines()])
     named = [each.name for each in out.guarantees]
     assert named == ["over the strict limit", "staleness of the ban of n4", "writes run twice", "unanswered"]
-    assert out.figures["units_limited"] > fleet_scenarios.LIMIT.rate * SECONDS / 4  # and it was used
+    assert out.figures["units_limited"] > fleet_testbed.LIMIT.rate * SECONDS / 4  # and it was used
     for stats in out.figures["stats"].values():
         assert stats["edge.fleet.members"] == 5 and stats["edge.fleet.received"] > 0
 
--- a/tests/registry/test_nodes.py
+++ b/tests/registry/test_nodes.py
@@ -347,5 +347,5 @@
 
 
 def test_the_checker_objects_to_gateways_that_hear_nothing_of_each_other(tmp_path: Path) -> None:
-    out = asyncio.run(discovery_scenarios.run(5, 9.0, 1, scenario.load("overbooked", "discovery"), on=False))
+    out = asyncio.run(discovery_scenarios.run(5, 9.0, 1, scenario.load("overbooked", "discovery"), fleet_enabled=False))
     assert not out.guarantees[0].kept
--- a/tests/replication/test_replication_process.py
+++ b/tests/replication/test_replication_process.py
@@ -11,7 +11,7 @@
 import pytest
 
 from shaletiller.lab import replication_scenarios, scenario
-from shaletiller.lab.fleet_scenarios import Rig
+from shaletiller.lab.fleet_testbed import Rig
 from shaletiller.lab.gateway_processes import LabError
 from shaletiller.lab.load_generator import Asked, Load, Stream
 from shaletiller.lab.storage_nodes import now_ms
@@ -212,8 +212,8 @@
         other = type(g0)(
             "g0",
             g0.folder,
-            {key: value for key, value in g0.told.items() if key not in ("listen", "admin", "name")},
-            g0._operator.read_text(),
+            {key: value for key, value in g0.config.items() if key not in ("listen", "admin", "name")},
+            g0.operator_path.read_text(),
         )
         await other.start(rig.known("g0"))
         assert (await other.stats())["edge.store.open"] == 0
