--- a/shaletiller/lab/cli.py
+++ b/shaletiller/lab/cli.py
@@ -6,7 +6,6 @@
 import asyncio
 import json
 import sys
-from dataclasses import asdict
 from pathlib import Path
 from typing import Annotated, Any
 
@@ -27,6 +26,7 @@
 )
 from shaletiller.lab.gateway_processes import LabError
 from shaletiller.lab.guarantees import Outcome
+from shaletiller.lab.state_space_bounds import DEFAULT_TASKS
 
 app = typer.Typer(
     add_completion=False,
@@ -151,11 +151,12 @@
         for each in told["failures"]:
             typer.echo(f"   seed {each['seed']}: {'; '.join(each['broken'])}")
     if small:
-        covered = state_space_explorer.in_the_small(state_space_explorer.JOBS, 2_000_000)
-        found["small"] = [asdict(each) for each in covered]
-        broken = broken or any(each.broken for each in covered)
-        for line in state_space_explorer.lines(covered):
-            typer.echo(line)
+        explorations = state_space_explorer.explore_all(DEFAULT_TASKS)
+        found["small"] = [each.to_json() for each in explorations]
+        broken = broken or any(each.violation for each in explorations)
+        for each in explorations:
+            for line in each.lines():
+                typer.echo(line)
     if to is not None:
         to.write_text(json.dumps(found, indent=1) + "\n")
     raise typer.Exit(1 if broken else 0)
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -13,7 +13,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from shaletiller.lab import replication_simulation, state_space_explorer
+from shaletiller.lab import replication_simulation
+from shaletiller.lab.state_space_bounds import TWO_KEYS, FaultBounds
+from shaletiller.lab.state_space_explorer import explore
+from shaletiller.lab.state_space_model import BEGIN_MS, ProtocolModel
 from shaletiller.replication.acceptor import Acceptor
 from shaletiller.replication.effects import OperationResult, PersistRecords, SendMessage
 from shaletiller.replication.groups import ReplicaGroups
@@ -608,15 +611,14 @@
     No two claims of a key may both be committed, and no committed outcome may be lost.
     """
     for bounds in (
-        state_space_explorer.Bounds(),
-        state_space_explorer.Bounds(ticks=1),
-        state_space_explorer.Bounds(late=1, lost=1),
+        FaultBounds(),
+        FaultBounds(timeouts=1),
+        FaultBounds(late_requests=1, lost_messages=1),
     ):
-        found = state_space_explorer.explore(
-            state_space_explorer.Small(bounds, state_space_explorer.SCRIPTS[1])
-        )
-        assert found.whole and not found.broken, (found.broken, found.course)
-        assert found.ends > 0
+        found = explore(ProtocolModel(bounds, TWO_KEYS))
+        assert not found.violation, (found.violation, found.trace)
+        assert found.complete
+        assert found.final_states > 0
 
 
 # ---- schedules on the virtual clock
@@ -630,7 +632,8 @@
     """
     seen = replication_simulation.play(seed)
     assert not seen.broken, (seen.faults, seen.broken)
-    assert seen.promises_made > 10 and seen.repeats_answered > 10
+    assert seen.promises_made > 10
+    assert seen.repeats_answered > 10
 
 
 # ---- the guards taken out, one by one
@@ -658,7 +661,7 @@
         reply_now = isinstance(after, SendMessage)
         super()._persist(updates, None if reply_now else after)
         if reply_now:
-            self._send(after, state_space_explorer.BEGIN_MS)
+            self._send(after, BEGIN_MS)
 
 
 def test_an_acknowledgement_before_the_sync_is_caught() -> None:
@@ -666,13 +669,8 @@
 
     The exhaustive exploration must find the violation.
     """
-    found = state_space_explorer.explore(
-        state_space_explorer.Small(
-            state_space_explorer.Bounds(killed=1), state_space_explorer.SCRIPTS[1], RepliesBeforeSync
-        ),
-        most=60_000,
-    )
-    assert "is found afterwards" in found.broken or "both kept" in found.broken
+    found = explore(ProtocolModel(FaultBounds(crashes=1), TWO_KEYS, RepliesBeforeSync), max_states=60_000)
+    assert "is found afterwards" in found.violation or "both kept" in found.violation
 
 
 def test_a_wiped_member_that_votes_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
