--- a/shaletiller/lab/cli.py
+++ b/shaletiller/lab/cli.py
@@ -139,17 +139,10 @@
     found: dict[str, Any] = {}
     broken = False
     if schedules:
-        told = replication_simulation.summary(
-            replication_simulation.schedules(range(seed, seed + schedules), gateways)
-        )
-        found["schedules"], broken = told, told["broken"] > 0
-        typer.echo(
-            f"{'!!' if broken else 'ok'} {told['schedules']} schedules of {gateways} gateways: "
-            f"{told['broken']} broke a promise; {told['promises']} outcomes told of {told['keys']} keys, "
-            f"{told['repeats_answered']} repeats got the same answer; answers {told['answers']}"
-        )
-        for each in told["failures"]:
-            typer.echo(f"   seed {each['seed']}: {'; '.join(each['broken'])}")
+        summary = replication_simulation.run_schedules(range(seed, seed + schedules), gateways)
+        found["schedules"], broken = summary.to_json(), bool(summary.failed)
+        for line in summary.lines(gateways):
+            typer.echo(line)
     if small:
         explorations = state_space_explorer.explore_all(DEFAULT_TASKS)
         found["small"] = [each.to_json() for each in explorations]
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from shaletiller.lab import replication_simulation
+from shaletiller.lab.replication_simulation import run_schedule
 from shaletiller.lab.state_space_bounds import TWO_KEYS, FaultBounds
 from shaletiller.lab.state_space_explorer import explore
 from shaletiller.lab.state_space_model import BEGIN_MS, ProtocolModel
@@ -630,19 +630,19 @@
 
     No write may run twice, and no retry may get another answer than the first.
     """
-    seen = replication_simulation.play(seed)
-    assert not seen.broken, (seen.faults, seen.broken)
-    assert seen.promises_made > 10
-    assert seen.repeats_answered > 10
+    result = run_schedule(seed)
+    assert not result.violations, (result.faults, result.violations)
+    assert result.committed_keys > 10
+    assert result.repeated_answers > 10
 
 
 # ---- the guards taken out, one by one
 
 
-def find_violations(make: Callable[..., Any] = ReplicationNode, seeds: int = 40) -> list[str]:
+def find_violations(node_factory: Callable[..., Any] = ReplicationNode, seeds: int = 40) -> list[str]:
     """Return the violations found in the first schedule that has any."""
     for seed in range(seeds):
-        found = replication_simulation.play(seed, make=make).broken
+        found = run_schedule(seed, node_factory=node_factory).violations
         if found:
             return found
     return []
