--- a/shaletiller/lab/replication_simulation.py
+++ b/shaletiller/lab/replication_simulation.py
@@ -89,7 +89,8 @@
         return [
             f"{mark} {report['schedules']} schedules of {gateways} gateways: "
             f"{report['broken']} broke a promise; {report['promises']} outcomes told of "
-            f"{report['keys']} keys, {report['repeats_answered']} repeats got the same answer; answers {report['answers']}",
+            f"{report['keys']} keys, {report['repeats_answered']} repeats got the same answer; "
+            f"answers {report['answers']}",
             *(f"   seed {each['seed']}: {'; '.join(each['broken'])}" for each in report["failures"]),
         ]
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -17,6 +17,9 @@
 from hypothesis import strategies as st
 
 from shaletiller.lab import crash_cut
+from shaletiller.lab.crash_cut_checks import Findings
+from shaletiller.lab.crash_cut_compaction import check_interrupted_compactions
+from shaletiller.lab.crash_cut_store import write_reference_store
 from shaletiller.replication.records import META, REGISTER, Ballot, Row, WriteOutcome, pack
 from shaletiller.store import record_format
 from shaletiller.store.errors import DamagedStoreError, StoreBrokenError, StoreFullError, StoreLockedError
@@ -225,7 +228,7 @@
 
     No acknowledged record may be lost, and every damage must be named.
     """
-    out = crash_cut.run(tmp_path, seed=2, step=5)
+    out = crash_cut.run(tmp_path, seed=2, every_bytes=5)
     assert out.kept, "\n".join([*out.lines(), str(out.figures)])
 
 
@@ -235,7 +238,7 @@
 ) -> None:
     """The guard taken out: checksums are constant.  The checker must notice damage that is not named."""
     monkeypatch.setattr(record_format.xxhash, "xxh3_64_intdigest", lambda raw, seed=0: 0)
-    out = crash_cut.run(tmp_path, step=29)
+    out = crash_cut.run(tmp_path, every_bytes=29)
     assert not out.guarantees[1].kept
 
 
@@ -247,18 +250,20 @@
 
     The checker must notice lost records, and none in the store as it is.
     """
-    written, tried, original = crash_cut.write(tmp_path / "store", 1), crash_cut.Tried(), Snapshot.write
+    reference, findings = write_reference_store(tmp_path / "store", 1), Findings()
+    original = Snapshot.write
 
     def remove_segments_first(self: Snapshot) -> Snapshot:
         for path in sorted(self._directory.glob("*.seg"))[:-1]:
             self._files.remove(path)
         return original(self)
 
-    crash_cut.stops(written, tmp_path / "copy", tried)
-    assert tried.stops >= 20 and not tried.lost
+    check_interrupted_compactions(reference, tmp_path / "copy", findings)
+    assert findings.interruptions >= 20
+    assert not findings.lost
     monkeypatch.setattr(Snapshot, "write", remove_segments_first)
-    crash_cut.stops(written, tmp_path / "copy", tried)
-    assert tried.lost
+    check_interrupted_compactions(reference, tmp_path / "copy", findings)
+    assert findings.lost
 
 
 # ---- group commit
