--- a/shaletiller/lab/discovery_scenarios.py
+++ b/shaletiller/lab/discovery_scenarios.py
@@ -16,7 +16,7 @@
 from shaletiller.lab.fleet_scenarios import SHARDS, Rig, count
 from shaletiller.lab.guarantees import Guarantee, Outcome
 from shaletiller.lab.load_generator import Load, Stream
-from shaletiller.lab.replication_scenarios import filled
+from shaletiller.lab.replication_scenarios import wait_until_synced
 from shaletiller.lab.scenario import Scenario
 from shaletiller.lab.storage_nodes import now_ms
 
@@ -70,7 +70,7 @@
         try:
             await of.start()
             if on:
-                await filled(of)
+                await wait_until_synced(of)
             load = Load({name: process.port for name, process in of.processes.items()}, seed)
             of.began_ms = now_ms() + 100.0
             end_ms = seconds * 1000
--- a/shaletiller/lab/replication_benchmark.py
+++ b/shaletiller/lab/replication_benchmark.py
@@ -15,7 +15,7 @@
 
 from shaletiller.lab.fleet_scenarios import SHARDS
 from shaletiller.lab.load_generator import Asked, Load, Stream
-from shaletiller.lab.replication_scenarios import filled, rig
+from shaletiller.lab.replication_scenarios import create_testbed, wait_until_synced
 from shaletiller.lab.storage_nodes import now_ms
 from shaletiller.replication.records import REGISTER, Ballot, Row, WriteOutcome, pack
 from shaletiller.store.file_system import FileSystem
@@ -49,11 +49,11 @@
     """The same writes through the same fleet.  `lose`: in the midst one machine is lost and filled anew, of
     `held` records that the fleet has by then."""
     with tempfile.TemporaryDirectory() as made:
-        of = rig(GATEWAYS, seconds, seed, Path(made), level)
+        of = create_testbed(GATEWAYS, seconds, seed, Path(made), level)
         found: dict[str, Any] = {}
         try:
             await of.start()
-            await filled(of)
+            await wait_until_synced(of)
             load = Load({name: process.port for name, process in of.processes.items()}, seed)
             if held:
                 await _hold(load, of.names, held)
--- a/shaletiller/lab/replication_sim_faults.py
+++ b/shaletiller/lab/replication_sim_faults.py
@@ -10,7 +10,7 @@
 from shaletiller.lab.replication_sim_fleet import FAULTS_BEGIN_MS, FAULTS_END_MS, SimulatedFleet
 from shaletiller.lab.replication_sim_gateway import SLOW_SYNC_MS, SYNC_MS
 
-MAX_FAULTS = 4  # empirical: more of them leave too few writes that are served while a fault lasts
+MAX_FAULTS = 4  # empirical: faults that overlap, against time in which writes are served
 LAST_FAULT_BEFORE_END_MS = 1_500.0  # the last fault begins so long before all are over
 DURATION_MS = (100.0, 4_000.0)  # from less than a request's timeout to several of them
 INTENSITY = (0.05, 0.4)  # share of the messages that are lost or duplicated
--- a/shaletiller/lab/replication_simulation.py
+++ b/shaletiller/lab/replication_simulation.py
@@ -24,7 +24,7 @@
 
 MAX_START_MS = 100.0  # gateways start within this time
 DEFAULT_WRITES_PER_SECOND = 6.0  # empirical: some fifty keys a schedule, against the time of a run
-SCHEDULES_A_BATCH = 20  # handed to a worker process at once: one schedule takes less than a tenth of a second
+SCHEDULES_A_BATCH = 20  # handed to a worker process at once; empirical: calls against even load
 MAX_REPORTED_FAILURES = 20  # of a summary: enough to find a pattern
 MAX_REPORTED_VIOLATIONS = 5  # of one schedule
 
--- a/tests/replication/test_replication_process.py
+++ b/tests/replication/test_replication_process.py
@@ -48,10 +48,10 @@
     """Run a test on three gateways with stores."""
 
     async def run() -> None:
-        rig = replication_scenarios.rig(3, 1.0, 1, folder)
+        rig = replication_scenarios.create_testbed(3, 1.0, 1, folder)
         try:
             await rig.start()
-            await replication_scenarios.filled(rig)
+            await replication_scenarios.wait_until_synced(rig)
             await play(rig, Load({name: process.port for name, process in rig.processes.items()}, 1))
         finally:
             await rig.stop()
