--- a/tests/lab/test_lab_variant.py
+++ b/tests/lab/test_lab_variant.py
@@ -27,8 +27,12 @@
     assert spread(works) <= site_variants.WORK_SPREAD * 1.05
     assert abs(sum(sum(each["share"]) / 2 for each in classes) - 1) < 0.01
     for each, work_ms in zip(classes, works, strict=True):
-        assert site_variants.AIM_MS[0] - 1 <= each["aim_ms"] <= site_variants.AIM_MS[1]
-        assert each["aim_ms"] >= min(site_variants.AIM_MS[1], 2.8 * work_ms)
+        assert (
+            site_variants.LATENCY_OBJECTIVE_MS.low - 1
+            <= each["aim_ms"]
+            <= site_variants.LATENCY_OBJECTIVE_MS.high
+        )
+        assert each["aim_ms"] >= min(site_variants.LATENCY_OBJECTIVE_MS.high, 2.8 * work_ms)
         assert 1.19 <= each["deadline_ms"] / each["aim_ms"] <= 8.02
         assert 1 <= each["worth"] <= 20
         assert ("window_ms" in each) == (each["effect"] == "keyed")
