--- a/shaletiller/lab/__init__.py
+++ b/shaletiller/lab/__init__.py
@@ -1,5 +1,4 @@
-"""The product's own laboratory: fleets of gateways, their links and their faults, on real processes or in
-virtual time.
+"""The laboratory: runs fleets of gateways with faults, on real processes or on a virtual clock.
 
-Nothing of it is loaded by a gateway.  `python -m shaletiller.lab --help` lists the commands.
+Gateways import nothing of it.  `python -m shaletiller.lab --help` lists the commands.
 """
--- a/shaletiller/lab/cli.py
+++ b/shaletiller/lab/cli.py
@@ -1,11 +1,14 @@
-"""The laboratory's commands.  Exit codes: 0 all guarantees kept, 1 one was not, 2 wrong use, 3 nothing
-shown."""
+"""The laboratory's commands.
+
+Exit codes: 0 all guarantees hold; 1 one does not; 2 wrong usage; 3 the run could not be carried out.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import sys
+from collections.abc import Callable, Coroutine
 from pathlib import Path
 from typing import Annotated, Any
 
@@ -18,6 +21,7 @@
     fleet_simulation,
     gateway_benchmark,
     replication_benchmark,
+    replication_benchmark_report,
     replication_scenarios,
     replication_simulation,
     scenario,
@@ -28,25 +32,51 @@
 from shaletiller.lab.guarantees import Outcome
 from shaletiller.lab.state_space_bounds import DEFAULT_TASKS
 
+EXIT_VIOLATED, EXIT_USAGE, EXIT_NOT_RUN = 1, 2, 3
+
 app = typer.Typer(
     add_completion=False,
     no_args_is_help=True,
     pretty_exceptions_enable=False,
-    help="The laboratory: fleets of gateways, their links and their faults.",
+    help="The laboratory: fleets of gateways, with faults of their links, disks and processes.",
 )
-Json = Annotated[Path | None, typer.Option("--json", help="write the verdict there")]
-Seed = Annotated[int, typer.Option(help="of all that is drawn")]
+Json = Annotated[Path | None, typer.Option("--json", help="write the report to this file")]
+Seed = Annotated[int, typer.Option(help="seed of all random draws")]
 
 
-def show(out: Outcome, path: Path | None) -> None:
-    """Print a verdict, write it, and end with its exit code."""
-    for line in out.course:
-        typer.echo(line)
-    for line in out.lines():
+def show(outcome: Outcome, path: Path | None) -> None:
+    """Print the outcome of a run, write its report, and end the command.
+
+    :param path: of the report; None for none.
+    :raises typer.Exit: always, with the exit code.
+    """
+    for line in [*outcome.course, *outcome.lines()]:
         typer.echo(line)
     if path is not None:
-        out.write(path)
-    raise typer.Exit(0 if out.kept else 1)
+        outcome.write(path)
+    raise typer.Exit(0 if outcome.kept else EXIT_VIOLATED)
+
+
+def run_scenario(run: Callable[[], Coroutine[Any, Any, Outcome]]) -> Outcome:
+    """Run a scenario on real processes.
+
+    :param run: loads the scenario and returns the run.
+    :raises typer.Exit: if the scenario cannot be read, or its fleet does not start.
+    """
+    try:
+        return asyncio.run(run())
+    except scenario.ScenarioError as error:
+        typer.echo(f"lab: {error}", err=True)
+        raise typer.Exit(EXIT_USAGE) from error
+    except LabError as error:
+        typer.echo(f"lab: {error}", err=True)
+        raise typer.Exit(EXIT_NOT_RUN) from error
+
+
+def write_json(report: dict[str, Any], path: Path | None) -> None:
+    """Write a report; None for none."""
+    if path is not None:
+        path.write_text(json.dumps(report, indent=1) + "\n")
 
 
 @app.command()
@@ -56,22 +86,20 @@
     seed: Seed = 1,
     faults: Annotated[str, typer.Option(help=f"{', '.join(scenario.names())}, or a file")] = "none",
     carrier: Annotated[str, typer.Option(help="datagrams or tcp")] = "datagrams",
-    tables: Annotated[bool, typer.Option("--tables", help="copy granters' tables, tcp")] = False,
+    tables: Annotated[
+        bool, typer.Option("--tables", help="replicate the granters' tables; needs tcp")
+    ] = False,
     to: Json = None,
 ) -> None:
-    """Real processes that hold a limit and verdicts together, with faults between them."""
+    """Run gateways that enforce a limit and share health data, with faults between them."""
     if carrier not in ("datagrams", "tcp"):
-        raise typer.BadParameter("wants datagrams or tcp", param_hint="--carrier")
+        raise typer.BadParameter("must be datagrams or tcp", param_hint="--carrier")
     if tables and carrier != "tcp":
-        raise typer.BadParameter("wants --carrier tcp", param_hint="--tables")
-    try:
-        out = asyncio.run(
-            fleet_scenarios.run(gateways, seconds, seed, scenario.load(faults), carrier, tables=tables)
-        )
-    except (LabError, scenario.ScenarioError) as error:
-        typer.echo(f"lab: {error}", err=True)
-        raise typer.Exit(2 if isinstance(error, scenario.ScenarioError) else 3) from error
-    show(out, to)
+        raise typer.BadParameter("needs --carrier tcp", param_hint="--tables")
+    outcome = run_scenario(
+        lambda: fleet_scenarios.run(gateways, seconds, seed, scenario.load(faults), carrier, tables=tables)
+    )
+    show(outcome, to)
 
 
 @app.command()
@@ -80,18 +108,18 @@
     seconds: Annotated[float, typer.Option(min=8, max=3600)] = 30.0,
     seed: Seed = 1,
     faults: Annotated[str, typer.Option(help=f"{', '.join(scenario.names('promises'))}, or a file")] = "none",
-    rate: Annotated[float, typer.Option(min=1, help="units a second of copied writes, a gateway")] = 40.0,
+    rate: Annotated[
+        float, typer.Option(min=1, help="replicated writes of each gateway, in units a second")
+    ] = 40.0,
     to: Json = None,
 ) -> None:
-    """Real processes with stores of their own that keep promises for each other, with faults between them."""
-    try:
-        out = asyncio.run(
-            replication_scenarios.run(gateways, seconds, seed, scenario.load(faults, "promises"), rate=rate)
+    """Run gateways with stores that replicate writes, with faults between them."""
+    outcome = run_scenario(
+        lambda: replication_scenarios.run(
+            gateways, seconds, seed, scenario.load(faults, "promises"), rate=rate
         )
-    except (LabError, scenario.ScenarioError) as error:
-        typer.echo(f"lab: {error}", err=True)
-        raise typer.Exit(2 if isinstance(error, scenario.ScenarioError) else 3) from error
-    show(out, to)
+    )
+    show(outcome, to)
 
 
 @app.command()
@@ -102,28 +130,26 @@
     faults: Annotated[
         str, typer.Option(help=f"{', '.join(scenario.names('discovery'))}; or a file")
     ] = "none",
-    alone: Annotated[bool, typer.Option("--alone", help="each gateway alone, as without a fleet")] = False,
+    alone: Annotated[bool, typer.Option("--alone", help="run each gateway without the fleet part")] = False,
     to: Json = None,
 ) -> None:
-    """Real processes whose discovery fails, lies or forgets."""
-    try:
-        out = asyncio.run(
-            discovery_scenarios.run(gateways, seconds, seed, scenario.load(faults, "discovery"), on=not alone)
+    """Run gateways whose discovery fails, sends wrong lists, or loses changes."""
+    outcome = run_scenario(
+        lambda: discovery_scenarios.run(
+            gateways, seconds, seed, scenario.load(faults, "discovery"), on=not alone
         )
-    except (LabError, scenario.ScenarioError) as error:
-        typer.echo(f"lab: {error}", err=True)
-        raise typer.Exit(2 if isinstance(error, scenario.ScenarioError) else 3) from error
-    show(out, to)
+    )
+    show(outcome, to)
 
 
 @app.command()
 def cut(
     folder: Annotated[Path, typer.Argument(metavar="DIR", help="where the store is written")],
     seed: Seed = 1,
-    step: Annotated[int, typer.Option(min=1, help="try every so manieth byte")] = 1,
+    step: Annotated[int, typer.Option(min=1, help="try one byte in so many")] = 1,
     to: Json = None,
 ) -> None:
-    """A store's files cut at every byte, a bit flipped in every byte, a compaction stopped at every call."""
+    """Truncate a store's files at every byte, flip bits in every byte, and interrupt a compaction."""
     show(crash_cut.run(folder, seed, step), to)
 
 
@@ -132,27 +158,27 @@
     gateways: Annotated[int, typer.Option(min=3, max=40)] = 5,
     schedules: Annotated[int, typer.Option(min=0)] = 1000,
     seed: Seed = 1,
-    small: Annotated[bool, typer.Option(help="also every order of events of three, in minutes")] = False,
+    small: Annotated[
+        bool, typer.Option(help="also explore every order of events of three members, in minutes")
+    ] = False,
     to: Json = None,
 ) -> None:
-    """The copying protocol on a virtual clock: schedules of faults, and exhaustively in the small."""
-    found: dict[str, Any] = {}
-    broken = False
+    """Test the replication protocol on a virtual clock, and explore small cases exhaustively."""
+    report: dict[str, Any] = {}
+    violated = False
     if schedules:
         summary = replication_simulation.run_schedules(range(seed, seed + schedules), gateways)
-        found["schedules"], broken = summary.to_json(), bool(summary.failed)
+        report["schedules"], violated = summary.to_json(), bool(summary.failed)
         for line in summary.lines(gateways):
             typer.echo(line)
     if small:
         explorations = state_space_explorer.explore_all(DEFAULT_TASKS)
-        found["small"] = [each.to_json() for each in explorations]
-        broken = broken or any(each.violation for each in explorations)
-        for each in explorations:
-            for line in each.lines():
-                typer.echo(line)
-    if to is not None:
-        to.write_text(json.dumps(found, indent=1) + "\n")
-    raise typer.Exit(1 if broken else 0)
+        report["small"] = [each.to_json() for each in explorations]
+        violated = violated or any(each.violation for each in explorations)
+        for line in [line for each in explorations for line in each.lines()]:
+            typer.echo(line)
+    write_json(report, to)
+    raise typer.Exit(EXIT_VIOLATED if violated else 0)
 
 
 @app.command("promises-cost")
@@ -161,18 +187,17 @@
     turns: Annotated[int, typer.Option(min=1)] = 3,
     seed: Seed = 1,
     records: Annotated[int, typer.Option(help="the largest store that is opened")] = 1_000_000,
-    held: Annotated[int, typer.Option(help="outcomes that the fleet holds when a machine is lost")] = 5_000,
-    plot: Annotated[Path | None, typer.Option(help="a picture of it (PNG)")] = None,
+    held: Annotated[int, typer.Option(help="outcomes in the fleet when a machine is lost")] = 5_000,
+    plot: Annotated[Path | None, typer.Option(help="draw the results to this file (PNG)")] = None,
     to: Json = None,
 ) -> None:
-    """What promises cost: local against copied, group commit, recovery, and a lost machine's repair."""
-    found = asyncio.run(replication_benchmark.measure(seconds, seed, turns, records, held))
-    for line in replication_benchmark.lines(found):
+    """Measure the cost of replicated writes, group commit, recovery, and the repair of a lost machine."""
+    report = asyncio.run(replication_benchmark.measure(seconds, seed, turns, records, held))
+    for line in report.lines():
         typer.echo(line)
-    if to is not None:
-        to.write_text(json.dumps(found, indent=1) + "\n")
+    write_json(report.to_json(), to)
     if plot is not None:
-        replication_benchmark.draw(found, plot)
+        replication_benchmark_report.draw(report, plot)
 
 
 @app.command("fleet-sim")
@@ -180,22 +205,25 @@
     gateways: Annotated[int, typer.Option(min=3, max=2000)] = 5,
     schedules: Annotated[int, typer.Option(min=0)] = 1000,
     seed: Seed = 1,
-    sizes: Annotated[str, typer.Option(help="fleets to measure talk and spread at, such as 5,40,200")] = "",
+    sizes: Annotated[
+        str, typer.Option(help="fleet sizes to measure traffic and propagation at, such as 5,40,200")
+    ] = "",
     loss: Annotated[float, typer.Option(min=0, max=0.9)] = 0.0,
-    plot: Annotated[Path | None, typer.Option(help="draw talk and spread by size there (PNG)")] = None,
+    plot: Annotated[
+        Path | None, typer.Option(help="draw traffic and propagation by size to this file (PNG)")
+    ] = None,
     to: Json = None,
 ) -> None:
-    """The same fleet code on a virtual clock: schedules of faults, and fleets of any size."""
+    """Test the fleet code on a virtual clock: schedules of faults, and fleets of any size."""
     found = fleet_simulation.study(
         gateways, schedules, seed, [int(each) for each in sizes.split(",") if each], loss
     )
     for line in fleet_simulation.lines(found):
         typer.echo(line)
-    if to is not None:
-        to.write_text(json.dumps(found, indent=1) + "\n")
+    write_json(found, to)
     if plot is not None:
         fleet_simulation.draw(found, plot)
-    raise typer.Exit(1 if found["schedules"].get("broken") else 0)
+    raise typer.Exit(EXIT_VIOLATED if found["schedules"].get("broken") else 0)
 
 
 @app.command("fleet-cost")
@@ -206,12 +234,11 @@
     seed: Seed = 1,
     to: Json = None,
 ) -> None:
-    """What the fleet part costs a gateway: off against on, in turn within one run."""
+    """Measure what the fleet part costs a gateway, in alternating turns without and with it."""
     found = asyncio.run(gateway_benchmark.measure(gateways, seconds, seed, turns))
     for line in gateway_benchmark.lines(found):
         typer.echo(line)
-    if to is not None:
-        to.write_text(json.dumps(found, indent=1) + "\n")
+    write_json(found, to)
 
 
 @app.command("variant")
@@ -220,15 +247,16 @@
     out: Annotated[Path, typer.Option(help="where the variant is written")],
     seed: Seed = 1,
 ) -> None:
-    """A site file with all that a customer may choose drawn anew, for the bench."""
+    """Write a site file in which all that a customer may choose is drawn anew."""
     try:
         site_variants.write(base, seed, out)
     except (site_variants.VariantError, OSError) as error:
         typer.echo(f"lab: {error}", err=True)
-        raise typer.Exit(2) from error
+        raise typer.Exit(EXIT_USAGE) from error
 
 
 def main() -> int:
+    """Run the command line, and return its exit code."""
     try:
         app(standalone_mode=True)
     except SystemExit as ended:
