--- a/shaletiller/lab/discovery_scenarios.py
+++ b/shaletiller/lab/discovery_scenarios.py
@@ -18,7 +18,7 @@
 from shaletiller.lab.fleet_testbed import SHARDS, Rig
 from shaletiller.lab.guarantees import Guarantee, Outcome, count
 from shaletiller.lab.load_generator import Load, Stream
-from shaletiller.lab.replication_scenarios import filled
+from shaletiller.lab.replication_scenarios import wait_until_synced
 from shaletiller.lab.scenario import Scenario
 from shaletiller.lab.storage_nodes import StorageNode
 
@@ -89,7 +89,7 @@
         try:
             await rig.start()
             if fleet_enabled:
-                await filled(rig)
+                await wait_until_synced(rig)
             end_ms = seconds * 1000
             streams = [
                 Stream(name, 100 + number, "free", "read", 270.0, 0.0, end_ms, SHARDS + 1)
