--- a/shaletiller/settings/decoder.py
+++ b/shaletiller/settings/decoder.py
@@ -98,14 +98,14 @@
     :raises SettingsError: where the source is no object.
     """
     if not isinstance(source, Mapping):
-        raise SettingsError(f"{where}: wants an object")
+        raise SettingsError(f"{where}: expected an object")
     return {ours: source[theirs] for theirs, ours in keys.items() if source.get(theirs) is not None}
 
 
 def _list(info: Mapping[str, Any], name: str) -> list[Any]:
     rows = info.get(name) or []
     if not isinstance(rows, list):
-        raise SettingsError(f"{name}: wants a list")
+        raise SettingsError(f"{name}: expected a list")
     return rows
 
 
@@ -125,9 +125,13 @@
     Requests name their class and plan in header fields: any other name could not be used, or be ambiguous.
     """
     for at, name in enumerate(names):
-        if isinstance(name, str) and (not NAME.fullmatch(name) or name in names[:at]):
-            why = "stands there twice" if name in names[:at] else "wants 1 to 64 printable ASCII characters"
-            raise SettingsError(f"{where}[{at}].name: {name!r} {why}")
+        if not isinstance(name, str):
+            continue
+        key = f"{where}[{at}].name"
+        if name in names[:at]:
+            raise SettingsError(f"{key}: {name!r} occurs twice")
+        if not NAME.fullmatch(name):
+            raise SettingsError(f"{key}: expected 1 to 64 printable ASCII characters, got {name!r}")
 
 
 def read_settings(info: Mapping[str, Any]) -> Settings:
