--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -168,12 +168,15 @@
     """
     cluster.sent.clear()
     claimed = cluster.propose(0, "k", value=b"mine")
-    assert claimed.committed and claimed.position is not None and claimed.position.ballot == FAST_BALLOT
+    assert claimed.committed
+    assert claimed.position is not None
+    assert claimed.position.ballot == FAST_BALLOT
     assert (cluster.sent["Accept"], cluster.sent["Prepare"]) == (2, 0)
     settled = cluster.propose(
         0, "k", Precondition.EQUALS, b"outcome", expected=b"mine", position=claimed.position
     )
-    assert settled.committed and (cluster.sent["Accept"], cluster.sent["Prepare"]) == (4, 0)
+    assert settled.committed
+    assert (cluster.sent["Accept"], cluster.sent["Prepare"]) == (4, 0)
     assert [cluster.read(member, "k") for member in range(3)] == [b"outcome"] * 3
 
 
@@ -184,7 +187,8 @@
     succeeds.
     """
     first = cluster.propose(0, "k", value=b"mine")
-    assert not (found := cluster.propose(1, "k", value=b"yours")).committed and found.value == b"mine"
+    assert not (found := cluster.propose(1, "k", value=b"yours")).committed
+    assert found.value == b"mine"
     # The second prepared a higher ballot: the first still replaces its own value, in one more round.
     assert cluster.propose(
         0, "k", Precondition.EQUALS, b"", expected=b"mine", position=first.position
@@ -200,7 +204,8 @@
     first = cluster.propose(0, "k", value=b"mine")
     assert cluster.propose(1, "k", Precondition.EQUALS, b"taken over", expected=b"mine").committed
     late = cluster.propose(0, "k", Precondition.EQUALS, b"outcome", expected=b"mine", position=first.position)
-    assert not late.committed and late.value == b"taken over"
+    assert not late.committed
+    assert late.value == b"taken over"
 
 
 def test_with_one_of_three_down_a_majority_commits_and_with_two_down_nothing_is_determined(
@@ -226,7 +231,8 @@
     cluster.node(0).unreachable = frozenset({2})
     before = cluster.now
     assert cluster.propose(0, "k", value=b"mine").committed
-    assert cluster.now - before < 10.0 and cluster.sent["Prepare"] == 2
+    assert cluster.now - before < 10.0
+    assert cluster.sent["Prepare"] == 2
 
 
 def test_the_value_of_a_fast_round_counts_only_if_all_replies_have_it() -> None:
@@ -277,7 +283,8 @@
     ]
     assert cluster.propose(0, "ban:n1", Precondition.OLDER_STAMP, commands[1]).committed
     late = cluster.propose(1, "ban:n1", Precondition.OLDER_STAMP, commands[0])
-    assert not late.committed and late.value == commands[1]
+    assert not late.committed
+    assert late.value == commands[1]
 
 
 def test_expired_rows_are_removed_from_all_replicas_and_their_disks(cluster: Cluster) -> None:
@@ -320,7 +327,8 @@
     ask = Accept(7, "k", FAST_BALLOT, 0, b"mine", int(cluster.now + MINUTE), incarnations)
     node.receive(0, ask, cluster.now)
     (first,) = node.take_effects()
-    assert isinstance(first, PersistRecords) and first.updates
+    assert isinstance(first, PersistRecords)
+    assert first.updates
     node.persist_failed(first.token)
     node.receive(0, ask, cluster.now)  # no change in memory, but the disk lacks it
     persists = [effect for effect in node.take_effects() if isinstance(effect, PersistRecords)]
@@ -358,9 +366,8 @@
     assert cluster.propose(2, "k", Precondition.READ_ONLY, timeout_ms=300.0).indeterminate
     cluster.start(0)
     cluster.run(800.0)
-    assert (
-        cluster.node(1).fully_synced and [cluster.read(member, "k") for member in range(3)] == [b"mine"] * 3
-    )
+    assert cluster.node(1).fully_synced
+    assert [cluster.read(member, "k") for member in range(3)] == [b"mine"] * 3
 
 
 def test_a_request_that_names_a_past_incarnation_is_fenced(cluster: Cluster) -> None:
@@ -389,7 +396,8 @@
     cluster.disks[2] = before  # the disk of the old machine is put back
     cluster.start(2)
     cluster.propose(2, "k", value=b"x")
-    assert cluster.node(2).acceptor.superseded and not cluster.node(2).fully_synced
+    assert cluster.node(2).acceptor.superseded
+    assert not cluster.node(2).fully_synced
 
 
 def test_a_new_machine_whose_clock_is_behind_takes_a_later_incarnation(cluster: Cluster) -> None:
@@ -401,7 +409,8 @@
     cluster.disks[2] = {}
     cluster.nodes[2] = ReplicationNode(2, cluster.groups, [], incarnations[2] - 500_000.0)
     cluster.run(1_200.0)
-    assert cluster.node(2).fully_synced and cluster.node(0).acceptor.incarnations[2] > incarnations[2]
+    assert cluster.node(2).fully_synced
+    assert cluster.node(0).acceptor.incarnations[2] > incarnations[2]
 
 
 def test_a_new_store_takes_what_others_accepted_whatever_they_have_promised_since() -> None:
@@ -583,7 +592,8 @@
 def test_any_bytes_are_dropped_and_counted(data: bytes) -> None:
     """Arbitrary bytes arrive as a frame: they must be dropped and counted, and raise nothing."""
     codec = Codec(7, 0, 3)
-    assert codec.read(b"P" + data) is None and sum(codec.dropped.values()) == 1
+    assert codec.read(b"P" + data) is None
+    assert sum(codec.dropped.values()) == 1
 
 
 def test_messages_of_another_fleet_or_member_are_dropped_by_reason() -> None:
@@ -598,7 +608,8 @@
 
 def test_values_of_a_later_version_decode_to_nothing() -> None:
     """An empty value, or one with a tag of a later version, must decode to nothing and raise nothing."""
-    assert decode_value(b"") is None and decode_value(b"\x93\x63\x01\x02") is None
+    assert decode_value(b"") is None
+    assert decode_value(b"\x93\x63\x01\x02") is None
     assert isinstance(decode_value(pack(WriteIntent(1, 2, 3, 4, 5, 6))), WriteIntent)
 
 
--- a/tests/replication/test_replication_adapters.py
+++ b/tests/replication/test_replication_adapters.py
@@ -144,7 +144,8 @@
     """The process before has the store open, then closes it: opening must fail once, and then succeed."""
     first = SegmentStore(tmp_path / "store")
     opener = opener_of(tmp_path / "store")
-    assert opener.open() is None and not opener.found_damaged
+    assert opener.open() is None
+    assert not opener.found_damaged
     first.close()
     second = opener.open()
     assert second is not None
@@ -162,6 +163,8 @@
     segment.write_bytes(bytes(damaged))
     opener = opener_of(tmp_path / "store")
     opened = opener.open()
-    assert opened is not None and not opened.index and opener.found_damaged
+    assert opened is not None
+    assert not opened.index
+    assert opener.found_damaged
     assert (tmp_path / f"store.damaged-{int(NOW_MS)}" / segment.name).read_bytes() == bytes(damaged)
     opened.close()
--- a/tests/replication/test_replication_process.py
+++ b/tests/replication/test_replication_process.py
@@ -41,7 +41,8 @@
         "staleness of the ban of n4",
     ]
     for stats in out.figures["stats"].values():
-        assert stats["edge.promises.filled"] == 1 and stats["edge.promises.repeated"] > 0
+        assert stats["edge.promises.filled"] == 1
+        assert stats["edge.promises.repeated"] > 0
 
 
 def run_with_gateways(folder: Path, play: Callable[[Rig, Load], Awaitable[None]]) -> None:
@@ -218,7 +219,9 @@
         await other.start(rig.known("g0"))
         assert (await other.stats())["edge.store.open"] == 0
         assert "another process has this store open" in (g0.folder / "log.txt").read_text()
-        assert first is not None and g0.alive and (port, admin) != (other.port, other.admin_port)
+        assert first is not None
+        assert g0.alive
+        assert (port, admin) != (other.port, other.admin_port)
         await g0.stop()
         await until(lambda: holds(other, "edge.store.open", 1))  # it takes over
         await until(lambda: holds(other, "edge.promises.filled", 1))
@@ -255,7 +258,8 @@
         monkeypatch.setattr(Link, "_serve", serve)
         task = asyncio.ensure_future(link.run())
         link.send(b"after all")
-        assert await asyncio.wait_for(received.get(), 5.0) == b"after all" and failures
+        assert await asyncio.wait_for(received.get(), 5.0) == b"after all"
+        assert failures
         task.cancel()
         links.close()
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -103,7 +103,8 @@
     path = tmp_path / "0000000001.seg"
     path.write_bytes(path.read_bytes() + encode_record(Record(1, b"b", b"torn record", 2), 1)[:-3])
     store = SegmentStore(tmp_path)
-    assert store.torn_bytes == record_format.RECORD_OVERHEAD_BYTES + 12 - 3 and store.torn_file == path.name
+    assert store.torn_bytes == record_format.RECORD_OVERHEAD_BYTES + 12 - 3
+    assert store.torn_file == path.name
     store.commit([(1, b"c", b"three")])
     store.close()
     assert sorted(key for _, key in RecoveredContents(tmp_path, FileSystem()).index) == [b"a", b"c"]
@@ -126,7 +127,8 @@
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
     ) as other:
-        assert other.stdout is not None and other.stdout.readline() == "open\n"
+        assert other.stdout is not None
+        assert other.stdout.readline() == "open\n"
         with pytest.raises(StoreLockedError, match="another process has this store open"):
             SegmentStore(tmp_path)
         other.kill()
@@ -149,7 +151,8 @@
     inject_faults(faults, full=True)
     with pytest.raises(StoreFullError):
         store.commit([(1, b"a", b"two"), (1, b"b", b"three")])
-    assert store.get(1, b"a") == b"one" and store.get(1, b"b") is None
+    assert store.get(1, b"a") == b"one"
+    assert store.get(1, b"b") is None
     inject_faults(faults)
     store.commit([(1, b"c", b"four")])  # follows complete records: the partial write was truncated
     store.close()
@@ -288,7 +291,8 @@
 
     async def play() -> None:
         writer = await _write_concurrently(tmp_path / "store", tmp_path / "faults", 300)
-        assert writer.commits <= 3 and writer.committed_updates == 300
+        assert writer.commits <= 3
+        assert writer.committed_updates == 300
         await writer.stop()
 
     asyncio.run(play())
@@ -309,7 +313,8 @@
             inject_faults(faults, full=full)
             durable: asyncio.Future[bool] = loop.create_future()
             writer.submit([(1, b"x", b"y")], durable.set_result)
-            assert await durable is expected and writer.healthy is expected
+            assert await durable is expected
+            assert writer.healthy is expected
         assert writer.failed_updates == 1
         await writer.stop()
 
@@ -333,7 +338,8 @@
             last: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
             writer.submit([(1, f"k{number % 20}".encode(), str(number).encode())], last.set_result)
             assert await last
-        assert writer.snapshots >= 1 and writer.store.log_bytes < 2_000 * 40 / 2
+        assert writer.snapshots >= 1
+        assert writer.store.log_bytes < 2_000 * 40 / 2
         await writer.stop()
 
     asyncio.run(play())
@@ -367,26 +373,31 @@
     assert store_command("compact", str(tmp_path)).returncode == 3  # this process has it open
     store.close()
     shown = [json.loads(line) for line in store_command("show", str(tmp_path), "--json").stdout.splitlines()]
-    assert shown[0]["key"] == "w:once:7:k1" and shown[0]["says"] == "outcome" and shown[0]["bytes"] == 4
+    assert shown[0]["key"] == "w:once:7:k1"
+    assert shown[0]["says"] == "outcome"
+    assert shown[0]["bytes"] == 4
     assert store_command("show", str(tmp_path), "--like", "nothing").stdout == ""
     assert "sound" in store_command("verify", str(tmp_path)).stdout
     assert store_command("compact", str(tmp_path)).returncode == 0
     summary = json.loads(store_command("verify", str(tmp_path), "--json").stdout)
-    assert summary["records"] == 2 and summary["snapshot"] == 2
+    assert summary["records"] == 2
+    assert summary["snapshot"] == 2
     path = tmp_path / "0000000002.snap"
     damaged = bytearray(path.read_bytes())
     damaged[70] ^= 4
     path.write_bytes(bytes(damaged))
     found = store_command("verify", str(tmp_path))
-    assert found.returncode == 1 and "damaged: 0000000002.snap: byte 32" in found.stdout
+    assert found.returncode == 1
+    assert "damaged: 0000000002.snap: byte 32" in found.stdout
     assert store_command("verify", str(ROOT / "docs")).returncode == 2
 
 
 def test_injected_faults_are_those_of_the_operating_system(tmp_path: Path) -> None:
     """An injected full disk must raise ENOSPC after half of the write, as a real one does."""
     inject_faults(tmp_path / "faults", full=True)
-    with pytest.raises(OSError) as error:
+    with pytest.raises(OSError, match="No space left on device") as error:
         FaultInjectingFileSystem(tmp_path / "faults").write(
             os.open(tmp_path / "x", os.O_CREAT | os.O_WRONLY), b"1234"
         )
-    assert error.value.errno == errno.ENOSPC and (tmp_path / "x").read_bytes() == b"12"
+    assert error.value.errno == errno.ENOSPC
+    assert (tmp_path / "x").read_bytes() == b"12"
