--- a/shaletiller/lab/crash_cut.py
+++ b/shaletiller/lab/crash_cut.py
@@ -26,10 +26,10 @@
 
 
 def run(directory: Path, seed: int = 1, every_bytes: int = 1) -> Outcome:
-    """Run the whole test.
+    """Run all parts of the test.
 
     :param directory: where the store is written.
-    :param every_bytes: above 1, only every so manieth byte is tried.
+    :param every_bytes: above 1, only one byte in so many is tried.
     """
     store = directory / "store"
     shutil.rmtree(store, ignore_errors=True)
--- a/shaletiller/lab/replication_guarantees.py
+++ b/shaletiller/lab/replication_guarantees.py
@@ -108,7 +108,7 @@
 
 
 def _executions(testbed: Rig) -> Counter[str]:
-    """Count how often each write ran; a write without a key is told by its request id."""
+    """Count how often each write ran; a write without a key counts under its request id."""
     return Counter(
         attempt.key or attempt.request
         for node in testbed.nodes
--- a/shaletiller/lab/state_space_model.py
+++ b/shaletiller/lab/state_space_model.py
@@ -2,7 +2,7 @@
 
 Three members run the gateway's own `ReplicationNode`.  Messages arrive in any order, and may be lost or
 duplicated; a member may crash at any moment, with its disk or with the loss of it; its timers may fire at any
-moment.  `FaultBounds` says how often each of these may happen.
+moment.  `FaultBounds` limits how often each of these may happen.
 """
 
 from __future__ import annotations
@@ -81,12 +81,12 @@
 class Answer(StrEnum):
     """What a client was answered about its write."""
 
-    NONE = ""
-    CLAIMED = "kept"  # its claim is committed
-    OTHER_VALUE = "found"  # another value is committed
-    INDETERMINATE = "unknown"
-    OUTCOME_COMMITTED = "made"
-    OUTCOME_LOST = "unmade"  # the claim was committed, and its outcome was refused
+    NONE = "none"
+    CLAIMED = "claimed"  # its claim is committed
+    OTHER_VALUE = "other value"  # another value is committed
+    INDETERMINATE = "indeterminate"
+    OUTCOME_COMMITTED = "outcome committed"
+    OUTCOME_LOST = "outcome lost"  # the claim was committed, and its outcome was refused
 
 
 WINNERS = frozenset({Answer.CLAIMED, Answer.OUTCOME_COMMITTED, Answer.OUTCOME_LOST})
