--- a/shaletiller/lab/gateway_processes.py
+++ b/shaletiller/lab/gateway_processes.py
@@ -38,7 +38,7 @@
 
 
 class LabError(Exception):
-    """The laboratory could not do what it was asked to; nothing was shown either way."""
+    """The laboratory could not complete a run; nothing was shown either way."""
 
 
 _port_offsets = itertools.count()
--- a/tests/fleet/test_fleet_process.py
+++ b/tests/fleet/test_fleet_process.py
@@ -36,42 +36,33 @@
     assert named == ["over the strict limit", "staleness of the ban of n4", "writes run twice", "unanswered"]
     assert out.figures["units_limited"] > fleet_testbed.LIMIT.rate * SECONDS / 4  # and it was used
     for stats in out.figures["stats"].values():
-        assert stats["edge.fleet.members"] == 5 and stats["edge.fleet.received"] > 0
+        assert stats["edge.fleet.members"] == 5
+        assert stats["edge.fleet.received"] > 0
 
 
-def test_the_command_reports_its_findings_and_exits_with_the_result(tmp_path: Path) -> None:
-    """The laboratory's command runs with valid faults and with unknown ones: exit codes 0 and 2."""
-    path = tmp_path / "out.json"
-    found = subprocess.run(
-        [
-            sys.executable,
-            "-m",
-            "shaletiller.lab",
-            "fleet",
-            "--gateways",
-            "3",
-            "--seconds",
-            "6",
-            "--json",
-            str(path),
-        ],
+def run_fleet_command(*arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run the laboratory's command for fleets of real processes."""
+    return subprocess.run(
+        [sys.executable, "-m", "shaletiller.lab", "fleet", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
     )
+
+
+def test_the_command_reports_its_findings_and_exits_with_the_result(tmp_path: Path) -> None:
+    """The laboratory's command runs with valid faults and with unknown ones: exit codes 0 and 2."""
+    path = tmp_path / "out.json"
+    found = run_fleet_command("--gateways", "3", "--seconds", "6", "--json", str(path))
     assert found.returncode == 0, found.stdout + found.stderr
     report = json.loads(path.read_text())
-    assert report["kept"] and all(each["kept"] for each in report["guarantees"])
+    assert report["kept"]
+    assert all(each["kept"] for each in report["guarantees"])
     assert "over the strict limit" in found.stdout
-    wrong = subprocess.run(
-        [sys.executable, "-m", "shaletiller.lab", "fleet", "--faults", "nonsense"],
-        cwd=ROOT,
-        capture_output=True,
-        text=True,
-        timeout=60,
-    )
-    assert wrong.returncode == 2 and "there are cut-one-way" in wrong.stderr
+    wrong = run_fleet_command("--faults", "nonsense")
+    assert wrong.returncode == 2
+    assert "there are cut-one-way" in wrong.stderr
 
 
 def test_a_violated_guarantee_fails_the_run() -> None:
--- a/tests/lab/test_lab_variant.py
+++ b/tests/lab/test_lab_variant.py
@@ -17,10 +17,12 @@
 
 
 def spread(values: list[float]) -> float:
+    """Return the ratio of the largest value to the smallest."""
     return max(values) / min(values)
 
 
 def check_classes(classes: list[dict[str, Any]]) -> None:
+    """Check that the classes of a variant are within the bounds of the generator."""
     works = [sum(each["work_ms"]) / 2 for each in classes]
     assert 1 <= len(classes) <= 8
     assert len({each["name"] for each in classes}) == len(classes)
@@ -73,6 +75,10 @@
     [("name = ", "Invalid value"), ("name = 'a'\nclass = 3\n", "class"), ("class = []\n", "tenant")],
 )
 def test_a_faulty_base_is_named(text: str, named: str, tmp_path: Path) -> None:
+    """An operator gives a base file with an error in it.
+
+    The command must end with exit code 2, name what is wrong, and write no file.
+    """
     base = tmp_path / "base.toml"
     base.write_text(text)
     found = CliRunner().invoke(app, ["variant", "--base", str(base), "--out", str(tmp_path / "out.toml")])
--- a/tests/nvme/test_pdu.py
+++ b/tests/nvme/test_pdu.py
@@ -11,20 +11,22 @@
 from shaletiller.net.nvme.status import Status
 
 
-def taken(decoder: pdu.PduDecoder, raw: bytes) -> list[pdu.Pdu]:
+def decode_available(decoder: pdu.PduDecoder, raw: bytes) -> list[pdu.Pdu]:
+    """Feed bytes to a decoder, and return the PDUs that are complete."""
     decoder.feed(raw)
     return list(iter(decoder.next_pdu, None))
 
 
-def units(raw: bytes, allowed: frozenset[pdu.PduType] = pdu.FROM_HOST) -> list[pdu.Pdu]:
-    return taken(pdu.PduDecoder(allowed), raw)
+def decode(raw: bytes, allowed: frozenset[pdu.PduType] = pdu.FROM_HOST) -> list[pdu.Pdu]:
+    """Decode complete PDUs."""
+    return decode_available(pdu.PduDecoder(allowed), raw)
 
 
 def test_ic_req_is_128_bytes_with_version_0_and_no_digests() -> None:
     assert pdu.ic_req() == bytes.fromhex("00 00 80 00 80000000 0000 00 00 00000000") + bytes(112)
 
 
-def test_ic_resp_tells_how_much_data_a_unit_may_carry() -> None:
+def test_ic_resp_states_how_much_data_a_pdu_may_carry() -> None:
     assert pdu.ic_resp()[:16] == bytes.fromhex("01 00 80 00 80000000 0000 00 00 00000100")
 
 
@@ -50,16 +52,16 @@
     assert (data[256:261], data[512:517]) == (b"nqn.a", b"nqn.b")
 
 
-def test_completion_holds_retry_delay_and_do_not_retry() -> None:
+def test_a_completion_carries_retry_delay_and_do_not_retry() -> None:
     raw = capsules.response_capsule(
         9, Status.WRITE_FAULT, sq_head=3, sq_id=1, retry_delay=2, do_not_retry=True
     )
     assert raw == bytes.fromhex("05 00 18 00 18000000 0000000000000000 0300 0100 0900 00a5")
-    (unit,) = units(raw, pdu.FROM_CONTROLLER)
-    assert capsules.read_completion(unit) == commands.Completion(9, Status.WRITE_FAULT, 0, 2, True)
+    (response,) = decode(raw, pdu.FROM_CONTROLLER)
+    assert capsules.read_completion(response) == commands.Completion(9, Status.WRITE_FAULT, 0, 2, True)
 
 
-def test_r2t_and_data_units() -> None:
+def test_r2t_and_data_pdus() -> None:
     wanted = "09 00 18 00 18000000 0500 0600 00100000 00020000 00000000"
     assert pdu.r2t(5, 6, 4096, 512) == bytes.fromhex(wanted)
     raw = pdu.data_pdu(pdu.PduType.H2C_DATA, 5, 6, 0, b"ab")
@@ -69,37 +71,49 @@
 def test_padding_before_data_is_skipped() -> None:
     raw = bytearray(pdu.data_pdu(pdu.PduType.H2C_DATA, 5, 6, 0, b"\0\0\0\0data"))
     raw[3] = 28
-    assert units(bytes(raw))[0].data == b"data"
+    assert decode(bytes(raw))[0].data == b"data"
 
 
 def test_a_digest_that_was_declined_is_an_error() -> None:
     raw = bytearray(capsules.command_capsule(b""))
     raw[1] = 1
     with pytest.raises(PduError) as caught:
-        units(bytes(raw))
+        decode(bytes(raw))
     assert (caught.value.status, caught.value.offset) == (FatalErrorStatus.INVALID_HEADER_FIELD, 1)
 
 
-@settings(derandomize=True, deadline=None)  # the same verdict every time
+@settings(derandomize=True, deadline=None)  # the same examples in every run
 @given(st.lists(st.binary(max_size=300), max_size=6))
-def test_any_bytes_are_units_or_an_error_and_never_held_without_bound(parts: list[bytes]) -> None:
+def test_any_bytes_are_pdus_or_an_error_and_are_never_buffered_without_bound(parts: list[bytes]) -> None:
+    """A faulty or hostile host sends arbitrary bytes.
+
+    They are decoded or end in an error that fits into one termination request; until then no more than the
+    largest PDU is buffered.
+    """
     decoder = pdu.PduDecoder(pdu.FROM_HOST)
-    held = 0
+    buffered = 0
+    failure: PduError | None = None
     try:
         for part in parts:
-            held += len(part) - sum(8 + len(u.header) + len(u.data) for u in taken(decoder, part))
-            assert held <= 72 + 128 + pdu.MAX_H2C_DATA + 300
+            decoded = decode_available(decoder, part)
+            buffered += len(part) - sum(8 + len(each.header) + len(each.data) for each in decoded)
+            assert buffered <= 72 + 128 + pdu.MAX_H2C_DATA + 300
     except PduError as error:
-        assert len(pdu.term_req(pdu.PduType.C2H_TERM_REQ, error)) <= 24 + pdu.MAX_TERM_REQ_DATA
+        failure = error
+    if failure is not None:
+        assert len(pdu.term_req(pdu.PduType.C2H_TERM_REQ, failure)) <= 24 + pdu.MAX_TERM_REQ_DATA
 
 
-@settings(derandomize=True, deadline=None)  # the same verdict every time
+@settings(derandomize=True, deadline=None)  # the same examples in every run
 @given(st.binary(min_size=1, max_size=4096), st.integers(1, 50))
-def test_units_cut_anywhere_come_out_whole(data: bytes, step: int) -> None:
+def test_pdus_that_arrive_in_pieces_are_decoded_completely(data: bytes, step: int) -> None:
+    """The network delivers two PDUs in pieces of any size: both are decoded, with all their data."""
     raw = pdu.ic_req() + pdu.data_pdu(pdu.PduType.H2C_DATA, 1, 2, 0, data)
     decoder = pdu.PduDecoder(pdu.FROM_HOST)
-    found = [unit for at in range(0, len(raw), step) for unit in taken(decoder, raw[at : at + step])]
-    assert [unit.type for unit in found] == [pdu.PduType.IC_REQ, pdu.PduType.H2C_DATA]
+    found = [
+        each for at in range(0, len(raw), step) for each in decode_available(decoder, raw[at : at + step])
+    ]
+    assert [each.type for each in found] == [pdu.PduType.IC_REQ, pdu.PduType.H2C_DATA]
     assert found[1].data == data
 
 
--- a/tests/registry/test_nodes.py
+++ b/tests/registry/test_nodes.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from pathlib import Path
 from typing import Any
 
 import pytest
@@ -317,22 +316,39 @@
 # ---- on the wire
 
 
-def test_of_two_words_on_a_departure_that_of_the_higher_version_stands() -> None:
-    def word(version: int, what: DepartureState, stamp: int, observer: int) -> HealthRecord:
-        return HealthRecord("n1", int(HealthKind.DEPARTING), observer, 7, stamp, 10_000, version * 4 + what)
+def test_of_two_departure_records_the_one_with_the_higher_list_version_is_in_force() -> None:
+    """Two gateways report on one departure: one saw the node drain, one with a newer list saw it leave.
 
-    older, newer = word(5, DepartureState.DRAINING, 900, 1), word(6, DepartureState.LEFT, 100, 2)
+    The record with the higher list version must be in force in whatever order they arrive, and whichever of
+    them was made later.  A record about a newer incarnation of the node ends both.
+    """
+
+    def record(version: int, state: DepartureState, timestamp: int, observer: int) -> HealthRecord:
+        value = version * 4 + state
+        return HealthRecord("n1", int(HealthKind.DEPARTING), observer, 7, timestamp, 10_000, value)
+
+    older = record(5, DepartureState.DRAINING, 900, 1)
+    newer = record(6, DepartureState.LEFT, 100, 2)
     for order in ((older, newer), (newer, older)):
-        verdicts = HealthGossip(lambda said: None)
+        gossip = HealthGossip(lambda record: None)
         for each in order:
-            verdicts.merge(each, 0.0)
-        assert verdicts.departure_record("n1") == newer and len(verdicts) == 1
-    verdicts.merge(HealthRecord("n1", int(HealthKind.WARMING_UP), 3, 8, 1, 10_000, 1), 0.0)
-    assert verdicts.departure_record("n1") is None  # a newer life of the node ends it
+            gossip.merge(each, 0.0)
+        assert gossip.departure_record("n1") == newer
+        assert len(gossip) == 1
+    gossip.merge(HealthRecord("n1", int(HealthKind.WARMING_UP), 3, 8, 1, 10_000, 1), 0.0)
+    assert gossip.departure_record("n1") is None
+
+
+# ---- real processes
 
 
 @pytest.mark.parametrize("faults", ["silent", "overbooked"])
-def test_processes_go_on_without_discovery(faults: str) -> None:
+def test_processes_continue_without_discovery(faults: str) -> None:
+    """Discovery stops answering while gateways restart, or it serves only two of five while a node leaves.
+
+    All guarantees must hold.  In the second case the departure must be known at each gateway, also at those
+    that discovery does not serve; in the first there is none.
+    """
     out = asyncio.run(discovery_scenarios.run(5, 11.0, 1, scenario.load(faults, "discovery")))
     assert out.kept, "\n".join([*out.course, *out.lines()])
     named = [each.name for each in out.guarantees]
@@ -342,10 +358,16 @@
         "unanswered",
         "calls to discovery a second, of one gateway",
     ]
-    heard = {stats["edge.fleet.verdicts.leaving"] for stats in out.figures["stats"].values()}
-    assert heard == {1 if faults == "overbooked" else 0}
+    departures = {stats["edge.fleet.verdicts.leaving"] for stats in out.figures["stats"].values()}
+    assert departures == {1 if faults == "overbooked" else 0}
+
 
+def test_the_checker_detects_gateways_that_do_not_notify_each_other() -> None:
+    """Gateways without a fleet go through the scenario in which discovery answers only some of them.
 
-def test_the_checker_objects_to_gateways_that_hear_nothing_of_each_other(tmp_path: Path) -> None:
-    out = asyncio.run(discovery_scenarios.run(5, 9.0, 1, scenario.load("overbooked", "discovery"), fleet_enabled=False))
+    The others cannot know of a departure and go on sending to the node: the checker must report it.
+    """
+    out = asyncio.run(
+        discovery_scenarios.run(5, 9.0, 1, scenario.load("overbooked", "discovery"), fleet_enabled=False)
+    )
     assert not out.guarantees[0].kept
