--- a/tests/gateway/test_operators.py
+++ b/tests/gateway/test_operators.py
@@ -1,4 +1,4 @@
-"""The parts that operators use: a second process beside the first, the door for operators and its calls."""
+"""The parts that operators use: a second process beside the first, the admin server and its calls."""
 
 from __future__ import annotations
 
@@ -38,24 +38,24 @@
             expect c1 200 here
         """)
 
-    async def test_what_waits_in_the_queue_at_the_shut_is_answered(self) -> None:
+    async def test_connections_queued_when_the_listener_closes_are_answered(self) -> None:
         """A client has connected, but the gateway has not accepted it yet when it stops to listen.
 
         The client must still get its response: a listener that is closed resets the connections queued in it.
         """
-        front = self.gateway.http_server
-        listener = front._listener._socket
+        http_server = self.gateway.http_server
+        listener = http_server._listener._socket
         assert listener is not None
         asyncio.get_running_loop().remove_reader(listener)  # the kernel queues the client
-        reader, writer = await asyncio.open_connection(*front.address)
+        reader, writer = await asyncio.open_connection(*http_server.address)
         writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         await asyncio.sleep(0.05)
-        front.stop_accepting()
+        http_server.stop_accepting()
         line = await asyncio.wait_for(reader.readline(), 2)
         self.assertEqual(line.split()[1], b"200")
         writer.close()
         with socket.socket() as late:
-            self.assertNotEqual(late.connect_ex(front.address), 0)
+            self.assertNotEqual(late.connect_ex(http_server.address), 0)
 
 
 class Calls(Scenario):
@@ -118,7 +118,7 @@
         figures = dict(line.split("=") for line in operator.lines[1:-1])
         self.assertEqual((operator.lines[0], operator.lines[-1]), ("done", "end"))
         self.assertEqual(figures["edge.outstanding"], "1")
-        self.assertEqual(figures["edge.forwards"], "1")  # out, and written
+        self.assertEqual(figures["edge.forwards"], "1")  # in flight
         await self.play("""
             send n1 200 here
             expect c1 200 here
@@ -151,7 +151,7 @@
         """At SIGHUP the configuration file is empty once and correct once. STATS counts one reload each."""
         self.config.write_text("")
         self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
-        self.config.write_text(json.dumps(self.told))
+        self.config.write_text(json.dumps(self.config_document))
         self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
         self.assertEqual(self.gateway.reload_counts, {"applied": 1, "rejected": 1})
 
@@ -172,7 +172,7 @@
             send c1 GET 5 timeout=100
             wait 150
             expect n1 nothing
-            send d n1=active   # the list names it anew: the ban holds
+            send d n1=active   # the list names it again: the ejection stays
             send c2 GET 6 timeout=100
             wait 150
             expect n1 nothing
@@ -180,7 +180,7 @@
         """)
         self.assertIn("edge.ejected=1", (await self.party("a1")).lines)
         await self.play("""
-            send a1 ENABLE n1   # two calls out are met by one back
+            send a1 ENABLE n1   # one ENABLE undoes two DISABLE
             expect a1 done n1
             send c3 GET 7
             expect n1 GET 7
@@ -188,17 +188,17 @@
             expect c3 200
         """)
 
-    async def test_a_ban_holds_in_the_process_that_follows(self) -> None:
+    async def test_an_ejection_applies_in_the_next_process(self) -> None:
         """An operator has disabled a node; then the process is replaced.
 
         The new process reads the ejections at its start, before the endpoint list that it remembers: the node
         stays ejected.
         """
         await self.play("send a1 DISABLE n1\nexpect a1 done n1")
-        follower = Gateway(read_config(self.env, self.nvme))
-        follower.discovery.start_from_known = lambda: None  # type: ignore[method-assign]
-        follower.ejections.reload()
-        self.assertEqual(follower.engine.ejected, {"n1"})
+        next_process = Gateway(read_config(self.env, self.nvme))
+        next_process.discovery.start_from_known = lambda: None  # type: ignore[method-assign]
+        next_process.ejections.reload()
+        self.assertEqual(next_process.engine.ejected, {"n1"})
 
     async def test_an_ejection_that_the_other_process_lifts_is_lifted_here(self) -> None:
         """While two processes of one gateway run, the other one gets the operator's ENABLE.
@@ -219,7 +219,7 @@
 class Draining(Scenario):
     """DRAIN and UNDRAIN."""
 
-    async def test_clients_are_sent_away_while_draining_and_accepted_again_afterwards(self) -> None:
+    async def test_clients_are_rejected_while_draining_and_accepted_again_afterwards(self) -> None:
         """An operator drains the gateway while one client is idle and one request is in flight.
 
         Both connections end with their responses, new clients get 503, and after UNDRAIN clients are served
@@ -227,7 +227,7 @@
         """
         timer = self.gateway.http_server._listener._sweep_timer
         assert timer is not None
-        timer.cancel()  # the sweep would shut c1, idle, before it asks, one time in ten
+        timer.cancel()  # the sweep would close c1, idle, before its request, one time in ten
         await self.play("""
             send c1 GET up
             expect c1 200
@@ -237,9 +237,9 @@
             expect a1 done
             send c1 GET up
             expect c1 503
-            expect c1 end      # told to leave with its answer
-            send n1 200 held
-            expect c2 200 held Connection=close   # what was under way is answered
+            expect c1 end      # its response closes the connection
+            send n1 200 data
+            expect c2 200 data Connection=close   # the request in flight is answered
             expect c2 end
             send c3 GET up
             expect c3 503
@@ -279,8 +279,10 @@
 class Reload(Scenario):
     """Settings that SIGHUP changes under load."""
 
-    def hup(self, **settings: object) -> None:
-        self.config.write_text(json.dumps({**self.told, "settings": {**self.settings, **settings}}))
+    def reload_settings(self, **settings: object) -> None:
+        self.config.write_text(
+            json.dumps({**self.config_document, "settings": {**self.settings, **settings}})
+        )
         self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
 
     async def test_a_class_is_added_and_removed_while_requests_in_flight_keep_theirs(self) -> None:
@@ -293,17 +295,17 @@
             send c1 GET 5 class=read2
             expect c1 400
         """)
-        self.hup(classes=[read, write, {**read, "name": "read2"}])
+        self.reload_settings(classes=[read, write, {**read, "name": "read2"}])
         await self.play("""
             send c2 GET 6 class=read2
             expect n1 GET 6
         """)
-        self.hup(classes=[read, write])
+        self.reload_settings(classes=[read, write])
         await self.play("""
-            send n1 200 kept
-            expect c2 200 kept   # taken as read2, served as read2
+            send n1 200 data
+            expect c2 200 data   # accepted as read2, served as read2
             send c3 GET 7 class=read2
-            expect c3 400        # read2 has gone
+            expect c3 400        # read2 is removed
             send c4 GET 8
             expect n1 GET 8
         """)
@@ -311,7 +313,7 @@
 
     async def test_fewer_attempts_apply_to_new_requests(self) -> None:
         """A reload allows one attempt. A read whose node closes the connection is not retried any more."""
-        self.hup(limits={**self.settings["limits"], "max-attempts": 1})
+        self.reload_settings(limits={**self.settings["limits"], "max-attempts": 1})
         await self.play("""
             send c1 GET 5
             expect n1 GET 5
@@ -324,7 +326,7 @@
     async def test_a_faulty_file_is_rejected_completely(self) -> None:
         """Reloads read files with one faulty or missing value, an empty one and one that is cut off.
 
-        Each is rejected as a whole, and requests are served as before.
+        Each is rejected completely, and requests are served as before.
         """
         read, write = self.settings["classes"]
         faulty: list[object] = [
@@ -333,13 +335,15 @@
             {**read, "hard-limit-ms": None},
         ]
         for spec in faulty:
-            self.hup(classes=[spec, write])
-        self.hup(limits={**self.settings["limits"], "max-attempts": 0})
-        self.hup(limits={**self.settings["limits"], "max-attempts": "3"})
-        self.hup(classes=[{key: value for key, value in read.items() if key != "hard-limit-ms"}, write])
-        text = json.dumps(self.told)
-        for cut in ("", text[: len(text) // 2]):
-            self.config.write_text(cut)
+            self.reload_settings(classes=[spec, write])
+        self.reload_settings(limits={**self.settings["limits"], "max-attempts": 0})
+        self.reload_settings(limits={**self.settings["limits"], "max-attempts": "3"})
+        self.reload_settings(
+            classes=[{key: value for key, value in read.items() if key != "hard-limit-ms"}, write]
+        )
+        text = json.dumps(self.config_document)
+        for truncated in ("", text[: len(text) // 2]):
+            self.config.write_text(truncated)
             self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
         self.assertEqual(self.gateway.reload_counts, {"applied": 0, "rejected": 8})
         await self.play("""
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -70,7 +70,7 @@
             "    def __new__(cls, *args): made.append(args); return super().__new__(cls, *args)\n"
             "ssl.SSLContext = Context\n"
             "import shaletiller.__main__\n"
-            "assert sys.modules['ssl'] is ssl  # put back, for those who speak TLS\n"
+            "assert sys.modules['ssl'] is ssl  # restored, for code that uses TLS\n"
             "off = ('shaletiller.net.nvme.', 'shaletiller.telemetry.', 'shaletiller.lab',\n"
             "       'shaletiller.fleet.core', 'opentelemetry', 'requests')\n"
             "print(len(made), [name for name in sys.modules if name.startswith(off)])\n"
@@ -89,7 +89,7 @@
         """
         port = free_port()
         row = {"id": "n1", "addr": "127.0.0.1:1", "cell": 0}
-        told = {
+        config_document = {
             "listen": f"127.0.0.1:{port}",
             "discovery": "127.0.0.1:1",
             "settings": SETTINGS,
@@ -97,7 +97,7 @@
         }
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
-            path.write_text(json.dumps(told))
+            path.write_text(json.dumps(config_document))
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -109,15 +109,17 @@
             try:
                 self.assertEqual(await self.up(port, 20.0), "HTTP/1.1 200 OK")
                 assert process.stderr is not None
-                told_so = b"".join([await asyncio.wait_for(process.stderr.readline(), 3.0) for _ in range(2)])
+                log_lines = b"".join(
+                    [await asyncio.wait_for(process.stderr.readline(), 3.0) for _ in range(2)]
+                )
                 self.assertRegex(
-                    told_so, rb"running on uvloop, \d{5,} objects exempt from garbage collection"
+                    log_lines, rb"running on uvloop, \d{5,} objects exempt from garbage collection"
                 )
-                await self.reload(process, path, told)
+                await self.reload(process, path, config_document)
                 sent = time.monotonic()
                 process.send_signal(signal.SIGTERM)
                 await asyncio.sleep(0.2)  # with the reload 0.4 s of 0.75: a slow machine has the rest
-                await self.reload(process, path, told)
+                await self.reload(process, path, config_document)
                 self.assertEqual(await self.up(port, 0.1), "HTTP/1.1 200 OK")  # still accepting
                 self.assertEqual(await asyncio.wait_for(process.wait(), 10.0), 0)
                 self.assertGreater(time.monotonic() - sent, 0.7)
@@ -126,7 +128,7 @@
                     process.kill()
                     await process.wait()
 
-    async def test_sigterm_answers_all_that_it_holds_and_exits_with_0(self) -> None:
+    async def test_sigterm_answers_all_requests_in_flight_and_exits_with_0(self) -> None:
         """A gateway gets SIGTERM while requests are in flight.
 
         One request waits in the queue, one is at a node that hangs, one is received in parts across the
@@ -136,25 +138,25 @@
         """
         port, files = free_port(), tempfile.TemporaryDirectory()
         self.addCleanup(files.cleanup)
-        came: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
-        seen: set[str] = set()
+        requests_received: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
+        request_ids: set[str] = set()
 
         async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 try:
-                    _, heads, _ = await read_message(reader)
+                    _, headers, _ = await read_message(reader)
                 except (asyncio.IncompleteReadError, ConnectionError):
                     return
-                seen.add(heads["request-id"])
-                if heads["request-id"].startswith("sends-"):
+                request_ids.add(headers["request-id"])
+                if headers["request-id"].startswith("sends-"):
                     writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
                 else:
-                    came.put_nowait((heads["request-id"], writer))
+                    requests_received.put_nowait((headers["request-id"], writer))
 
         server = await asyncio.start_server(node, "127.0.0.1", 0)
         self.addCleanup(server.close)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        told = {
+        config_document = {
             "listen": f"127.0.0.1:{port}",
             "discovery": "127.0.0.1:1",
             "settings": SETTINGS,
@@ -165,7 +167,7 @@
             },
         }
         path = Path(files.name) / "config.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(config_document))
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -174,12 +176,12 @@
             env={"EDGE_CONFIG": str(path)},
             stderr=asyncio.subprocess.DEVNULL,
         )
-        wires: dict[str, RawClient] = {}
+        clients: dict[str, RawClient] = {}
         try:
             await self.up(port, 20.0)
             for name in ("waits", "hangs", "body", "half"):
-                wires[name] = await RawClient.open(("127.0.0.1", port))
-            wires["waits"].send(
+                clients[name] = await RawClient.open(("127.0.0.1", port))
+            clients["waits"].send(
                 encode_request(
                     1,
                     Request_Id="waits",
@@ -187,52 +189,59 @@
                     IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1",
                 )
             )
-            wires["hangs"].send(encode_request(2, "PUT", b"x", Request_Id="hangs", Request_Timeout_Ms="5000"))
-            wires["half"].send(encode_request(3, Request_Id="half", Request_Timeout_Ms="5000"))
-            out = dict([await asyncio.wait_for(came.get(), 3.0) for _ in range(2)])
-            out["half"].write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nha")
-            whole = encode_request(4, "PUT", b"0123456789", Request_Id="body", Request_Timeout_Ms="5000")
-            wires["body"].send(whole[:-4])
+            clients["hangs"].send(
+                encode_request(2, "PUT", b"x", Request_Id="hangs", Request_Timeout_Ms="5000")
+            )
+            clients["half"].send(encode_request(3, Request_Id="half", Request_Timeout_Ms="5000"))
+            writers = dict([await asyncio.wait_for(requests_received.get(), 3.0) for _ in range(2)])
+            writers["half"].write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nha")
+            request = encode_request(4, "PUT", b"0123456789", Request_Id="body", Request_Timeout_Ms="5000")
+            clients["body"].send(request[:-4])
             unread: list[str] = []
-            senders = [asyncio.ensure_future(self.sends_on(port, number, unread)) for number in range(3)]
+            senders = [
+                asyncio.ensure_future(self.send_until_closed(port, number, unread)) for number in range(3)
+            ]
             process.send_signal(signal.SIGTERM)
-            out["half"].write(b"lf")  # within the time that a node has for an answer
-            wires["body"].send(whole[-4:])
-            name, writer = await asyncio.wait_for(came.get(), 3.0)
+            writers["half"].write(b"lf")  # within the time that a node has for an answer
+            clients["body"].send(request[-4:])
+            name, writer = await asyncio.wait_for(requests_received.get(), 3.0)
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nbody")
-            found = {name: await wire.answer() for name, wire in wires.items()}
+            found = {name: await client.answer() for name, client in clients.items()}
             self.assertEqual(await asyncio.wait_for(process.wait(), 10.0), 0)
             await asyncio.gather(*senders)
         finally:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-            for wire in wires.values():
-                wire.close()
+            for client in clients.values():
+                client.close()
         self.assertEqual(name, "body")
         self.assertEqual(found["half"], (200, b"half"))
         self.assertEqual(found["body"], (200, b"body"))
         self.assertEqual((found["hangs"][0], found["waits"][0]), (502, 503))
-        self.assertEqual((len(unread), seen.intersection(unread)), (3, set()))  # none was sent on and lost
+        self.assertEqual(len(unread), 3)
+        self.assertEqual(request_ids.intersection(unread), set())  # none was forwarded and lost
 
-    async def sends_on(self, port: int, number: int, unread: list[str]) -> None:
-        """A client that asks until its connection ends: the last request is the one that was not read."""
-        wire = await RawClient.open(("127.0.0.1", port))
+    async def send_until_closed(self, port: int, number: int, unread: list[str]) -> None:
+        """Send requests until the connection is closed: the last of them is the one that was not read."""
+        client = await RawClient.open(("127.0.0.1", port))
         for at in range(100_000):
             try:
-                wire.send(encode_request(at, Request_Id=f"sends-{number}-{at}"))
-                await wire.answer()
+                client.send(encode_request(at, Request_Id=f"sends-{number}-{at}"))
+                await client.answer()
             except (AssertionError, OSError):
                 unread.append(f"sends-{number}-{at}")
                 break
-        wire.close()
+        client.close()
 
-    async def reload(self, process: asyncio.subprocess.Process, path: Path, told: dict[str, object]) -> None:
-        """SIGHUP with a bad file changes nothing, with a good one the watch moves."""
+    async def reload(
+        self, process: asyncio.subprocess.Process, path: Path, config_document: dict[str, object]
+    ) -> None:
+        """Send SIGHUP with a faulty file, which changes nothing, and a good one, which moves the watch."""
         called = asyncio.Event()
         agent = await asyncio.start_server(lambda reader, writer: called.set(), "127.0.0.1", 0)
         address = f"127.0.0.1:{agent.sockets[0].getsockname()[1]}"
-        for text in ('{"settings": ', json.dumps({**told, "discovery": address})):
+        for text in ('{"settings": ', json.dumps({**config_document, "discovery": address})):
             self.assertFalse(called.is_set())
             path.write_text(text)
             process.send_signal(signal.SIGHUP)
@@ -264,8 +273,10 @@
             other.bind(("127.0.0.1", 0))
             other.settimeout(3.0)
             addresses = (("127.0.0.1", free_port()), other.getsockname())
-            heard: asyncio.Queue[tuple[int, str]] = asyncio.Queue()
-            peers = PeerEndpoint(addresses, addresses[1], lambda peer, data: heard.put_nowait((peer, data)))
+            received: asyncio.Queue[tuple[int, str]] = asyncio.Queue()
+            peers = PeerEndpoint(
+                addresses, addresses[1], lambda peer, data: received.put_nowait((peer, data))
+            )
             await peers.start(addresses[0])
             try:
                 peers.send_text(1, "x" * 257)
@@ -275,6 +286,6 @@
                 self.assertEqual([other.recv(999), other.recv(999)], [b"y" * 256, b"all"])
                 for raw in (b"z" * 257, b"\xff", b"hello"):
                     other.sendto(raw, addresses[0])
-                self.assertEqual(await asyncio.wait_for(heard.get(), 3.0), (1, "hello"))
+                self.assertEqual(await asyncio.wait_for(received.get(), 3.0), (1, "hello"))
             finally:
                 peers.close()
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -24,7 +24,7 @@
 from shaletiller.net.nvme.queue import ControllerQueue
 from shaletiller.net.overload_control import AcceptedSocket
 from shaletiller.net.pool import UpstreamProtocol
-from tests.support.scenario import PATIENCE_S, SETTINGS, VOLUME, Scenario, key
+from tests.support.scenario import SETTINGS, TIMEOUT_S, VOLUME, Scenario, key
 
 PATCH = unittest.mock.patch
 
@@ -81,7 +81,7 @@
 
 async def until(holds: Callable[[], object], what: str) -> None:
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not holds():
                 await asyncio.sleep(0.005)
     except TimeoutError:
@@ -108,7 +108,7 @@
 
     async def read(self) -> bytes:
         """Read what has arrived, b"" at the end; a reset raises ConnectionResetError."""
-        found = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 65536), PATIENCE_S)
+        found = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 65536), TIMEOUT_S)
         self.got += found
         return found
 
@@ -214,13 +214,13 @@
         self.assertEqual(await wire.answer(), (200, b"ok"))
 
     @property
-    def came(self) -> int:
+    def requests_received(self) -> int:
         """How many requests have reached a node and were not expected yet."""
-        return sum(self.parties[name].came.qsize() for name in self.servers)
+        return sum(self.parties[name].received.qsize() for name in self.servers)
 
     async def retried(self, number: int) -> None:
         """Do what a client does whose request was not read: retry it on a new connection."""
-        self.assertEqual(self.came, 0)
+        self.assertEqual(self.requests_received, 0)
         await self.served(await self.wire(), number)
 
 
@@ -363,7 +363,7 @@
         await wire.end()
         wire.close()
         await until(lambda: not listener.overload, "the end of the rejected connection")
-        self.assertEqual(self.came, 0)
+        self.assertEqual(self.requests_received, 0)
 
 
 class Shutdown(RaceScenario):
@@ -391,11 +391,11 @@
                     lambda wire=wire: wire.send(encode_request(4)),
                     before,
                 )
-                await asyncio.wait_for(self.stop(), PATIENCE_S)
+                await asyncio.wait_for(self.stop(), TIMEOUT_S)
                 await other.end()
                 found = await wire.read()
                 self.assertTrue(found == b"" or found.startswith(b"HTTP/1.1 503 "), found)
-                self.assertEqual(self.came, 0)
+                self.assertEqual(self.requests_received, 0)
                 await self.asyncTearDown()
                 await self.asyncSetUp()
 
@@ -436,9 +436,10 @@
         self.assertEqual((await wires["waits"].answer())[0], 503)
         for wire in wires.values():
             await wire.end()
-        await asyncio.wait_for(stop, PATIENCE_S)
+        await asyncio.wait_for(stop, TIMEOUT_S)
         self.assertEqual(
-            (self.gateway.engine.exchanges, self.gateway.engine.attempts.in_flight, self.came), ({}, {}, 0)
+            (self.gateway.engine.exchanges, self.gateway.engine.attempts.in_flight, self.requests_received),
+            ({}, {}, 0),
         )
 
     async def test_clients_that_send_until_the_end_lose_no_request(self) -> None:
@@ -465,10 +466,10 @@
         self.parties["n1"].script = answer
         clients = [asyncio.ensure_future(sends_on(number)) for number in range(8)]
         await until(lambda: len(answered) > 40, "answers")
-        await asyncio.wait_for(self.stop(), PATIENCE_S)
-        await asyncio.wait_for(asyncio.gather(*clients), PATIENCE_S)
+        await asyncio.wait_for(self.stop(), TIMEOUT_S)
+        await asyncio.wait_for(asyncio.gather(*clients), TIMEOUT_S)
         self.assertEqual(len(unread), 8)
-        seen = set(self.parties["n1"].seen)
+        seen = set(self.parties["n1"].request_ids)
         self.assertEqual([each for each in unread if each in seen], [])  # forwarded, and lost
 
     async def test_accepted_connections_not_started_at_shutdown_are_rejected(self) -> None:
@@ -482,11 +483,11 @@
         late = await self.wire()
         late.send(encode_request(1))
         await until(lambda: listener.accept_queue, "the new connection")
-        await asyncio.wait_for(self.stop(), PATIENCE_S)
+        await asyncio.wait_for(self.stop(), TIMEOUT_S)
         self.assertEqual((await late.answer())[0], 503)
         await late.end()
         await wire.end()
-        self.assertEqual(self.came, 0)
+        self.assertEqual(self.requests_received, 0)
 
     async def test_a_connection_that_is_starting_at_shutdown_is_half_closed_unread(self) -> None:
         """A connection is being started, and has no transport yet, as the listener stops.
@@ -508,9 +509,9 @@
             listener, "stop_accepting", comes, before=False, which=lambda: self.gateway.http_server._closing
         )
         self.at_any_close(lambda: late[0].send(encode_request(1)))
-        await asyncio.wait_for(self.stop(), PATIENCE_S)
+        await asyncio.wait_for(self.stop(), TIMEOUT_S)
         await late[0].end()
-        self.assertEqual((self.came, self.gateway.engine.counters), (0, {}))
+        self.assertEqual((self.requests_received, self.gateway.engine.counters), (0, {}))
         late[0].close()
 
 
@@ -524,7 +525,7 @@
         await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await free()
         await asyncio.sleep(0.05)  # whatever was to be forwarded has been by now
-        self.assertEqual(self.came, 0)
+        self.assertEqual(self.requests_received, 0)
 
     async def test_while_it_is_queued(self) -> None:
         """A client closes, resets or half-closes its connection while its request waits for a node.
@@ -552,7 +553,7 @@
                     await self.play(f"send d n{shard}=active")
 
                 await self.gone(wire, ways[how], comes)
-                self.assertEqual(self.parties[f"n{shard}"].came.qsize(), 0)
+                self.assertEqual(self.parties[f"n{shard}"].received.qsize(), 0)
 
     async def test_while_it_is_pipelined_behind_another_request(self) -> None:
         """A client pipelines two requests and leaves.
@@ -565,7 +566,7 @@
         wire.close()
         await self.play("expect n1 closed")
         await asyncio.sleep(0.05)
-        self.assertEqual((self.came, self.gateway.engine.exchanges), (0, {}))
+        self.assertEqual((self.requests_received, self.gateway.engine.exchanges), (0, {}))
 
     async def test_as_the_connection_to_its_node_comes_up(self) -> None:
         """A client leaves in the moment in which the connection for its request comes up.
@@ -584,7 +585,7 @@
         node = self.parties["n1"]
         await until(lambda: node.writers, "the connection")
         await until(lambda: all(each.transport.is_closing() for each in node.writers), "its end")
-        self.assertEqual((self.came, node.seen), (0, []))
+        self.assertEqual((self.requests_received, node.request_ids), (0, []))
 
     async def test_before_a_retry(self) -> None:
         """A client leaves between a failed connect and the retry.
@@ -592,14 +593,14 @@
         The node, reachable again, must not get the request.
         """
         wire = await self.wire()
-        await self.play("close n1 door")
+        await self.play("close n1 listener")
         wire.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
         wire.close()
         await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await self.parties["n1"].start()  # it is reachable again, on its port
         await asyncio.sleep(0.3)
-        self.assertEqual((self.came, self.parties["n1"].seen), (0, []))
+        self.assertEqual((self.requests_received, self.parties["n1"].request_ids), (0, []))
 
 
 class AdminConnections(RaceScenario):
@@ -664,7 +665,7 @@
         self.at(self.gateway.nvme, "stop", lambda: owed.append(self.gateway.nvme.busy))
         stop = asyncio.ensure_future(self.gateway.stop())
         await self.play("expect v1 write_fault dnr")
-        await asyncio.wait_for(stop, PATIENCE_S)
+        await asyncio.wait_for(stop, TIMEOUT_S)
         self.assertEqual(owed, [False])  # nothing is pending any more as the server stops
 
     async def test_a_completion_arrives_though_its_host_is_still_sending_at_the_close(self) -> None:
@@ -681,21 +682,21 @@
         self.at(ControllerQueue, "end", lambda: os.write(sock.fileno(), capsules.command_capsule(flush)))
         stop = asyncio.ensure_future(self.gateway.stop())
         await self.play("expect v1 interrupted")
-        self.assertIsNone(await queue._stream.receive(PATIENCE_S))  # the end, in order
-        await asyncio.wait_for(stop, PATIENCE_S)
+        self.assertIsNone(await queue._stream.receive(TIMEOUT_S))  # the end, in order
+        await asyncio.wait_for(stop, TIMEOUT_S)
 
     async def test_a_command_whose_host_has_left_is_not_forwarded(self) -> None:
         """An NVMe host leaves between a failed attempt and the retry.
 
         The node, reachable again, must not get the command.
         """
-        await self.play("close n1 door\nsend v1 write 5 data")
+        await self.play("close n1 listener\nsend v1 write 5 data")
         await until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
         await self.play("close v1")
         await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await self.parties["n1"].start()
         await asyncio.sleep(0.3)
-        self.assertEqual((self.came, self.parties["n1"].seen), (0, []))
+        self.assertEqual((self.requests_received, self.parties["n1"].request_ids), (0, []))
 
 
 class FullQueue(RaceScenario):
@@ -712,7 +713,7 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         node = self.parties["n1"]
-        await node.close("door")
+        await node.close("listener")
         await node.server.wait_closed()
         self.port = node.port
         self.full = socket.create_server(("127.0.0.1", node.port), backlog=0)
@@ -730,12 +731,12 @@
         await until(lambda: queued_at(self.port) == 1, "the full queue")
 
     def comes_up(self) -> None:
-        """Make room in the queue: the next SYN is accepted."""
+        """Free a place in the queue: the next SYN is accepted."""
         self.accepted.append(self.full.accept()[0])
 
     async def next(self) -> socket.socket:
         self.full.setblocking(False)
-        sock, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.full), PATIENCE_S)
+        sock, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.full), TIMEOUT_S)
         sock.setblocking(False)
         self.accepted.append(sock)
         return sock
@@ -752,7 +753,7 @@
         await until(lambda: connecting_to(self.port) == 1, "the attempt")
         self.comes_up()
         sock = await self.next()  # a second after the first SYN
-        raw = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 9999), PATIENCE_S)
+        raw = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 9999), TIMEOUT_S)
         self.assertIn(b"Request-Id: PUT-1\r\n", raw)
         sock.sendall(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
         self.assertEqual(await wire.answer(), (200, b"ok"))
@@ -777,7 +778,7 @@
         self.fillers.pop().close()
         await until(lambda: not self.gateway.http_server.connections, "the clients' end")
         self.assertEqual(connections_to(self.port), 0)
-        self.full.settimeout(1.5)  # a second after the first SYN each would ask again
+        self.full.settimeout(1.5)  # a second after the first SYN each client would send it again
         with self.assertRaises(TimeoutError):
             await asyncio.get_running_loop().run_in_executor(None, self.full.accept)
 
@@ -834,7 +835,7 @@
         self.comes_up()
         wire.send(encode_request(1, "PUT", b"x", Idempotency_Key="k", Request_Timeout_Ms="2500"))
         first = await self.next()
-        raw = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(first, 9999), PATIENCE_S)
+        raw = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(first, 9999), TIMEOUT_S)
         self.assertIn(b"Idempotency-Key: k\r\n", raw)
         await self.fill()
         return first
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -21,7 +21,7 @@
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.settings.model import DeduplicationScope, Idempotency
 from tests.net.test_endings import PATCH, RaceScenario, RawClient, encode_request, reset, reset_stream, until
-from tests.support.scenario import PATIENCE_S, SETTINGS, VOLUME, Server
+from tests.support.scenario import SETTINGS, TIMEOUT_S, VOLUME, Server
 from tests.support.scheduler_host import SAFE, ScriptedGateway
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
@@ -67,7 +67,7 @@
             writer.write(ANSWER)
         status, body = await wire.answer()
         self.assertEqual((status, body == b"body"), (wanted, wanted == 200))
-        self.assertEqual(self.came, 0)
+        self.assertEqual(self.requests_received, 0)
         wire.close()
 
     async def test_a_response_truncated_at_any_byte_is_not_forwarded(self) -> None:
@@ -119,7 +119,7 @@
                     await self.ends(b"", "reset", request, wanted)
 
     async def test_a_failure_before_the_last_byte_has_not_run(self) -> None:
-        """The node takes a part of a large body and resets.
+        """The node reads a part of a large body and resets.
 
         The request cannot have run, so it must be retried, a non-idempotent write too.
         """
@@ -147,9 +147,9 @@
                 small.bind(("127.0.0.1", node.port))
                 node.server = await asyncio.start_server(cuts, sock=small, limit=1024)
                 wire = await self.wire()
-                heads = {"Request_Class": name} | ({"Idempotency_Key": "k"} if name == "keyed" else {})
+                headers = {"Request_Class": name} | ({"Idempotency_Key": "k"} if name == "keyed" else {})
                 with PATCH("shaletiller.net.http_upstream.split_last_byte", self.slow):
-                    wire.send(encode_request(5, "PUT", body, **heads))
+                    wire.send(encode_request(5, "PUT", body, **headers))
                     _, _, received, writer, _ = await node.next()
                 self.assertEqual(len(received), len(body))
                 writer.write(ANSWER)
@@ -255,7 +255,7 @@
         got, ended = b"", False
         while not ended:
             try:
-                found = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 65536), PATIENCE_S)
+                found = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 65536), TIMEOUT_S)
             except ConnectionResetError:
                 found = b""
             got, ended = got + found, not found
@@ -314,7 +314,7 @@
     settings: ClassVar[dict[str, Any]] = EFFECTS
 
     def reload_settings(self, **changes: Any) -> None:
-        self.told["settings"] = {**EFFECTS, **changes}
+        self.config_document["settings"] = {**EFFECTS, **changes}
         self.reload(self.parties["d"].port)
 
     async def test_requests_in_progress_keep_their_class_and_effect(self) -> None:
@@ -344,7 +344,7 @@
         self.assertEqual((await wire.answer())[0], 502)
         await self.play("expect n3 GET 2\nsend n3 200 ok")
         self.assertEqual(await reader.answer(), (200, b"ok"))
-        self.assertEqual(node.came.qsize(), 0)
+        self.assertEqual(node.received.qsize(), 0)
         # And new ones follow the new settings.
         wire.send(encode_request(3, IO_Info=far))
         await self.play("expect n3 GET 3\nclose n3")
@@ -404,8 +404,8 @@
         That call must go to the new address, for the full list.
         """
         second, agent = Gateway(read_config(self.env, self.nvme)), await self.party("d2")
-        self.told["discovery"] = f"127.0.0.1:{agent.port}"
-        self.config.write_text(json.dumps(self.told))
+        self.config_document["discovery"] = f"127.0.0.1:{agent.port}"
+        self.config.write_text(json.dumps(self.config_document))
         second.reload(read_config_again(self.env, self.nvme))
         watch = asyncio.ensure_future(second.discovery.run())
         self.assertEqual((await agent.next())[0], "GET /discovery/hosts HTTP/1.1")
@@ -425,8 +425,8 @@
             [],
         ):
             with self.subTest(classes):
-                self.told["settings"] = {**SETTINGS, "classes": classes}
-                self.config.write_text(json.dumps(self.told))
+                self.config_document["settings"] = {**SETTINGS, "classes": classes}
+                self.config.write_text(json.dumps(self.config_document))
                 self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
                 self.assertIs(self.gateway.config, before)
                 self.assertIs(self.gateway.engine._scheduler.settings, scheduler)
@@ -485,7 +485,7 @@
         """
         for how in ("reset", "end", "silent"):
             with self.subTest(how):
-                seen, agent = self.seen(), await self.party("d")
+                seen, agent = self.record_events(), await self.party("d")
                 agent.current = (await agent.next())[3]
                 await self.send_full(agent, 4, n1="active", n2="active")
                 agent.current = (await agent.next())[3]
@@ -505,8 +505,8 @@
                 )
                 update = next(each for each in seen if isinstance(each, EndpointListUpdate))
                 waited = self.gateway._clock.now_ms() - answered
-                self.assertGreater(update.late_ms, 90.0 if how != "silent" else 0.0)
-                self.assertLess(update.late_ms, waited + 50.0)
+                self.assertGreater(update.staleness_ms, 90.0 if how != "silent" else 0.0)
+                self.assertLess(update.staleness_ms, waited + 50.0)
                 await self.asyncTearDown()
                 await self.asyncSetUp()
 
@@ -515,7 +515,7 @@
 
         It must count as announced just now.
         """
-        seen, agent = self.seen(), await self.party("d")
+        seen, agent = self.record_events(), await self.party("d")
         for version in (5, 6):
             agent.current = (await agent.next())[3]
             await asyncio.sleep(0.05)
@@ -525,7 +525,7 @@
         await until(
             lambda: len([each for each in seen if isinstance(each, EndpointListUpdate)]) == 3, "the lists"
         )
-        self.assertEqual(seen[-1].late_ms, 0.0)
+        self.assertEqual(seen[-1].staleness_ms, 0.0)
 
     async def test_after_the_grace_a_node_gets_no_requests_and_those_in_progress_are_answered(self) -> None:
         """A node drains, and its grace period ends while it has a request in progress.
@@ -543,7 +543,7 @@
         with PATCH.object(clock, "_offset_ms", clock._offset_ms + 3000.0):  # its grace period is over
             late.send(encode_request(2, "PUT", b"y", Request_Timeout_Ms="200"))
             self.assertEqual((await late.answer())[0], 503)
-            self.assertEqual(self.came, 0)
+            self.assertEqual(self.requests_received, 0)
             await self.play("send n1 200 ok")
             self.assertEqual(await wire.answer(), (200, b"ok"))
 
@@ -568,7 +568,7 @@
 class Starts(RaceScenario):
     """A start with discovery down, silent or late, or with an outdated list."""
 
-    async def starts(self) -> tuple[float, int]:
+    async def start_second(self) -> tuple[float, int]:
         """Start a second gateway beside the first: how long that takes, and its status at `GET /up`."""
         gateway = Gateway(read_config(self.env, self.nvme))
         began = time.monotonic()
@@ -588,9 +588,9 @@
         wire.close()
         return status
 
-    def known(self, rows: list[Any]) -> None:
-        self.told["known"] = {"version": 1, "full": True, "servers": rows}
-        self.config.write_text(json.dumps(self.told))
+    def write_known_list(self, rows: list[Any]) -> None:
+        self.config_document["known"] = {"version": 1, "full": True, "servers": rows}
+        self.config.write_text(json.dumps(self.config_document))
 
     async def test_the_configured_list_serves_while_discovery_is_down_or_silent(self) -> None:
         """A gateway starts while discovery is silent or down.
@@ -600,10 +600,10 @@
         for how in ("silent", "down"):
             with self.subTest(how):
                 if how == "down":
-                    await self.parties["d"].close("door")
-                took, status = await self.starts()
+                    await self.parties["d"].close("listener")
+                duration_s, status = await self.start_second()
                 self.assertEqual(status, 200)
-                self.assertLess(took, 10.0)  # the operators' limit
+                self.assertLess(duration_s, 10.0)  # the operators' limit
                 wire = await RawClient.open(self.second.http_server.address)
                 wire.send(encode_request(1))
                 await self.play("expect n1 GET 1\nsend n1 200 ok")
@@ -618,17 +618,17 @@
         agent = await self.party("d")
         for rows in ([], [self.row("n1", "leaving"), self.row("n2", "leaving")]):
             with self.subTest(rows=len(rows)):
-                await until(lambda: agent.came.qsize() > 0, "the first gateway's watch")
-                while agent.came.qsize():
-                    agent.came.get_nowait()
-                self.known(rows)
-                _, status = await self.starts()
+                await until(lambda: agent.received.qsize() > 0, "the first gateway's watch")
+                while agent.received.qsize():
+                    agent.received.get_nowait()
+                self.write_known_list(rows)
+                _, status = await self.start_second()
                 self.assertEqual(status, 503)
                 found = await agent.next()  # discovery answers late
                 self.assertEqual(await self.up(), 503)
-                news = {"version": 3, "full": True, "servers": [self.row("n1", "active")]}
+                update = {"version": 3, "full": True, "servers": [self.row("n1", "active")]}
                 agent.current = found[3]
-                await Server.send(agent, "200", json.dumps(news))
+                await Server.send(agent, "200", json.dumps(update))
                 await until(lambda: self.second.discovery.ready, "the list")
                 self.assertEqual(await self.up(), 200)
 
@@ -639,8 +639,8 @@
         """
         agent = await self.party("d")
         await agent.next()
-        self.known([self.row("n1", "active"), self.row("n2", "active")])
-        await self.starts()
+        self.write_known_list([self.row("n1", "active"), self.row("n2", "active")])
+        await self.start_second()
         found = await agent.next()
         agent.current = found[3]
         rows = [self.row("n1", "leaving"), self.row("n2", "active")]
@@ -649,7 +649,7 @@
         wire = await RawClient.open(self.second.http_server.address)
         wire.send(encode_request(1, Request_Timeout_Ms="200"))
         self.assertEqual((await wire.answer())[0], 503)  # it has been draining for an unknown time
-        self.assertEqual(self.came, 0)
+        self.assertEqual(self.requests_received, 0)
         wire.close()
 
 
@@ -697,7 +697,7 @@
             wire.send(encode_request(number, "PUT", b"x" * 60000, Content_Length="9000000"))
 
         await self.flood(act)
-        self.assertEqual(self.came, 0)
+        self.assertEqual(self.requests_received, 0)
 
     async def test_clients_that_send_partial_heads(self) -> None:
         """Many clients send a part of a head and wait.
@@ -728,4 +728,4 @@
                 reset(wire.sock)
 
         await self.flood(act)
-        self.assertEqual(self.came, 0)
+        self.assertEqual(self.requests_received, 0)
--- a/tests/net/test_overload_control.py
+++ b/tests/net/test_overload_control.py
@@ -69,7 +69,7 @@
     """Under overload the queue holds a request, a health check, a silent client and one that has left.
 
     The request must be rejected and counted, the health check handed back to be started, the silent client
-    kept until it may be evicted, and the client that has left closed.
+    left in the queue until it may be evicted, and the client that has left closed.
     """
     clock, rejected = SettableClock(), []
     control = OverloadControl(clock, lambda: True, rejected.append)
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -11,6 +11,7 @@
 
 import aiohttp
 
+from shaletiller.messages.actions import FetchEndpointList
 from shaletiller.messages.events import AttemptEnded
 from shaletiller.net.client_connection import ConnectionState
 from shaletiller.net.connection_table import EVICTABLE_AFTER_MS
@@ -18,7 +19,7 @@
 from shaletiller.net.http_upstream import HttpUpstreamClient
 from shaletiller.net.overload_control import AcceptedSocket
 from shaletiller.net.pool import UpstreamConnector
-from tests.support.scenario import PATIENCE_S, SETTINGS, VOLUME, Scenario, Server, read_message
+from tests.support.scenario import SETTINGS, TIMEOUT_S, VOLUME, Scenario, Server, read_message
 
 
 class Forwarding(Scenario):
@@ -125,11 +126,11 @@
 
         The write has certainly not run, so it must be rejected with a 503 and a short Retry-After.
         """
-        await self.play("close n1 door\nsend c1 PUT 1 a timeout=400")
-        first, heads, _ = await read_message((await self.party("c1")).reader)
+        await self.play("close n1 listener\nsend c1 PUT 1 a timeout=400")
+        first, headers, _ = await read_message((await self.party("c1")).reader)
         self.assertTrue(first.startswith("HTTP/1.1 503 "), first)
-        self.assertGreater(float(heads["retry-after"]), 0)
-        self.assertLess(float(heads["retry-after"]), 0.2)
+        self.assertGreater(float(headers["retry-after"]), 0)
+        self.assertLess(float(headers["retry-after"]), 0.2)
 
     async def test_a_write_without_a_response_fails_by_its_deadline(self) -> None:
         """A node never answers a write.
@@ -233,7 +234,7 @@
         The next watch must follow right away, from that change's version.
         """
         await self.play("send d n2=left")
-        first = (await asyncio.wait_for((await self.party("d")).came.get(), 0.2))[0]
+        first = (await asyncio.wait_for((await self.party("d")).received.get(), 0.2))[0]
         self.assertTrue(first.startswith("GET /discovery/hosts?since=2&"), first)
 
     async def test_a_graceful_shutdown_answers_requests_in_progress_and_serves_open_connections(self) -> None:
@@ -257,7 +258,7 @@
             "send n1 200 on\nexpect c2 200 on\nwait 150\nsend c1 PUT 4 x\nexpect c1 503\n"
             "expect n1 nothing\nexpect c2 end"
         )
-        await asyncio.wait_for(stop, PATIENCE_S)
+        await asyncio.wait_for(stop, TIMEOUT_S)
 
     async def test_a_graceful_shutdown_answers_requests_that_would_outlast_it(self) -> None:
         """Requests with deadlines beyond the end of the process are at nodes.
@@ -270,7 +271,7 @@
         )
         stop = asyncio.ensure_future(self.gateway.stop())
         await self.play("expect c1 503\nexpect c2 502")
-        await asyncio.wait_for(stop, PATIENCE_S)
+        await asyncio.wait_for(stop, TIMEOUT_S)
 
     async def test_the_watch_goes_on_whatever_the_agent_sends(self) -> None:
         """The discovery agent sends noise, then nested JSON that fails the parser in other ways.
@@ -373,10 +374,10 @@
 
     async def test_the_scheduler_may_request_the_full_list(self) -> None:
         """The scheduler requests the full list; the call must be made beside the watch."""
-        self.gateway.engine.fetch_list()
+        self.gateway.engine._fetch_endpoint_list(FetchEndpointList())
         await self.play("wait 50")
         node = await self.party("d")
-        calls = [node.came.get_nowait()[0] for _ in range(2)]
+        calls = [node.received.get_nowait()[0] for _ in range(2)]
         self.assertIn("GET /discovery/hosts HTTP/1.1", calls)
 
     async def test_a_nodes_latency_excludes_the_delays_of_this_process(self) -> None:
@@ -385,7 +386,7 @@
         The latency that the scheduler learns must be the node's alone, or a busy gateway would shed load for
         no reason.
         """
-        seen, attempt = self.seen(), self.gateway._http.attempt
+        seen, attempt = self.record_events(), self.gateway._http.attempt
 
         async def late(*values: Any) -> Any:
             await asyncio.sleep(0.2)
@@ -400,7 +401,7 @@
 
     async def test_load_reports_reach_the_scheduler(self) -> None:
         """A node reports its load and the volume's load with a response; both must reach the scheduler."""
-        seen = self.seen()
+        seen = self.record_events()
         await self.play("""
             send c1 GET 1
             expect n1 GET 1
@@ -408,7 +409,7 @@
             expect c1 200
         """)
         (done,) = (event for event in seen if isinstance(event, AttemptEnded))
-        self.assertEqual((done.used, done.report), (1.0, (("inflight", 7.0),)))
+        self.assertEqual((done.usage_percent_plus_one, done.load_report), (1.0, (("inflight", 7.0),)))
 
 
 class IdleNodeConnections(Scenario):
@@ -528,7 +529,7 @@
     sockets = 64
 
     async def fill(self, lines: str) -> None:
-        # These clients ignore that they are told to leave.
+        # These clients ignore that their responses say Connection: close.
         self.enterContext(unittest.mock.patch("shaletiller.net.connection_limits.CROWDED_PART", 2.0))
         for number in range(self.gateway.config.client_sockets):
             await self.play(lines.replace("N", str(number)))
@@ -549,7 +550,7 @@
                 "send c21 GET up\nexpect c21 200\nsend n1 200 late\nexpect c0 200 late"
             )
 
-    async def test_in_a_crowd_clients_are_told_to_leave_with_their_responses(self) -> None:
+    async def test_in_a_crowd_responses_close_their_connections(self) -> None:
         """Connections reach three quarters of the limit.
 
         From then on each response must close its connection, or idle clients would keep newcomers out.
@@ -583,16 +584,16 @@
         clients[1].close()
         for each in clients[-3:]:
             each.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-        heads = []
+        responses = []
         for each in clients[:1] + clients[2:]:
             reader, writer = await asyncio.open_connection(sock=each)
             status, found, _ = await asyncio.wait_for(read_message(reader), 3.0)
-            heads.append((status[9:12], found.get("connection"), found.get("retry-after")))
+            responses.append((status[9:12], found.get("connection"), found.get("retry-after")))
             writer.close()
-        self.assertEqual([status for status, *_ in heads[-3:]], ["200"] * 3)
-        refused = [each for each in heads if each[0] == "503"]
-        self.assertGreaterEqual(len(refused), 3)
-        self.assertEqual(set(refused), {("503", "close", "0.100")})
+        self.assertEqual([status for status, *_ in responses[-3:]], ["200"] * 3)
+        rejected = [each for each in responses if each[0] == "503"]
+        self.assertGreaterEqual(len(rejected), 3)
+        self.assertEqual(set(rejected), {("503", "close", "0.100")})
 
     async def test_silent_connections_keep_no_newcomer_out(self) -> None:
         """Silent connections take every place.
@@ -627,9 +628,9 @@
             await self.play(f"send c{number} GET {number}")
         await self.play("wait 100")
         node = await self.party("n1")
-        self.assertEqual((len(node.writers), node.came.qsize()), (most, most))
+        self.assertEqual((len(node.writers), node.received.qsize()), (most, most))
         await self.play("expect n1 GET 0\nsend n1 200\nexpect c0 200\nwait 50")
-        self.assertEqual(node.came.qsize(), most)
+        self.assertEqual(node.received.qsize(), most)
         self.assertLessEqual(len(node.writers), most + 1)  # one may still be settling after its response
 
 
@@ -828,9 +829,13 @@
             b"Server-Load: " + b"[" * 4000,
         ):
             with self.subTest(figure[:40]):
-                seen = self.seen()
+                seen = self.record_events()
                 await self.answer(ok % figure, "expect c1 200 ok")
-                done = [(each.used, each.report) for each in seen if isinstance(each, AttemptEnded)]
+                done = [
+                    (each.usage_percent_plus_one, each.load_report)
+                    for each in seen
+                    if isinstance(each, AttemptEnded)
+                ]
                 self.assertEqual(done, [(0.0, ())])
 
 
@@ -902,14 +907,16 @@
             "expect c2 503\nexpect n2 nothing\nreload d3"
         )
         await asyncio.wait_for(third.next(), 0.2)
-        self.assertEqual((old.came.qsize(), new.came.qsize()), (0, 0))
+        self.assertEqual((old.received.qsize(), new.received.qsize()), (0, 0))
 
     async def test_a_response_from_the_previous_address_is_ignored(self) -> None:
         """A full list is requested, discovery moves, and then the old address answers.
 
         That list may be older than the new one's, and must be ignored.
         """
-        self.gateway.engine.fetch_list()  # beside the watch, and not cancelled with it
+        self.gateway.engine._fetch_endpoint_list(
+            FetchEndpointList()
+        )  # beside the watch, and not cancelled with it
         agent = await self.party("d")
         calls = [await agent.next() for _ in range(2)]
         agent.current = next(call[3] for call in calls if "since" not in call[0])
@@ -919,7 +926,7 @@
 
 
 class NoKnownNode(Scenario):
-    known = False
+    has_known_list = False
 
     async def test_not_ready_until_a_node_is_known(self) -> None:
         """A gateway starts without any list.
--- a/tests/nvme/test_scenarios_nvme.py
+++ b/tests/nvme/test_scenarios_nvme.py
@@ -15,7 +15,7 @@
 from shaletiller.net.nvme import capsules, commands, pdu
 from shaletiller.net.nvme.errors import FatalErrorStatus, PduError
 from shaletiller.net.nvme.status import Status
-from tests.support.scenario import Box, Scenario, Server, key, read_message
+from tests.support.scenario import NvmeNode, Scenario, Server, key, read_message
 
 IC_REQ = pdu.ic_req().hex()
 
@@ -47,8 +47,8 @@
         The target requests the data by R2T, and the storage node gets all of it.
         """
         await self.play("send v1 r2t_write 3 " + "y" * 4096)
-        _, heads, body, writer, _ = await (await self.party("n1")).next()
-        self.assertEqual((body, heads["content-length"]), (b"y" * 4096, "4096"))
+        _, headers, body, writer, _ = await (await self.party("n1")).next()
+        self.assertEqual((body, headers["content-length"]), (b"y" * 4096, "4096"))
         (await self.party("n1")).current = writer
         await self.play("send n1 200\nexpect v1 ok")
 
@@ -83,7 +83,7 @@
 
         The host gets Command Interrupted with the command retry delay that covers it.
         """
-        await self.play("close n1 door")
+        await self.play("close n1 listener")
         host = await self.party("v1")
         await host.associate()
         decide = self.gateway.engine._scheduler.handle
@@ -104,7 +104,7 @@
             "send v1 write 7 a\nexpect n1 PUT 7\nsend v1 abort\nexpect v1 aborted dnr\nexpect n1 closed"
         )
 
-    async def test_a_host_that_leaves_takes_its_attempts_along(self) -> None:
+    async def test_the_attempts_of_a_disconnected_host_are_closed(self) -> None:
         """A host closes its connections while a read is in flight.
 
         The attempt's connection is closed, and no controller is left.
@@ -139,12 +139,12 @@
         self.assertEqual((await found.admin.run(entry))[0].status, Status.INVALID_OPCODE)
 
     async def test_digests_are_declined_and_the_connection_goes_on(self) -> None:
-        """A host wishes digests in its ICReq. The ICResp declines them, and the connection is usable."""
-        asked = bytearray(pdu.ic_req())
-        asked[11] = 3
-        await self.play(f"send v1 hex {asked.hex()}\nexpect v1 ic_resp 0")
+        """A host requests digests in its ICReq. The ICResp declines them, and the connection is usable."""
+        connection_request = bytearray(pdu.ic_req())
+        connection_request[11] = 3
+        await self.play(f"send v1 hex {connection_request.hex()}\nexpect v1 ic_resp 0")
 
-    async def test_hostile_units_end_their_connection_alone(self) -> None:
+    async def test_malformed_pdus_end_only_their_connection(self) -> None:
         """Hosts send PDUs that are malformed or out of sequence.
 
         Each connection ends with a C2HTermReq that names the reason; another host is served as before.
@@ -178,10 +178,12 @@
 
     async def test_truncated_pdus_and_random_bytes_harm_no_other_host(self) -> None:
         """Hosts send random bytes and close in the middle of a PDU. Another host is served as before."""
-        dice = random.Random(7)
+        generator = random.Random(7)
         for number in range(12):
-            raw = pdu.ic_req() + dice.randbytes(dice.randrange(1, 300))
-            await self.play(f"send v{number} hex {raw[: dice.randrange(1, len(raw))].hex()}\nclose v{number}")
+            raw = pdu.ic_req() + generator.randbytes(generator.randrange(1, 300))
+            await self.play(
+                f"send v{number} hex {raw[: generator.randrange(1, len(raw))].hex()}\nclose v{number}"
+            )
         await self.play("send v99 read 7\nexpect n1 GET 7\nsend n1 200 fine\nexpect v99 ok fine")
 
     async def test_the_largest_write_by_r2t_arrives_in_order(self) -> None:
@@ -189,12 +191,12 @@
         text = "".join(chr(97 + at) * 4096 for at in range(16))
         node, bodies = await self.party("n1"), {}
 
-        async def take(server: Server, found: Any) -> None:
+        async def record_body(server: Server, found: Any) -> None:
             first, _, body, server.current, _ = found
             bodies[first.split("key=")[1][:16]] = body[:1] * (len(body) == 4096)
             await server.send("200")
 
-        node.script = take
+        node.script = record_body
         await self.play(f"send v1 r2t_write 32 {text} 16\nexpect v1 ok")
         self.assertEqual(bodies, {key(str(32 + at)): bytes([97 + at]) for at in range(16)})
 
@@ -219,15 +221,15 @@
 
         The command still completes once, with Internal Error.
         """
-        call, calls = self.gateway.engine.submit, []
+        submit, calls = self.gateway.engine.submit, []
 
-        def second_is_bad(asked: Any, answer: Any) -> Any:
-            calls.append(asked)
+        def reject_second(request: Any, answer: Any) -> Any:
+            calls.append(request)
             if len(calls) == 2:
                 raise BadRequestError("bad on purpose")
-            return call(asked, answer)
+            return submit(request, answer)
 
-        self.gateway.engine.submit = second_is_bad
+        self.gateway.engine.submit = reject_second
         await self.play(
             "send v1 read 7 - 3\nexpect n1 GET 7\nsend n1 200\nexpect n1 GET 9\nsend n1 200\n"
             "expect v1 internal"
@@ -256,7 +258,7 @@
         )
         await self.play(f"send v8 hex {IC_REQ}{early.hex()}\nexpect v8 ic_resp\nexpect v8 resp sequence")
 
-    async def test_a_host_that_keeps_no_keep_alive_is_let_go(self) -> None:
+    async def test_a_host_whose_keep_alive_expires_is_disconnected(self) -> None:
         """A host sets a keep alive timeout and then sends nothing.
 
         Its connection ends, and no controller is left.
@@ -343,13 +345,14 @@
             "send c1 PUT 5 a\nexpect b1 write 5 a\nwait 200\nsend b1 ok\nexpect c1 200\nexpect b1 nothing"
         )
 
-    async def test_a_box_that_stalls_past_the_deadline_fails_its_write_once(self) -> None:
+    async def test_a_storage_node_that_stalls_past_the_deadline_fails_its_write_once(self) -> None:
         """A storage node does not complete a write by its deadline.
 
         The client gets 502, the command's connection is closed and the write was sent once.
         """
         await self.play(
-            "send c1 PUT 5 a timeout=150\nexpect b1 write 5 a\nwait 200\nexpect c1 502\nexpect b1 left 5"
+            "send c1 PUT 5 a timeout=150\nexpect b1 write 5 a\nwait 200\nexpect c1 502\n"
+            "expect b1 disconnected 5"
         )
         self.assertEqual(len((await self.party("b1")).writes), 1)
 
@@ -374,9 +377,9 @@
 
         The write never ran: the client gets 503.
         """
-        box = await self.party("b1")
-        await box.close()
-        await box.front.stop(0.1)
+        node = await self.party("b1")
+        await node.close()
+        await node.target.stop(0.1)
         await self.play("send c1 PUT 5 a timeout=400\nexpect c1 503")
 
     async def test_an_nvme_host_reaches_an_nvme_storage_node(self) -> None:
@@ -391,13 +394,13 @@
 
         The command's association is closed.
         """
-        await self.play("send c1 GET 5\nexpect b1 read 5\nclose c1\nexpect b1 left 5")
+        await self.play("send c1 GET 5\nexpect b1 read 5\nclose c1\nexpect b1 disconnected 5")
 
     async def test_a_body_larger_than_a_block_is_not_sent(self) -> None:
         """A client's body is larger than a block. It gets 502, and the storage node gets no command."""
-        box = await self.party("b1")
+        node = await self.party("b1")
         await self.play(f"send c1 PUT 5 {'z' * 5000}\nexpect c1 502")
-        self.assertEqual(box.writes, [])
+        self.assertEqual(node.writes, [])
 
     async def test_a_write_that_the_storage_node_did_not_begin_is_retried(self) -> None:
         """A storage node completes a write with Namespace Not Ready, without Do Not Retry.
@@ -425,19 +428,19 @@
         """
         for number in range(3):
             await self.play(f"send c1 GET {number}\nexpect b1 read {number}\nsend b1 ok\nexpect c1 200")
-        box, back = await self.party("b1"), self.gateway._nvme_clients["b1"]
-        self.assertEqual(len(box.front.controllers), 1)
-        back._idle_s = 0.0
-        back._close_stale()
+        node, upstream = await self.party("b1"), self.gateway._nvme_clients["b1"]
+        self.assertEqual(len(node.target.controllers), 1)
+        upstream._idle_s = 0.0
+        upstream._close_stale()
         await self.play("wait 50")
-        self.assertEqual(box.front.controllers, {})
+        self.assertEqual(node.target.controllers, {})
 
 
 class LargeBlocks(Scenario):
     """A storage node whose blocks are larger than a command capsule."""
 
     servers = ("b1",)
-    box_block = 65536
+    nvme_block_bytes = 65536
 
     async def test_a_write_larger_than_a_capsule_is_sent_by_r2t(self) -> None:
         """A block is larger than what fits a command capsule.
@@ -461,9 +464,9 @@
 
         Its association is closed before the first command: the client gets 503.
         """
-        box = await self.party("b1")
-        space = box.front.namespaces[1]
-        box.front.namespaces[1] = type(space)(1, 1000, "r", "w", "p", space.volume, 0, block_bytes=8192)
+        node = await self.party("b1")
+        space = node.target.namespaces[1]
+        node.target.namespaces[1] = type(space)(1, 1000, "r", "w", "p", space.volume, 0, block_bytes=8192)
         await self.play("send c1 PUT 5 a timeout=300\nexpect c1 503\nexpect b1 nothing")
 
 
@@ -481,24 +484,24 @@
         self.random = random.Random(11)
         self.writes_run: Counter[str] = Counter()
         self.statuses: Counter[str] = Counter()
-        node, box = await self.party("n1"), await self.party("b2")
-        node.script, box.script = self.node_script, self.box_script
+        http_node, nvme_node = await self.party("n1"), await self.party("b2")
+        http_node.script, nvme_node.script = self.run_http_node, self.run_nvme_node
         clients = [self.run_client(f"c{number}") for number in range(6)]
         hosts = [self.run_host(f"v{number}") for number in range(6)]
         await asyncio.gather(*clients, *hosts)
-        self.writes_run.update(f"{target} {body!r}" for target, body in box.writes)
+        self.writes_run.update(f"{target} {body!r}" for target, body in nvme_node.writes)
         self.assertEqual(sum(self.statuses.values()), 12 * 12)
         self.assertEqual([each for each, count in self.writes_run.items() if count > 1], [])
         self.assertGreater(self.statuses["200"], 30)
         self.assertGreater(self.statuses["SUCCESS"], 30)
         self.assertEqual(self.gateway.engine.exchanges, {})
 
-    async def node_script(self, server: Server, found: Any) -> None:
+    async def run_http_node(self, server: Server, found: Any) -> None:
         """An HTTP storage node that closes, rejects or stalls now and then."""
-        first, heads, _, writer, _ = found
+        first, headers, _, writer, _ = found
         chance = self.random.random()
         if first.startswith("PUT") and not 0.1 <= chance < 0.2:
-            self.writes_run[heads["request-id"]] += 1
+            self.writes_run[headers["request-id"]] += 1
         await asyncio.sleep(0.2 if chance > 0.95 else 0.002)
         server.current = writer  # only now: other requests were served meanwhile
         if chance < 0.1:
@@ -508,7 +511,7 @@
         else:
             await server.send("200", "ok")
 
-    def box_script(self, server: Box, call: Any, respond: Any) -> None:
+    def run_nvme_node(self, server: NvmeNode, call: Any, respond: Any) -> None:
         """An NVMe storage node that closes its connections or stalls now and then."""
         chance = self.random.random()
         loop = asyncio.get_running_loop()
--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -24,15 +24,15 @@
 CLASSES = [
     {
         "name": name,
-        "target-ms": aim,
-        "hard-limit-ms": most,
+        "target-ms": objective_ms,
+        "hard-limit-ms": deadline_ms,
         "effect": effect,
-        "importance": worth,
+        "importance": priority_weight,
         "late-share": 0.1,
         "dedup-scope": "all",
         "key-ttl-ms": 2500.0,
     }
-    for name, aim, most, effect, worth in zip(
+    for name, objective_ms, deadline_ms, effect, priority_weight in zip(
         ("reads", "writes", "orders", "scans"),
         (150.0, 200.0, 300.0, 700.0),
         (750.0, 900.0, 900.0, 900.0),
@@ -92,22 +92,22 @@
         rng, out = random.Random(18), {}
 
         async def node(party: Any, found: Any) -> None:
-            _, heads, _, writer, _ = found
-            number = int(heads["request-id"].split("-")[1])
+            _, headers, _, writer, _ = found
+            number = int(headers["request-id"].split("-")[1])
             out[number] = out.get(number, 0) + 1
             fate = plan[number][2] if out[number] == 1 else "ok"
             body = f"served {number}".encode()
-            whole = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+            response = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
             if fate == "reset":
                 reset_stream(writer)
             elif fate == "cut":
-                writer.write(whole[:-3])
+                writer.write(response[:-3])
                 await writer.drain()
                 reset_stream(writer)
             elif fate != "silent":
                 writer.write(
                     {
-                        "ok": whole,
+                        "ok": response,
                         "error": b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
                         "not started": b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
                     }[fate]
@@ -156,7 +156,7 @@
         for renamed in (False, True):
             await self.asyncTearDown()
             self.settings = customer(renamed)
-            self.names = (named("reads", renamed), named("writes", renamed), named("one", renamed))
+            self.namespace_names = (named("reads", renamed), named("writes", renamed), named("one", renamed))
             await self.asyncSetUp()
             found[renamed] = await self.day(renamed)
         self.assertEqual(found[False], found[True])
@@ -239,12 +239,12 @@
 
     All decisions must be the same.
     """
-    for busy, most in ((0.8, 600), (1.5, 480)):  # with 1.5 it is overloaded: classes are weighed
+    for busy, most_sent in ((0.8, 600), (1.5, 480)):  # with 1.5 it is overloaded: classes are weighed
         first = module_day(False, False, busy)
         for renamed, moved in ((True, False), (False, True), (True, True)):
             assert module_day(renamed, moved, busy) == first
         sent = {name for _, what, name in first if what == "SendAttempt"}
-        assert 200 < len(sent) <= most
+        assert 200 < len(sent) <= most_sent
 
 
 # What the site calls its classes, plans and zones with which the program came into service.
--- a/tests/registry/test_nodes.py
+++ b/tests/registry/test_endpoint_registry.py
@@ -317,23 +317,35 @@
 # ---- on the wire
 
 
-def test_of_two_words_on_a_departure_that_of_the_higher_version_stands() -> None:
-    def word(version: int, what: DepartureState, stamp: int, observer: int) -> HealthRecord:
-        return HealthRecord("n1", int(HealthKind.DEPARTING), observer, 7, stamp, 10_000, version * 4 + what)
+def departure_record(version: int, state: DepartureState, stamp: int, observer: int) -> HealthRecord:
+    value = version * 4 + state
+    return HealthRecord("n1", int(HealthKind.DEPARTING), observer, 7, stamp, 10_000, value)
 
-    older, newer = word(5, DepartureState.DRAINING, 900, 1), word(6, DepartureState.LEFT, 100, 2)
+
+def test_of_two_departure_records_the_one_of_the_higher_version_is_in_force() -> None:
+    """Two gateways report a departure of one node, the one with the older list later.
+
+    The record of the higher list version must be in force whichever arrives first, until the node has a newer
+    incarnation.
+    """
+    older = departure_record(5, DepartureState.DRAINING, 900, 1)
+    newer = departure_record(6, DepartureState.LEFT, 100, 2)
     for order in ((older, newer), (newer, older)):
-        verdicts = HealthGossip(lambda said: None)
+        gossip = HealthGossip(lambda record: None)
         for each in order:
-            verdicts.merge(each, 0.0)
-        assert verdicts.departure_record("n1") == newer
-        assert len(verdicts) == 1
-    verdicts.merge(HealthRecord("n1", int(HealthKind.WARMING_UP), 3, 8, 1, 10_000, 1), 0.0)
-    assert verdicts.departure_record("n1") is None  # a newer life of the node ends it
+            gossip.merge(each, 0.0)
+        assert gossip.departure_record("n1") == newer
+        assert len(gossip) == 1
+    gossip.merge(HealthRecord("n1", int(HealthKind.WARMING_UP), 3, 8, 1, 10_000, 1), 0.0)
+    assert gossip.departure_record("n1") is None  # a newer incarnation of the node ends it
 
 
 @pytest.mark.parametrize("faults", ["silent", "overbooked"])
 def test_processes_go_on_without_discovery(faults: str) -> None:
+    """Discovery is silent while gateways restart, or serves only two of five gateways while a node departs.
+
+    All guarantees of the scenario must hold, and where a node departs, gossip must report it to all gateways.
+    """
     out = asyncio.run(discovery_scenarios.run(5, 11.0, 1, scenario.load(faults, "discovery")))
     assert out.kept, "\n".join([*out.course, *out.lines()])
     named = [each.name for each in out.guarantees]
@@ -343,10 +355,14 @@
         "unanswered",
         "calls to discovery a second, of one gateway",
     ]
-    heard = {stats["edge.fleet.verdicts.leaving"] for stats in out.figures["stats"].values()}
-    assert heard == {1 if faults == "overbooked" else 0}
+    reported = {stats["edge.fleet.verdicts.leaving"] for stats in out.figures["stats"].values()}
+    assert reported == {1 if faults == "overbooked" else 0}
+
 
+def test_the_checker_detects_gateways_without_gossip(tmp_path: Path) -> None:
+    """Discovery serves only two of five gateways, which run without fleet and store, while a node departs.
 
-def test_the_checker_objects_to_gateways_that_hear_nothing_of_each_other(tmp_path: Path) -> None:
+    Requests go to nodes that another gateway knew to be gone: the checker must find the violation.
+    """
     out = asyncio.run(discovery_scenarios.run(5, 9.0, 1, scenario.load("overbooked", "discovery"), on=False))
     assert not out.guarantees[0].kept
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -1,21 +1,24 @@
-"""The scenario language: lines of send, expect, close and wait, played against a whole gateway.
-
-    send c1 PUT 5 hello class=write     client c1 asks (a new connection for each new name)
-    expect n1 PUT 5 hello               node n1 holds that request, whole
-    send n1 200 done Volume-Load=86     node n1 answers it
-    expect c1 200 done                  and the client has it
-    close c1 | close n1 | close n1 door the client goes; the node drops the request; the node listens no more
+"""The scenario language: lines of send, expect, close, wait and reload, played against a complete gateway.
+
+    send c1 PUT 5 hello class=write     client c1 sends a request (a new connection for each new name)
+    expect n1 PUT 5 hello               node n1 has received that request completely
+    send n1 200 done Volume-Load=86     node n1 responds to it
+    expect c1 200 done                  and the client has the response
+    close c1                            the client closes its connection
+    close n1                            the node aborts the connection of the request
+    close n1 listener                   the node no longer listens, and aborts all connections
     expect n1 closed | expect c1 end    the gateway has closed that connection
-    expect n1 nothing                   no request has come, after all that went before
+    expect n1 nothing                   no further request has been received
     send v1 write 7 data | expect v1 ok | expect v1 write_fault dnr | send v1 hex 00ff | expect v1 term 2
-    expect b1 write 7 data | send b1 ok | close b1      the same for an NVMe box
-    send d n1=leaving                   discovery tells a change
+    expect b1 write 7 data | send b1 ok | close b1      the same for a storage node that speaks NVMe
+    expect b1 disconnected 7            the gateway has closed the connection of that command
+    send d n1=leaving                   discovery sends a change of the endpoint list
     reload d2                           the configuration names another discovery from now on
     wait 200                            milliseconds
+    send a1 DISABLE n1 | expect a1 done n1    an operator's call, on a connection of its own, and its response
 
-    send a1 DISABLE n1 | expect a1 done n1    an operator's call, on a connection of its own, and its answer
-
-Names that start with c are HTTP clients, n nodes (shard by number), v NVMe hosts, b NVMe boxes, a operators.
+Names that start with c are HTTP clients, n HTTP storage nodes (shard by number), v NVMe hosts, b NVMe storage
+nodes, d discovery, o other HTTP servers and a operators.
 """
 
 from __future__ import annotations
@@ -40,7 +43,7 @@
 from shaletiller.net.nvme.stream import PduStream
 from shaletiller.net.nvme.target import NvmeTarget
 
-PATIENCE_S = 3.0
+TIMEOUT_S = 3.0
 VOLUME = "00000003b4d60021"
 SUBSYSTEM = "nqn.2026-12.example.shaletiller:gateway"
 SETTINGS: dict[str, Any] = {
@@ -83,20 +86,20 @@
     """First line, headers and body of an HTTP message."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     parts = [line.partition(":") for line in head[1:] if line]
-    heads = {name.lower(): value.strip() for name, _, value in parts}
-    return head[0], heads, await reader.readexactly(int(heads.get("content-length", "0")))
+    headers = {name.lower(): value.strip() for name, _, value in parts}
+    return head[0], headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
 class Party:
-    """Someone at the other end of a socket; each has a queue of what has come to it."""
+    """The peer at the other end of a connection, with a queue of what it has received."""
 
-    def __init__(self, scene: Scenario, name: str) -> None:
-        self.scene, self.name = scene, name
-        self.came: asyncio.Queue[Any] = asyncio.Queue()
+    def __init__(self, scenario: Scenario, name: str) -> None:
+        self.scenario, self.name = scenario, name
+        self.received: asyncio.Queue[Any] = asyncio.Queue()
         self.port = 0
 
     async def next(self) -> Any:
-        return await asyncio.wait_for(self.came.get(), PATIENCE_S)
+        return await asyncio.wait_for(self.received.get(), TIMEOUT_S)
 
     async def start(self) -> None: ...
 
@@ -105,36 +108,36 @@
 
 class Client(Party):
     async def start(self) -> None:
-        self.reader, self.writer = await asyncio.open_connection(*self.scene.gateway.http_server.address)
+        self.reader, self.writer = await asyncio.open_connection(*self.scenario.gateway.http_server.address)
 
-    async def send(self, method: str, number: str, *rest: str, **heads: str) -> None:
+    async def send(self, method: str, number: str, *rest: str, **headers: str) -> None:
         if method == "raw":
             self.writer.write(number.encode().decode("unicode_escape").encode("latin1"))
             return
         body = "".join(rest).encode()
         lines = {
-            "Request-Id": heads.pop("id", f"{self.scene.count():016x}"),
+            "Request-Id": headers.pop("id", f"{self.scenario.count():016x}"),
             "Tier": "basic",
             "Request-Class": "write" if method == "PUT" else "read",
             "Request-Timeout-Ms": "900",
             "Content-Length": str(len(body)),
-            "IO-Info": f"volume={VOLUME},units=2,shard={heads.pop('shard', '1')},hosts=1",
+            "IO-Info": f"volume={VOLUME},units=2,shard={headers.pop('shard', '1')},hosts=1",
         }
         names = {"class": "Request-Class", "timeout": "Request-Timeout-Ms"}
-        lines |= {names.get(name, name): value for name, value in heads.items()}
+        lines |= {names.get(name, name): value for name, value in headers.items()}
         head = "".join(f"{name}: {value}\r\n" for name, value in lines.items())
         target = "/up" if number == "up" else f"/api?key={key(number)}"
         self.writer.write(f"{method} {target} HTTP/1.1\r\nHost: app.svc\r\n{head}\r\n".encode() + body)
 
-    async def expect(self, status: str, *body: str, **heads: str) -> None:
+    async def expect(self, status: str, *body: str, **headers: str) -> None:
         if status == "end":
-            self.scene.assertEqual(await asyncio.wait_for(self.reader.read(), PATIENCE_S), b"")
+            self.scenario.assertEqual(await asyncio.wait_for(self.reader.read(), TIMEOUT_S), b"")
             return
-        first, found, content = await asyncio.wait_for(read_message(self.reader), PATIENCE_S)
-        self.scene.assertEqual(first.split()[1], status)
+        first, found, content = await asyncio.wait_for(read_message(self.reader), TIMEOUT_S)
+        self.scenario.assertEqual(first.split()[1], status)
         if body:
-            self.scene.assertEqual(content.decode(), "".join(body))
-        self.scene.assertEqual({name: found.get(name.lower()) for name in heads}, heads)
+            self.scenario.assertEqual(content.decode(), "".join(body))
+        self.scenario.assertEqual({name: found.get(name.lower()) for name in headers}, headers)
 
     async def close(self, *_: str) -> None:
         self.writer.close()
@@ -144,14 +147,14 @@
 
 
 class Server(Party):
-    """A stand-in on a port of its own that hands over requests one by one."""
+    """A scripted HTTP server on a port of its own; `expect` takes its requests one by one."""
 
-    def __init__(self, scene: Scenario, name: str) -> None:
-        super().__init__(scene, name)
+    def __init__(self, scenario: Scenario, name: str) -> None:
+        super().__init__(scenario, name)
         self.writers: set[asyncio.StreamWriter] = set()
         self.current: asyncio.StreamWriter | None = None
-        self.script: Any = None  # answers at once, for mixed traffic
-        self.seen: list[str] = []
+        self.script: Any = None  # responds without the scenario, for mixed traffic
+        self.request_ids: list[str] = []
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", self.port)
@@ -162,23 +165,23 @@
         try:
             while True:
                 found = (*await read_message(reader), writer, reader)
-                self.seen.append(found[1].get("request-id", ""))
+                self.request_ids.append(found[1].get("request-id", ""))
                 if self.script is not None:
                     await self.script(self, found)
                 else:
-                    await self.came.put(found)
+                    await self.received.put(found)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    async def send(self, status: str, *body: str, **heads: str) -> None:
+    async def send(self, status: str, *body: str, **headers: str) -> None:
         assert self.current is not None
         content = "".join(body).encode()
-        lines = "".join(f"{name}: {value}\r\n" for name, value in heads.items())
-        cut = f"HTTP/1.1 {status} X\r\n{lines}Content-Length: {len(content)}\r\n\r\n".encode() + content
-        self.current.write(cut)
+        lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
+        response = f"HTTP/1.1 {status} X\r\n{lines}Content-Length: {len(content)}\r\n\r\n".encode() + content
+        self.current.write(response)
 
     async def close(self, *what: str) -> None:
-        if what == ("door",):
+        if what == ("listener",):
             self.server.close()
             for writer in self.writers:
                 writer.transport.abort()
@@ -186,43 +189,43 @@
             self.current.transport.abort()
 
     async def stop(self) -> None:
-        await self.close("door")
+        await self.close("listener")
 
 
 class Node(Server):
-    async def expect(self, method: str, *rest: str, **heads: str) -> None:
+    async def expect(self, method: str, *rest: str, **headers: str) -> None:
         if method == "nothing":
-            self.scene.assertEqual(self.came.qsize(), 0, "a request has come")
+            self.scenario.assertEqual(self.received.qsize(), 0, "a request was received")
         elif method == "closed":
             assert self.current is not None
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while self.current.transport.is_closing() is False:
                     await asyncio.sleep(0.005)
         else:
             first, found, body, self.current, _ = await self.next()
-            self.scene.assertEqual(first, f"{method} /api?key={key(rest[0])} HTTP/1.1")
-            self.scene.assertEqual({name: found.get(name.lower()) for name in heads}, heads)
+            self.scenario.assertEqual(first, f"{method} /api?key={key(rest[0])} HTTP/1.1")
+            self.scenario.assertEqual({name: found.get(name.lower()) for name in headers}, headers)
             if rest[1:]:
-                self.scene.assertEqual(body.decode(), rest[1])
+                self.scenario.assertEqual(body.decode(), rest[1])
 
 
 class Discovery(Server):
     async def send(self, *rows: str, **states: str) -> None:
         self.current = (await self.next())[3]
-        if rows:  # as it stands, to be malformed
+        if rows:  # sent unchanged: a malformed body
             await super().send("200", *rows)
             return
-        self.scene.version += 1
-        told = [self.scene.row(name, state) for name, state in states.items()]
-        news = {"version": self.scene.version, "full": False, "servers": told}
-        await super().send("200", json.dumps(news))
+        self.scenario.version += 1
+        changed = [self.scenario.row(name, state) for name, state in states.items()]
+        update = {"version": self.scenario.version, "full": False, "servers": changed}
+        await super().send("200", json.dumps(update))
 
 
 class Host(Party):
-    """An NVMe host at the gateway's front."""
+    """An NVMe host, connected to the gateway's target."""
 
-    def opened(self) -> tuple[str, int]:
-        return self.scene.gateway.nvme.address if self.scene.gateway.nvme else ("", 0)
+    def target_address(self) -> tuple[str, int]:
+        return self.scenario.gateway.nvme.address if self.scenario.gateway.nvme else ("", 0)
 
     async def start(self) -> None:
         self.result: asyncio.Task[Any] | None = None
@@ -231,7 +234,7 @@
 
     async def associate(self) -> Association:
         if self.association is None:
-            host, port = self.opened()
+            host, port = self.target_address()
             admin = await HostQueue.open(host, port, 0, 0xFFFF, SUBSYSTEM)
             tail = struct.pack("<B3xIQ", 0, commands.Property.CC, 0x00460001)
             await admin.run(
@@ -254,7 +257,7 @@
     async def send(self, what: str, *rest: str) -> None:
         if what == "hex":
             if self.raw is None:
-                reader, writer = await asyncio.open_connection(*self.opened())
+                reader, writer = await asyncio.open_connection(*self.target_address())
                 self.raw = PduStream(reader, writer, pdu.FROM_CONTROLLER)
             self.raw.send(bytes.fromhex(rest[0]))
             return
@@ -280,37 +283,39 @@
             entry = commands.encode_io_command(
                 commands.IoOpcode.WRITE, cid, nsid, int(rest[0]), blocks, len(data), capsule
             )
-            work = found.io.run(entry, data) if capsule else self.by_r2t(found.io, entry, cid, data)
+            work = found.io.run(entry, data) if capsule else self.write_by_r2t(found.io, entry, cid, data)
         self.result = asyncio.ensure_future(work)
 
     @staticmethod
-    async def by_r2t(queue: HostQueue, entry: bytes, cid: int, data: bytes) -> Any:
+    async def write_by_r2t(queue: HostQueue, entry: bytes, cid: int, data: bytes) -> Any:
         queue._stream.send(capsules.command_capsule(entry))
         return await queue.receive_response(cid, data, 0)
 
     async def expect(self, status: str, *rest: str) -> None:
         if status in ("term", "ic_resp", "resp", "end"):
             assert self.raw is not None
-            found = await self.raw.receive(PATIENCE_S)
+            found = await self.raw.receive(TIMEOUT_S)
             kinds = {
                 "term": pdu.PduType.C2H_TERM_REQ,
                 "ic_resp": pdu.PduType.IC_RESP,
                 "resp": pdu.PduType.RESPONSE_CAPSULE,
             }
-            self.scene.assertEqual(found and found.type, kinds.get(status))
+            self.scenario.assertEqual(found and found.type, kinds.get(status))
             if found and status == "resp":
-                self.scene.assertEqual(Status(capsules.read_completion(found).status).name.lower(), rest[0])
+                self.scenario.assertEqual(
+                    Status(capsules.read_completion(found).status).name.lower(), rest[0]
+                )
             elif found and rest:
-                self.scene.assertEqual(found.field("H", 8), int(rest[0]))
+                self.scenario.assertEqual(found.field("H", 8), int(rest[0]))
             return
         assert self.result is not None
-        done, data = await asyncio.wait_for(self.result, PATIENCE_S)
-        self.scene.assertEqual(Status(done.status).name.lower(), "success" if status == "ok" else status)
-        self.scene.assertEqual(done.do_not_retry, "dnr" in rest)
-        retry = [int(word.removeprefix("crd")) for word in rest if word.startswith("crd")]
-        self.scene.assertEqual(done.retry_delay, retry[0] if retry else 0)
+        done, data = await asyncio.wait_for(self.result, TIMEOUT_S)
+        self.scenario.assertEqual(Status(done.status).name.lower(), "success" if status == "ok" else status)
+        self.scenario.assertEqual(done.do_not_retry, "dnr" in rest)
+        retry = [int(argument.removeprefix("crd")) for argument in rest if argument.startswith("crd")]
+        self.scenario.assertEqual(done.retry_delay, retry[0] if retry else 0)
         if rest and status == "ok":
-            self.scene.assertEqual(data.rstrip(b"\0").decode(), rest[0])
+            self.scenario.assertEqual(data.rstrip(b"\0").decode(), rest[0])
 
     async def close(self, *_: str) -> None:
         if self.association is not None:
@@ -324,21 +329,20 @@
             await asyncio.gather(self.result, return_exceptions=True)
 
 
-class Box(Party):
-    """An NVMe box: the front's wire round answers that the scenario gives."""
+class NvmeNode(Party):
+    """A storage node that speaks NVMe: a target whose commands the scenario completes."""
 
-    def __init__(self, scene: Scenario, name: str) -> None:
-        super().__init__(scene, name)
-        space = NvmeNamespace(1, 1000, "r", "w", "p", VOLUME, 0, block_bytes=scene.box_block)
-        self.front = NvmeTarget(NvmeTargetConfig(subsystem="box", namespaces=(space,)), self)
-        self.held: dict[str, bytes] = {}
+    def __init__(self, scenario: Scenario, name: str) -> None:
+        super().__init__(scenario, name)
+        space = NvmeNamespace(1, 1000, "r", "w", "p", VOLUME, 0, block_bytes=scenario.nvme_block_bytes)
+        self.target = NvmeTarget(NvmeTargetConfig(subsystem="box", namespaces=(space,)), self)
         self.script: Any = None
-        self.left: list[str] = []
+        self.disconnected: list[str] = []
         self.writes: list[tuple[str, bytes]] = []
 
     async def start(self) -> None:
-        await self.front.start("127.0.0.1", self.port)
-        self.port = self.front.address[1]
+        await self.target.start("127.0.0.1", self.port)
+        self.port = self.target.address[1]
 
     def submit(self, call: ClientCall, answer: Any) -> Exchange:
         if call.write:
@@ -346,78 +350,78 @@
         if self.script is not None:
             self.script(self, call, answer)
         else:
-            self.came.put_nowait((call, answer))
+            self.received.put_nowait((call, answer))
         return Exchange(call, answer, 0, 0)
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        self.left.append(exchange.call.key)
+        self.disconnected.append(exchange.call.key)
 
     async def expect(self, what: str, *rest: str) -> None:
         if what == "nothing":
-            self.scene.assertEqual(self.came.qsize(), 0, "a command has come")
+            self.scenario.assertEqual(self.received.qsize(), 0, "a command was received")
             return
-        if what == "left":
-            async with asyncio.timeout(PATIENCE_S):
-                while key(rest[0]) not in self.left:
+        if what == "disconnected":
+            async with asyncio.timeout(TIMEOUT_S):
+                while key(rest[0]) not in self.disconnected:
                     await asyncio.sleep(0.005)
             return
         call, self.answer = await self.next()
         body = [call.body.rstrip(b"\0").decode()] if rest[1:] else []
         found = ("write" if call.write else "read", call.key, *body)
-        self.scene.assertEqual(found, (what, key(rest[0]), *rest[1:]))
+        self.scenario.assertEqual(found, (what, key(rest[0]), *rest[1:]))
 
     async def send(self, *rest: str) -> None:
         if rest[0] == "not_ready":
-            queues = [each for found in self.front.controllers.values() for each in found.queues.values()]
-            for queue, pending in [(each, held) for each in queues for held in each.pending.values()]:
+            queues = [each for found in self.target.controllers.values() for each in found.queues.values()]
+            for queue, pending in [(each, command) for each in queues for command in each.pending.values()]:
                 queue.complete(pending, Status.NOT_READY)
             return
-        verdict = FinalResult.SERVED if rest[0] == "ok" else FinalResult.FAILED
-        self.answer(FinalResponse(verdict, "".join(rest[1:]).encode()))
+        result = FinalResult.SERVED if rest[0] == "ok" else FinalResult.FAILED
+        self.answer(FinalResponse(result, "".join(rest[1:]).encode()))
 
     async def close(self, *_: str) -> None:
-        for found in list(self.front.controllers.values()):
+        for found in list(self.target.controllers.values()):
             found.abort()
 
     async def stop(self) -> None:
         await self.close()
-        await self.front.stop(0.1)
+        await self.target.stop(0.1)
 
 
 class Operator(Party):
-    """A caller at the door for operators: each call has a connection of its own."""
+    """An operator: each call to the admin server has a connection of its own."""
 
-    async def send(self, *words: str) -> None:
-        assert self.scene.gateway.admin is not None
-        reader, writer = await asyncio.open_connection(*self.scene.gateway.admin.address)
-        writer.write(" ".join(words).encode() + b"\n")
-        self.lines = (await asyncio.wait_for(reader.read(), PATIENCE_S)).decode().splitlines()
+    async def send(self, *arguments: str) -> None:
+        assert self.scenario.gateway.admin is not None
+        reader, writer = await asyncio.open_connection(*self.scenario.gateway.admin.address)
+        writer.write(" ".join(arguments).encode() + b"\n")
+        self.lines = (await asyncio.wait_for(reader.read(), TIMEOUT_S)).decode().splitlines()
         writer.close()
 
-    async def expect(self, *words: str) -> None:
-        self.scene.assertEqual(self.lines[0], " ".join(words))
+    async def expect(self, *arguments: str) -> None:
+        self.scenario.assertEqual(self.lines[0], " ".join(arguments))
 
 
-KINDS: dict[str, type[Party]] = {
+PARTY_TYPES: dict[str, type[Party]] = {
     "a": Operator,
     "c": Client,
     "n": Node,
     "v": Host,
-    "b": Box,
+    "b": NvmeNode,
     "d": Discovery,
     "o": Server,
 }
 
 
 class Scenario(unittest.IsolatedAsyncioTestCase):
-    """A gateway with its stand-ins; `servers` are there from the start, the rest come when named."""
+    """A gateway and its peers; those in `servers` start with it, the others when first named."""
 
     servers = ("n1", "n2")
-    known: bool = True
-    box_block: int = 4096
+    has_known_list: bool = True
+    nvme_block_bytes: int = 4096
     sockets: int = 1024
     settings: dict[str, Any] = SETTINGS
-    names: tuple[str, str, str] = ("read", "write", "basic")  # what the NVMe front takes of the settings
+    namespace_names: tuple[str, str, str] = ("read", "write", "basic")  # read class, write class and plan
 
     async def asyncSetUp(self) -> None:
         self.parties: dict[str, Any] = {}
@@ -427,21 +431,21 @@
         for name in (*self.servers, "d"):
             await self.party(name)
         nvme = Path(folder.name) / "nvme.toml"
-        boxes = "".join(
-            f'[[box]]\nnode = "{name}"\nsubsystem = "box"\nblock_bytes = {self.box_block}\n'
+        upstreams = "".join(
+            f'[[box]]\nnode = "{name}"\nsubsystem = "box"\nblock_bytes = {self.nvme_block_bytes}\n'
             for name in self.servers
             if name[0] == "b"
         )
         nvme.write_text(
             f'[front]\nlisten = "127.0.0.1:0"\n[[front.namespace]]\nnsid = 1\nblocks = 1000\n'
-            f'read_class = "{self.names[0]}"\nwrite_class = "{self.names[1]}"\n'
-            f'plan = "{self.names[2]}"\nvolume = "{VOLUME}"\nshard = 1\n'
-            f"units = 2\nread_timeout_ms = 9000\nwrite_timeout_ms = 9000\n{boxes}"
+            f'read_class = "{self.namespace_names[0]}"\nwrite_class = "{self.namespace_names[1]}"\n'
+            f'plan = "{self.namespace_names[2]}"\nvolume = "{VOLUME}"\nshard = 1\n'
+            f"units = 2\nread_timeout_ms = 9000\nwrite_timeout_ms = 9000\n{upstreams}"
         )
         nodes = [name for name in self.servers if name[0] in "nb"]
-        rows = [self.row(name, "active") for name in nodes] if self.known else []
+        rows = [self.row(name, "active") for name in nodes] if self.has_known_list else []
         self.config, self.nvme = Path(folder.name) / "config.json", nvme
-        self.told = {
+        self.config_document = {
             "name": "g0",
             "listen": "127.0.0.1:0",
             "discovery": f"127.0.0.1:{self.parties['d'].port}",
@@ -451,25 +455,25 @@
             "admin": "127.0.0.1:0",
             "known": {"version": 1, "full": True, "servers": rows},
         }
-        self.config.write_text(json.dumps(self.told))
+        self.config.write_text(json.dumps(self.config_document))
         self.env = {"EDGE_CONFIG": str(self.config), "TMPDIR": folder.name, **await self.environment()}
         self.gateway = Gateway(read_config(self.env, nvme))
         await self.gateway.start()
 
-    def seen(self) -> list[Any]:
-        """What the module is told from now on."""
-        seen: list[Any] = []
+    def record_events(self) -> list[Any]:
+        """Return a list to which each further event of the scheduler is appended."""
+        events: list[Any] = []
         handle = self.gateway.engine._scheduler.handle
 
-        def noted(now_ms: float, event: Any) -> Any:
-            seen.append(event)
+        def handle_and_record(now_ms: float, event: Any) -> Any:
+            events.append(event)
             return handle(now_ms, event)
 
-        self.gateway.engine._scheduler.handle = noted
-        return seen
+        self.gateway.engine._scheduler.handle = handle_and_record
+        return events
 
     def reload(self, port: int) -> None:
-        self.config.write_text(json.dumps({**self.told, "discovery": f"127.0.0.1:{port}"}))
+        self.config.write_text(json.dumps({**self.config_document, "discovery": f"127.0.0.1:{port}"}))
         self.gateway.reload(read_config_again(self.env, self.nvme))
 
     async def environment(self) -> dict[str, str]:
@@ -481,8 +485,8 @@
             await party.stop()
         await self.gateway.engine.close()
         await self.gateway.http_server.stop(0.1)
-        for back in (self.gateway._http, *self.gateway._nvme_clients.values()):
-            await back.close()
+        for client in (self.gateway._http, *self.gateway._nvme_clients.values()):
+            await client.close()
         if self.gateway.nvme is not None:
             await self.gateway.nvme.stop(0.1)
         if self.gateway.telemetry is not None:
@@ -506,24 +510,26 @@
 
     async def party(self, name: str) -> Any:
         if name not in self.parties:
-            self.parties[name] = KINDS[name[0]](self, name)
+            self.parties[name] = PARTY_TYPES[name[0]](self, name)
             await self.parties[name].start()
         return self.parties[name]
 
     async def play(self, text: str) -> None:
         """Play the lines in turn; a failure names its line."""
         for line in filter(None, (line.split("  #")[0].strip() for line in text.splitlines())):
-            verb, *words = shlex.split(line)
+            verb, *arguments = shlex.split(line)
             try:
                 if verb == "wait":
-                    await asyncio.sleep(float(words[0]) / 1000)
+                    await asyncio.sleep(float(arguments[0]) / 1000)
                     continue
-                party = await self.party(words[0])
+                party = await self.party(arguments[0])
                 if verb == "reload":
                     self.reload(party.port)
                     continue
-                named = dict(word.split("=", 1) for word in words[1:] if re.match(r"[\w-]+=", word))
-                plain = [word for word in words[1:] if not re.match(r"[\w-]+=", word)]
+                named = dict(
+                    argument.split("=", 1) for argument in arguments[1:] if re.match(r"[\w-]+=", argument)
+                )
+                plain = [argument for argument in arguments[1:] if not re.match(r"[\w-]+=", argument)]
                 await getattr(party, verb)(*plain, **named)
             except Exception as error:
                 raise AssertionError(f"{line!r}: {type(error).__name__} {error}") from error
