--- a/tests/registry/test_nodes.py
+++ b/tests/registry/test_endpoint_registry.py
@@ -316,19 +316,19 @@
 # ---- on the wire
 
 
-def test_of_two_departure_records_the_one_with_the_higher_list_version_is_in_force() -> None:
-    """Two gateways report on one departure: one saw the node drain, one with a newer list saw it leave.
+def departure_record(version: int, state: DepartureState, stamp: int, observer: int) -> HealthRecord:
+    value = version * 4 + state
+    return HealthRecord("n1", int(HealthKind.DEPARTING), observer, 7, stamp, 10_000, value)
 
-    The record with the higher list version must be in force in whatever order they arrive, and whichever of
-    them was made later.  A record about a newer incarnation of the node ends both.
-    """
 
-    def record(version: int, state: DepartureState, timestamp: int, observer: int) -> HealthRecord:
-        value = version * 4 + state
-        return HealthRecord("n1", int(HealthKind.DEPARTING), observer, 7, timestamp, 10_000, value)
+def test_of_two_departure_records_the_one_of_the_higher_version_is_in_force() -> None:
+    """Two gateways report a departure of one node, the one with the older list later.
 
-    older = record(5, DepartureState.DRAINING, 900, 1)
-    newer = record(6, DepartureState.LEFT, 100, 2)
+    The record of the higher list version must be in force whichever arrives first, until the node has a newer
+    incarnation.
+    """
+    older = departure_record(5, DepartureState.DRAINING, 900, 1)
+    newer = departure_record(6, DepartureState.LEFT, 100, 2)
     for order in ((older, newer), (newer, older)):
         gossip = HealthGossip(lambda record: None)
         for each in order:
@@ -336,18 +336,14 @@
         assert gossip.departure_record("n1") == newer
         assert len(gossip) == 1
     gossip.merge(HealthRecord("n1", int(HealthKind.WARMING_UP), 3, 8, 1, 10_000, 1), 0.0)
-    assert gossip.departure_record("n1") is None
-
-
-# ---- real processes
+    assert gossip.departure_record("n1") is None  # a newer incarnation of the node ends it
 
 
 @pytest.mark.parametrize("faults", ["silent", "overbooked"])
-def test_processes_continue_without_discovery(faults: str) -> None:
-    """Discovery stops answering while gateways restart, or it serves only two of five while a node leaves.
+def test_processes_go_on_without_discovery(faults: str) -> None:
+    """Discovery is silent while gateways restart, or serves only two of five gateways while a node departs.
 
-    All guarantees must hold.  In the second case the departure must be known at each gateway, also at those
-    that discovery does not serve; in the first there is none.
+    All guarantees of the scenario must hold, and where a node departs, gossip must report it to all gateways.
     """
     out = asyncio.run(discovery_scenarios.run(5, 11.0, 1, scenario.load(faults, "discovery")))
     assert out.kept, "\n".join([*out.course, *out.lines()])
@@ -358,14 +354,14 @@
         "unanswered",
         "calls to discovery a second, of one gateway",
     ]
-    departures = {stats["edge.fleet.verdicts.leaving"] for stats in out.figures["stats"].values()}
-    assert departures == {1 if faults == "overbooked" else 0}
+    reported = {stats["edge.fleet.verdicts.leaving"] for stats in out.figures["stats"].values()}
+    assert reported == {1 if faults == "overbooked" else 0}
 
 
-def test_the_checker_detects_gateways_that_do_not_notify_each_other() -> None:
-    """Gateways without a fleet go through the scenario in which discovery answers only some of them.
+def test_the_checker_detects_gateways_without_gossip(tmp_path: Path) -> None:
+    """Discovery serves only two of five gateways, which run without fleet and store, while a node departs.
 
-    The others cannot know of a departure and go on sending to the node: the checker must report it.
+    Requests go to nodes that another gateway knew to be gone: the checker must find the violation.
     """
     out = asyncio.run(
         discovery_scenarios.run(5, 9.0, 1, scenario.load("overbooked", "discovery"), fleet_enabled=False)
