--- a/tests/registry/test_endpoint_registry.py
+++ b/tests/registry/test_endpoint_registry.py
@@ -358,7 +358,7 @@
     assert reported == {1 if faults == "overbooked" else 0}
 
 
-def test_the_checker_detects_gateways_without_gossip(tmp_path: Path) -> None:
+def test_the_checker_detects_gateways_without_gossip() -> None:
     """Discovery serves only two of five gateways, which run without fleet and store, while a node departs.
 
     Requests go to nodes that another gateway knew to be gone: the checker must find the violation.
