--- a/shaletiller/lab/replication_benchmark_report.py
+++ b/shaletiller/lab/replication_benchmark_report.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from shaletiller.lab.load_generator import Asked
+from shaletiller.lab.load_generator import ClientRequest
 from shaletiller.lab.store_benchmark import RecoveryTimes
 
 LEVELS = ("local", "copied")
@@ -32,7 +32,7 @@
 
     @classmethod
     def of_writes(
-        cls, requests: list[Asked], begin_ms: float = 0.0, end_ms: float = float("inf")
+        cls, requests: list[ClientRequest], begin_ms: float = 0.0, end_ms: float = float("inf")
     ) -> Percentiles:
         """Return the latencies of the replicated writes due in a span that were served.
 
@@ -64,7 +64,7 @@
     records: int
     latencies: dict[str, Percentiles] = field(default_factory=dict)
 
-    def add_latencies(self, requests: list[Asked], began_ms: float) -> None:
+    def add_latencies(self, requests: list[ClientRequest], began_ms: float) -> None:
         """Set the latencies.
 
         :param began_ms: when the run began.
