--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine alone: a settable clock, a back of the test's own, no sockets."""
+"""The engine alone: a settable clock, a scripted upstream client, no sockets."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 class ScriptedUpstream:
-    """Attempts end when the test says so."""
+    """An upstream client whose attempts end when the test completes them."""
 
     def __init__(self) -> None:
-        self.out: list[asyncio.Future[AttemptResult]] = []
+        self.attempts: list[asyncio.Future[AttemptResult]] = []
         self.closed = 0
 
     async def attempt(
         self, address: str, call: ClientCall, timeout_ms: float, start_within_ms: float = math.inf
     ) -> AttemptResult:
-        self.out.append(asyncio.get_running_loop().create_future())
-        return await self.out[-1]
+        self.attempts.append(asyncio.get_running_loop().create_future())
+        return await self.attempts[-1]
 
     async def probe(self, address: str) -> AttemptResult:
         return AttemptResult(Outcome.OK)
@@ -80,13 +80,13 @@
         return [event.outcome for event in self.events if isinstance(event, AttemptEnded)]
 
     async def test_served(self) -> None:
-        """A client asks, the node answers after 30 ms.
+        """A client sends a request, the node responds after 30 ms.
 
         The client has the node's body, the scheduler the latency.
         """
         await self.call(CALL)
         self.clock.advance(30)
-        self.upstream.out[0].set_result(AttemptResult(Outcome.OK, b"data", usage_percent_plus_one=87))
+        self.upstream.attempts[0].set_result(AttemptResult(Outcome.OK, b"data", usage_percent_plus_one=87))
         await self.settle()
         self.assertEqual(self.answers, [FinalResponse(FinalResult.SERVED, b"data")])
         (done,) = (event for event in self.events if isinstance(event, AttemptEnded))
@@ -107,10 +107,10 @@
         await self.settle()
         self.assertEqual(self.answers, [FinalResponse(FinalResult.FAILED)])
         self.assertEqual(self.outcomes(), [Outcome.TIMEOUT])
-        self.assertTrue(self.upstream.out[0].cancelled())
+        self.assertTrue(self.upstream.attempts[0].cancelled())
 
     async def test_an_attempt_cancelled_before_its_first_step_still_has_its_outcome(self) -> None:
-        """A client disconnects before the attempt's task has run at all.
+        """A client disconnects before the attempt's task has started.
 
         The attempt is recorded as cancelled.
         """
@@ -126,18 +126,18 @@
         The write may have run: it is recorded as reset and fails.
         """
         await self.call(WRITE)
-        self.upstream.out[0].set_exception(RuntimeError("broken on purpose"))
+        self.upstream.attempts[0].set_exception(RuntimeError("broken on purpose"))
         await self.settle()
         self.assertEqual(
             (self.outcomes(), self.answers), ([Outcome.RESET], [FinalResponse(FinalResult.FAILED)])
         )
 
     async def test_no_second_attempt_while_one_is_in_flight(self) -> None:
-        """The scheduler asks for a second attempt while one is in flight, which the settings do not allow."""
+        """The scheduler requests a second attempt while one is in flight, which the settings do not allow."""
         await self.call(CALL)
         self.engine._send_attempt(SendAttempt("r1", "n1"))
         await self.settle()
-        self.assertEqual((len(self.upstream.out), self.outcomes()), (1, [Outcome.NOT_SENT]))
+        self.assertEqual((len(self.upstream.attempts), self.outcomes()), (1, [Outcome.NOT_SENT]))
 
     async def test_a_send_to_another_shard_or_an_unknown_node_is_moot(self) -> None:
         """The scheduler names a node of another shard, or one that is not listed: nothing is sent."""
@@ -145,14 +145,14 @@
         self.engine._send_attempt(SendAttempt("r1", "n1"))
         self.engine._send_attempt(SendAttempt("r1", "n9"))
         await self.settle()
-        self.assertEqual((self.upstream.out, self.outcomes()), ([], [Outcome.NOT_SENT] * 2))
+        self.assertEqual((self.upstream.attempts, self.outcomes()), ([], [Outcome.NOT_SENT] * 2))
 
     async def test_the_first_final_response_is_the_only_one(self) -> None:
         """A request is rejected, then failed, then served: the client sees the first response alone."""
         await self.call(CALL)
         self.engine._reject(Reject("r1", 250))
         self.engine._fail(Fail("r1"))
-        self.upstream.out[0].set_result(AttemptResult(Outcome.OK, b"late"))
+        self.upstream.attempts[0].set_result(AttemptResult(Outcome.OK, b"late"))
         await self.settle()
         self.assertEqual(self.answers, [FinalResponse(FinalResult.REJECTED, retry_after_ms=250)])
 
@@ -170,8 +170,8 @@
         await self.settle()
         self.assertEqual([each.result for each in self.answers], [FinalResult.FAILED, FinalResult.REJECTED])
 
-    async def test_a_health_check_comes_back_as_an_event(self) -> None:
-        """The scheduler asks for a health check and is notified of its result."""
+    async def test_the_result_of_a_health_check_is_an_event(self) -> None:
+        """The scheduler requests a health check and is notified of its result."""
         self.engine._send_health_check(SendHealthCheck("n1"))
         await self.settle()
         self.assertIn(HealthCheckEnded("n1", Outcome.OK, 0.0), self.events)
@@ -184,8 +184,8 @@
             )
             self.assertEqual(self.upstream.closed, closed)
 
-    async def test_a_node_that_left_is_forgotten_with_its_connections(self) -> None:
-        """Fifty nodes come and leave one after the other.
+    async def test_a_departed_node_is_removed_with_its_connections(self) -> None:
+        """Fifty nodes join and leave the list one after the other.
 
         Only the listed ones are known, all others are closed.
         """
@@ -208,10 +208,10 @@
         self.engine._reject(Reject("w1"))
         with self.assertRaises(BadRequestError):
             self.engine.submit(replace(WRITE), self.answers.append)
-        self.upstream.out[0].set_result(AttemptResult(Outcome.OK))
+        self.upstream.attempts[0].set_result(AttemptResult(Outcome.OK))
         await self.settle()
         await self.call(WRITE)
-        self.assertEqual(len(self.upstream.out), 2)
+        self.assertEqual(len(self.upstream.attempts), 2)
 
 
 class ClockTest(unittest.TestCase):
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -572,7 +572,7 @@
 
 
 def test_a_restarted_member_waits_for_a_term_before_it_spends_its_own_part() -> None:
-    """A member restarts and does not know what it had pledged before, which may still be lent out.
+    """A member restarts and does not know what it had pledged before, which may still be leased to others.
 
     Its own part is unavailable until a pledge of its previous incarnation has certainly expired.
     """
@@ -605,7 +605,7 @@
 def test_a_successor_receives_no_pledge_until_the_previous_one_has_expired() -> None:
     """The granter fails after an owner has pledged to it, and a successor requests a pledge.
 
-    The failed granter may have leased the pledge out, so the owner pledges to the successor only after it
+    The failed granter may have leased it to others, so the owner pledges to the successor only after it
     has expired.
     """
     granter = granter_of((0, 1, 2))
@@ -752,7 +752,7 @@
 
 
 class TableRecorder:
-    """A lease table whose writes complete when the test says so."""
+    """A lease table whose writes complete when the test completes them."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, Allowance | None]] = []
@@ -765,10 +765,10 @@
 
 
 def test_a_grant_is_sent_only_after_the_table_that_contains_it_is_written() -> None:
-    """A granter takes over from a predecessor that had leased part of the limit, and grants a lease.
+    """A granter succeeds a predecessor that had leased part of the limit, and grants a lease.
 
     It requests no pledge before it has acquired the table, deducts its predecessor's leases, and sends the
-    grant only after the table with both is written.  When another granter takes over meanwhile, the next
+    grant only after the table with both is written.  When another granter succeeds it meanwhile, the next
     grant is never sent.
     """
     me = granter_of((0, 1, 2))
--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -1,4 +1,4 @@
-"""The fleet at the gateway: what the module does with a share, the liaison, the file, the links."""
+"""The fleet at the gateway: the scheduler under quotas, the coordinator, the operator file and the links."""
 
 from __future__ import annotations
 
@@ -43,22 +43,22 @@
 # ---- the scheduler
 
 
-def test_a_limit_is_spent_by_the_quota_and_not_by_the_even_part() -> None:
+def test_a_limit_is_spent_by_the_quota_and_not_in_equal_parts() -> None:
     """The fleet grants a gateway nothing of a limit, of which it would have all without a fleet.
 
     A request is rejected; with a lease the next one is sent.
     """
-    host = ScriptedGateway(plans=(CAPPED,))
-    host.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0))))
-    host.run_to(10_000)
-    host.request("none", units=2, volume_gateways=1)
-    assert host.finals("none")
-    assert not host.sent()
+    gateway = ScriptedGateway(plans=(CAPPED,))
+    gateway.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0))))
+    gateway.run_to(10_000)
+    gateway.request("none", units=2, volume_gateways=1)
+    assert gateway.finals("none")
+    assert not gateway.sent()
     lease = ExpiringAllowance(20_000.0, Allowance(10.0, 16.0))
-    host.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0), (lease,))))
-    host.run_to(11_000)
-    host.request("some", units=8, volume_gateways=1)
-    assert host.sent() == ["some"]
+    gateway.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0), (lease,))))
+    gateway.run_to(11_000)
+    gateway.request("some", units=8, volume_gateways=1)
+    assert gateway.sent() == ["some"]
 
 
 def test_a_process_that_resumes_after_its_lease_expired_spends_nothing_of_it() -> None:
@@ -66,14 +66,14 @@
 
     A request after the pause is rejected.
     """
-    host = ScriptedGateway(plans=(CAPPED,))
+    gateway = ScriptedGateway(plans=(CAPPED,))
     lease = ExpiringAllowance(2_000.0, Allowance(10.0, 16.0))
-    host.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0), (lease,))))
-    host.run_to(1_900)
-    host.now = 30_000.0
-    host.request("late", units=1, volume_gateways=1)
-    assert host.finals("late")
-    assert not host.sent()
+    gateway.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0), (lease,))))
+    gateway.run_to(1_900)
+    gateway.now = 30_000.0
+    gateway.request("late", units=1, volume_gateways=1)
+    assert gateway.finals("late")
+    assert not gateway.sent()
 
 
 def test_a_warming_node_is_sent_as_much_as_the_quota_allows() -> None:
@@ -83,16 +83,16 @@
     capacity for more.
     """
     warming = entry(started_ms=1.0)
-    host = ScriptedGateway(warming, gateways=100, gateway_index=50, warm_up_units=40.0)
-    host.run_to(100)
-    host.request("r1", units=8)
-    assert not host.sent()
-    host.upstream().concurrency_limit = 60.0
-    host.handle(QuotaUpdated("n1", Quota(Allowance(0.0, 20.0))))
+    gateway = ScriptedGateway(warming, gateways=100, gateway_index=50, warm_up_units=40.0)
+    gateway.run_to(100)
+    gateway.request("r1", units=8)
+    assert not gateway.sent()
+    gateway.upstream().concurrency_limit = 60.0
+    gateway.handle(QuotaUpdated("n1", Quota(Allowance(0.0, 20.0))))
     for n in range(2, 7):
-        host.request(f"r{n}", units=8)
-    host.run_to(200)
-    assert len(host.sent()) == 2
+        gateway.request(f"r{n}", units=8)
+    gateway.run_to(200)
+    assert len(gateway.sent()) == 2
 
 
 def test_nothing_is_sent_to_a_node_that_others_report_down_until_it_answers() -> None:
@@ -100,18 +100,18 @@
 
     Nothing is sent until the answer, which outweighs the report.  A second report expires by itself.
     """
-    host = ScriptedGateway()
-    host.request("r1")
-    host.handle(EndpointReportedDown("n1", 5_000.0))
-    host.request("r2")
-    assert host.sent() == ["r1"]
-    host.end_attempt("r1")
-    host.request("r3")
-    assert "r3" in host.sent()
-    host.handle(EndpointReportedDown("n1", 5_000.0))
-    host.run_to(5_001)
-    host.request("r4")
-    assert "r4" in host.sent()
+    gateway = ScriptedGateway()
+    gateway.request("r1")
+    gateway.handle(EndpointReportedDown("n1", 5_000.0))
+    gateway.request("r2")
+    assert gateway.sent() == ["r1"]
+    gateway.end_attempt("r1")
+    gateway.request("r3")
+    assert "r3" in gateway.sent()
+    gateway.handle(EndpointReportedDown("n1", 5_000.0))
+    gateway.run_to(5_001)
+    gateway.request("r4")
+    assert "r4" in gateway.sent()
 
 
 # ---- the coordinator
@@ -179,7 +179,7 @@
             now_ms += 25.0
 
     def reports_down(self) -> list[EndpointReportedDown]:
-        """Return what the first gateway was notified of."""
+        """Return the nodes' failures that the first gateway was notified of."""
         return [event for event in self.gateway.events if isinstance(event, EndpointReportedDown)]
 
 
--- a/tests/fleet/test_fleet_guards.py
+++ b/tests/fleet/test_fleet_guards.py
@@ -1,7 +1,7 @@
 """Fleets in virtual time: the guarantees hold in seeded schedules of faults.
 
 For each guarantee one test removes the guard that upholds it, and the checker has to detect the violation: a
-checker that never objects would prove nothing.
+checker that never reports a violation would prove nothing.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 SUM_EXCEEDED = "add up to"  # how the checker reports quotas that exceed a limit together
 
 
-def broken(seeds: range) -> list[str]:
+def violations(seeds: range) -> list[str]:
     """The guarantees violated in the schedules of these seeds."""
     return [violation for seed in seeds for violation in play(seed).broken]
 
 
 def sum_is_exceeded(seeds: range) -> bool:
     """Whether the quotas of all gateways exceed a limit in any of these schedules."""
-    return any(SUM_EXCEEDED in violation for violation in broken(seeds))
+    return any(SUM_EXCEEDED in violation for violation in violations(seeds))
 
 
 def test_every_guarantee_holds_in_schedules_of_faults() -> None:
     """Fleets go through loss, delay, partitions, crashes and pauses: no guarantee is violated."""
-    assert broken(SEEDS) == []
+    assert violations(SEEDS) == []
 
 
 def test_a_schedule_is_reproducible() -> None:
@@ -74,7 +74,7 @@
 
 
 def _excess_after_restart() -> float:
-    """By how much quotas exceed a limit when an idle owner is killed and restarts, its part lent out."""
+    """By how much quotas exceed a limit when an idle owner is killed and restarts, its part leased."""
     world = World(3, 3, FleetOptions())
     limit = Limit("v:strict", Allowance(100.0, 60.0))
     for gateway in world.gateways:
@@ -124,8 +124,8 @@
     return overshoot(world.spends, limit, world.drift)
 
 
-def test_a_windowed_budget_that_is_lent_on_at_once_is_detected() -> None:
-    """A warm-up budget counts what is sent in a window: lent on at once, it is spent twice in one window."""
+def test_a_windowed_budget_that_is_leased_again_at_once_is_detected() -> None:
+    """A warm-up budget counts sends in a window: leased again at once, it is spent twice in one window."""
 
     def own_part(self: LimitAccounts, account: LimitAccount, when_ms: float) -> Allowance:
         if when_ms < account.quiet_until_ms:
@@ -138,7 +138,7 @@
 
 
 def test_merging_in_order_of_arrival_is_detected() -> None:
-    """Gateways let the record that arrives last win, in place of the newest one."""
+    """Gateways let the record that arrives last overwrite the newest one."""
 
     def merge(self: HealthGossip, record: HealthRecord, wall_ms: float) -> bool:
         if record.expires_ms <= wall_ms or record in set(self):
@@ -151,11 +151,11 @@
     with replaced(HealthGossip, "merge", merge):
         assert any(
             "words that nobody said, or older ones" in violation or "differ" in violation
-            for violation in broken(range(1, 6))
+            for violation in violations(range(1, 6))
         )
 
 
-def test_the_checkers_detect_what_they_are_for() -> None:
+def test_the_checkers_measure_what_exceeds_a_limit() -> None:
     """Spends within a limit pass; those beyond its rate, its burst or its window are measured."""
     limit = Limit("v", Allowance(10.0, 5.0))
     spends = [Spend(at, 0, "v", 5.0) for at in (0.0, 500.0, 1_000.0)]
--- a/tests/fleet/test_fleet_process.py
+++ b/tests/fleet/test_fleet_process.py
@@ -78,7 +78,7 @@
 
 
 def test_a_violated_guarantee_fails_the_run() -> None:
-    """One guarantee holds and one is violated: the run as a whole fails, and its lines show which."""
+    """One guarantee holds and one is violated: the run fails, and its lines show which."""
     out = Outcome("x", 1, [Guarantee("a", 1.0, 1.0), Guarantee("b", 0.95, 0.94, "at least")])
     assert not out.kept
     assert [line[:2] for line in out.lines()] == ["ok", "!!"]
--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -1,5 +1,8 @@
-"""The same day for another customer: classes, plans and tenants renamed and in another order get the same
-answers, over sockets and in the module; no name or figure of one site stands in the program."""
+"""The same day of two customers, whose classes, plans and tenants differ in name and order.
+
+Each request gets the same response over sockets, and each decision of the scheduler is the same; no name of
+one site occurs in the program.
+"""
 
 from __future__ import annotations
 
@@ -81,7 +84,7 @@
     return f"{(0xF00D - tenant * 7) if renamed else tenant + 1:016x}"
 
 
-# What becomes of the first attempt of a request, and whether its node has it again.
+# How the first attempt of a request ends; the later ones are served.
 FATES = ("ok", "reset", "error", "not started", "cut", "no node", "silent")
 
 
@@ -161,7 +164,7 @@
             found[renamed] = await self.day(renamed)
         self.assertEqual(found[False], found[True])
         statuses = [status for status, *_ in found[False]]
-        self.assertEqual(set(statuses), {200, 502, 503})  # the day has them all
+        self.assertEqual(set(statuses), {200, 502, 503})  # each final result occurs
         self.assertGreater(min(statuses.count(status) for status in (200, 502, 503)), 10)
 
 
@@ -178,9 +181,11 @@
 
         Each request is served as any other.
         """
-        for number, told_ms in enumerate(("60001", "88719", "228552", "86400000", "172800000")):
-            with self.subTest(told_ms=told_ms):
-                await asyncio.wait_for(self.served(await self.wire(), number, Request_Timeout_Ms=told_ms), 5)
+        for number, timeout_ms in enumerate(("60001", "88719", "228552", "86400000", "172800000")):
+            with self.subTest(timeout_ms=timeout_ms):
+                await asyncio.wait_for(
+                    self.served(await self.wire(), number, Request_Timeout_Ms=timeout_ms), 5
+                )
 
 
 def module_day(renamed: bool, moved: bool, busy: float) -> list[tuple[float, str, str]]:
@@ -247,7 +252,7 @@
         assert 200 < len(sent) <= most_sent
 
 
-# What the site calls its classes, plans and zones with which the program came into service.
+# The classes, plans and zones of the first site that the program served.
 FIRST_SITE = {
     "passenger-read",
     "checkin-write",
@@ -261,19 +266,19 @@
 }
 
 
-def test_no_name_of_one_site_stands_in_the_program() -> None:
-    """The names of one site's classes, plans and zones must not stand in the program or its deploy files:
+def test_no_name_of_one_site_occurs_in_the_program() -> None:
+    """The names of one site's classes, plans and zones must not occur in the program or its deploy files:
 
     another site has others.
     """
-    words: set[str] = set()
+    names: set[str] = set()
     for path in (ROOT / "deploy" / "sites").glob("*.toml"):
         text = path.read_text()
-        words |= set(re.findall(r'^name = "([^"]+)"', text, re.MULTILINE))
-        words |= set(re.findall(r'"(hall-[^"]+)"', text))
-    troubles = {"burst", "heavy_tail", "neighbour", "pauses", "scan", "slow", "lookup", "gold"}  # plain words
-    named_there = words - troubles | FIRST_SITE
-    assert len(named_there) > 10
+        names |= set(re.findall(r'^name = "([^"]+)"', text, re.MULTILINE))
+        names |= set(re.findall(r'"(hall-[^"]+)"', text))
+    generic_names = {"burst", "heavy_tail", "neighbour", "pauses", "scan", "slow", "lookup", "gold"}
+    site_names = names - generic_names | FIRST_SITE
+    assert len(site_names) > 10
     for path in [*(ROOT / "shaletiller").rglob("*.py"), *(ROOT / "deploy").glob("*.*")]:
         text = path.read_text()
-        assert not [word for word in named_there if f'"{word}"' in text or f"'{word}'" in text], path
+        assert not [name for name in site_names if f'"{name}"' in text or f"'{name}'" in text], path
--- a/tests/wire/test_adapter.py
+++ b/tests/wire/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: wire in, wire out, and plain words about what is malformed."""
+"""The simulator's adapter: events in, actions out, and an error line for malformed input."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     "obligations": {"fall-ms": 3000.0, "ramp-time-ms": 9000.0, "start-capacity": 0.3},
     "limits": {"max-attempts": 3},
 }
-LIST = ["PeersKnown", 2, 1, [["10.0.0.1:7000", "a", "k", 4, 1, 1, None]]]
-ASK = ["Submit", "t/1", 4, "obj:a", "basic", 0, 1200.0, "pre-1", 1, "read", 2]
+PEERS_KNOWN = ["PeersKnown", 2, 1, [["10.0.0.1:7000", "a", "k", 4, 1, 1, None]]]
+SUBMIT = ["Submit", "t/1", 4, "obj:a", "basic", 0, 1200.0, "pre-1", 1, "read", 2]
 
 
 def batch(at: float, *happened: list[Any], host: str = "host-0") -> str:
@@ -42,7 +42,7 @@
 
     the request is forwarded to the node of its shard.
     """
-    code, replies, err = play(batch(0, ["Up", 7, INFO], LIST), batch(5, ASK))
+    code, replies, err = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))
     assert (code, err) == (0, "")
     output = [["CallOut", "t/1", "10.0.0.1:7000", 0.0]]
     assert replies[1]["groups"][0]["host"] == "host-0"
@@ -59,41 +59,43 @@
 
     They are skipped.
     """
-    code, replies, _ = play(batch(0, ["Up", 7, INFO], LIST, ["Novelty", 1, 2]), batch(1, ASK, host="host-9"))
+    code, replies, _ = play(
+        batch(0, ["Up", 7, INFO], PEERS_KNOWN, ["Novelty", 1, 2]), batch(1, SUBMIT, host="host-9")
+    )
     assert code == 0
     assert replies[1] == {"groups": []}
 
 
-def test_a_stopped_instance_forgets_everything() -> None:
+def test_a_stopped_instance_has_no_state() -> None:
     """An instance stops and is sent a request:
 
-    nothing is known of it any more, and nothing is replied.
+    nothing of its state is left, and nothing is replied.
     """
-    code, replies, _ = play(batch(0, ["Up", 7, INFO], LIST), batch(1, ["Down"]), batch(2, ASK))
+    code, replies, _ = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(1, ["Down"]), batch(2, SUBMIT))
     assert code == 0
     assert replies[1:] == [{"groups": []}, {"groups": []}]
 
 
 @pytest.mark.parametrize(
-    ("line", "word"),
+    ("line", "reason"),
     [
         ("{", "JSON"),
         ('{"groups":[]}', "time-ms"),
-        (batch(0, ["Up", 7, INFO], LIST, ["Submit", "t/1"]), "out of place"),
+        (batch(0, ["Up", 7, INFO], PEERS_KNOWN, ["Submit", "t/1"]), "out of place"),
         (batch(0, ["Up", 7, INFO], ["PeersKnown", 9, 1, []]), "out of place"),
         (batch(0, ["Up", 7, {**INFO, "classes": []}]), "classes"),
         ("[1]", "out of place"),
     ],
 )
-def test_malformed_input_ends_with_one_line_of_error(line: str, word: str) -> None:
+def test_malformed_input_ends_with_one_line_of_error(line: str, reason: str) -> None:
     """A line is malformed, in one of several ways.
 
-    The process ends with one line that says where, and no traceback.
+    The process ends with one line that names the place, and no traceback.
     """
     code, _, err = play(line)
     assert code != 0
     assert len(err.splitlines()) == 1
-    assert word in err
+    assert reason in err
     assert "Traceback" not in err
 
 
@@ -102,14 +104,14 @@
 
     What one replies must not depend on the other.
     """
-    alone = play(batch(0, ["Up", 7, INFO], LIST), batch(5, ASK))[1]
+    alone = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))[1]
     both = json.dumps(
         {
             "time-ms": 0,
             "groups": [
-                {"host": "host-0", "happened": [["Up", 7, INFO], LIST]},
-                {"host": "host-1", "happened": [["Up", 8, INFO], LIST]},
+                {"host": "host-0", "happened": [["Up", 7, INFO], PEERS_KNOWN]},
+                {"host": "host-1", "happened": [["Up", 8, INFO], PEERS_KNOWN]},
             ],
         }
     )
-    assert play(both, batch(5, ASK))[1][1] == alone[1]
+    assert play(both, batch(5, SUBMIT))[1][1] == alone[1]
