--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -343,11 +343,11 @@
     return what
 
 
-def hexed(text):
+def from_hex(text):
     return bytes.fromhex(text)
 
 
-def words(text):
+def split_items(text):
     return text.split()
 
 
@@ -381,7 +381,7 @@
 @pytest.mark.parametrize(("kind", "values", "golden"), FLEET_PARTS)
 def test_each_part_of_a_fleet_message_keeps_its_bytes(kind, values, golden):
     assert pack_part(FLEET_KINDS[kind](*values)).hex() == golden
-    envelope = hexed(f"9701cedeadbeef02cf0000018bcfe56800010791{golden}")
+    envelope = from_hex(f"9701cedeadbeef02cf0000018bcfe56800010791{golden}")
     (head, [part]), dropped = reads(FleetReader(GROUP, 0, 3), envelope, NOW)
     assert (plain(head)[:6], dropped) == ((1, GROUP, 2, NOW, 1, 7), {})
     assert (type(part), plain(part)) == (FLEET_KINDS[kind], values)
@@ -389,12 +389,12 @@
 
 
 @pytest.mark.parametrize(("kind", "names"), FIELD_NAMES.items())
-def test_what_stands_at_each_place_of_the_wire_is_read_by_its_own_name(kind, names):
+def test_each_position_on_the_wire_is_read_by_its_own_name(kind, names):
     assert " ".join(kind.__struct_fields__) == names
 
 
-def test_the_envelope_of_the_fleet_keeps_its_bytes_and_counts_on():
-    letters = (STAMP + 7, []), (STAMP + 8, [hexed("93010b0c"), hexed("93030f01")])
+def test_the_envelope_of_the_fleet_keeps_its_bytes_and_its_sequence():
+    letters = (STAMP + 7, []), (STAMP + 8, [from_hex("93010b0c"), from_hex("93030f01")])
     overhead, (empty, two) = fleet_writes(GROUP, 2, NOW, *letters)
     assert overhead == 38
     assert empty.hex() == "9701cedeadbeef02cf0000018bcfe5680001cf018bcfe56800000790"
@@ -425,7 +425,7 @@
         assert (found, dropped) == (None, dict.fromkeys(list(PROMISE_DROPS)[:at], 1))
 
 
-# ---- 2. messages of the promises, and what stands in their registers
+# ---- 2. messages of the replication, and the values of its registers
 
 ROW = ((1, 2, 3), (4, 1, 6), 7, b"\x01val", NOW + 99)
 NOTHING = ((0, 0, 0), (0, 0, 0), 0, b"", 0)
@@ -452,7 +452,7 @@
 @pytest.mark.parametrize(("kind", "values", "golden"), MESSAGES)
 def test_each_message_of_the_promises_keeps_its_bytes(kind, values, golden):
     golden = f"509401cedeadbeef02{golden}"  # "P", and then an array: version, fleet, sender, message
-    (sender, message), dropped = reads(PromiseReader(GROUP, 0, 3), hexed(golden))
+    (sender, message), dropped = reads(PromiseReader(GROUP, 0, 3), from_hex(golden))
     assert (sender, type(message), plain(message)) == (2, MESSAGE_KINDS[kind], values)
     assert dropped == {}
     assert promise_writes(GROUP, 2, 3, value_of(kind, values)).hex() == golden
@@ -461,7 +461,7 @@
 
 SHOWN = {"kind": "register", "key": "key", "promised": (1, 2, 3), "ballot": (4, 1, 6), "step": 7, "until": 99}
 # fmt: off
-SAYINGS = [
+REGISTER_VALUES = [
     ("intent", (1, NOW, 3, -4, NOW + 5, NOW + 6),
      "970101cf0000018bcfe5680003fccf0000018bcfe56805cf0000018bcfe56806", {"owner": 1, "at": NOW + 5}),
     ("outcome", (True, b"body", 7, NOW + 8), "9502c3c404626f647907cf0000018bcfe56808",
@@ -476,20 +476,20 @@
 # fmt: on
 
 
-@pytest.mark.parametrize(("kind", "values", "golden", "shown"), SAYINGS)
+@pytest.mark.parametrize(("kind", "values", "golden", "shown"), REGISTER_VALUES)
 def test_each_value_of_a_register_keeps_its_bytes_and_how_it_is_shown(kind, values, golden, shown):
     assert pack(SAYING_KINDS[kind](*values)).hex() == golden
-    says = read_says(hexed(golden))
-    assert (type(says), plain(says), pack(says).hex()) == (SAYING_KINDS[kind], values, golden)
-    row = pack(Row((1, 2, 3), (4, 1, 6), 7, hexed(golden), 99))
+    value = read_says(from_hex(golden))
+    assert (type(value), plain(value), pack(value).hex()) == (SAYING_KINDS[kind], values, golden)
+    row = pack(Row((1, 2, 3), (4, 1, 6), 7, from_hex(golden), 99))
     assert list(describe(1, b"key", row).items()) == list({**SHOWN, "says": kind, **shown}.items())
 
 
 def test_a_register_keeps_its_bytes_and_other_records_how_they_are_shown():
     assert (pack(Row()).hex(), pack(Row(*ROW)).hex()) == (EMPTY_HEX, ROW_HEX)
-    assert plain(read_row(hexed(ROW_HEX))) == ROW
-    assert (read_says(b""), read_says(hexed("9263c0"))) == (None, None)
-    assert describe(1, b"key", hexed(EMPTY_HEX))["says"] == "free"
+    assert plain(read_row(from_hex(ROW_HEX))) == ROW
+    assert (read_says(b""), read_says(from_hex("9263c0"))) == (None, None)
+    assert describe(1, b"key", from_hex(EMPTY_HEX))["says"] == "free"
     assert describe(2, b"life", b"abc") == {"kind": "meta", "key": "life", "bytes": 3}
     assert describe(1, b"k", b"\xc1") == {"kind": "register", "key": "k", "unreadable": 1}
     assert describe(9, b"k", b"") == {"kind": 9, "key": "k", "bytes": 0}
@@ -498,8 +498,12 @@
 def test_keys_hashes_and_numbers_that_gateways_must_agree_on():
     assert STORE_KEYS == (b"life", b"lives", b"synced", b"list")
     assert PREFIXES == ("ban:", "drain:", "list:", "lease:")
-    lives = (2, b"lives", hexed("93cf0000018bcfe568000000"))
-    assert born(NOW) == [(2, b"life", hexed("cf0000018bcfe56800")), lives, (2, b"synced", hexed("90"))]
+    incarnations = (2, b"lives", from_hex("93cf0000018bcfe568000000"))
+    assert born(NOW) == [
+        (2, b"life", from_hex("cf0000018bcfe56800")),
+        incarnations,
+        (2, b"synced", from_hex("90")),
+    ]
     zones = ["a", "a", "b", "", "b"]
     for key, bucket, total, order, members in [
         ("w:c:v:k", 182, 549473823715102212, [4, 1, 0, 2, 3], (4, 1, 3)),
@@ -508,8 +512,8 @@
     ]:
         assert (bucket_of(key), row_sum(key, Row(*ROW))) == (bucket, total)
         assert (ranked(key, range(5)), group_members(key, zones, 3)) == (order, members)
-    word = FLEET_KINDS["verdict"]("n1", 5, 2, NOW + 3, STAMP + 1, 60000, 61)
-    assert digest_of(word) == 1461102212653850920
+    record = FLEET_KINDS["verdict"]("n1", 5, 2, NOW + 3, STAMP + 1, 60000, 61)
+    assert digest_of(record) == 1461102212653850920
     assert group_of("campus", ["g0", "g1", "g2"]) == 2948227333
     assert stamp_of(NOW + 0.9) == STAMP
     assert write_key("c", "v", "id", "idem") == "w:c:v:idem"
@@ -522,10 +526,10 @@
 
 # fmt: off
 META_ROWS = [
-    (2, b"life", hexed("cf0000018bcfe56800")), (2, b"lives", hexed("93cf0000018bcfe568000506")),
-    (2, b"synced", hexed("920102")), (2, b"list", b'{"version":1}')]
+    (2, b"life", from_hex("cf0000018bcfe56800")), (2, b"lives", from_hex("93cf0000018bcfe568000506")),
+    (2, b"synced", from_hex("920102")), (2, b"list", b'{"version":1}')]
 # fmt: on
-COMMITS = [[*META_ROWS, (1, b"gone", b"x")], [(1, b"ban:n1", hexed(ROW_HEX)), (1, b"gone", None)]]
+COMMITS = [[*META_ROWS, (1, b"gone", b"x")], [(1, b"ban:n1", from_hex(ROW_HEX)), (1, b"gone", None)]]
 LOG, COMPACTED = {"lock": ""}, {"lock": ""}  # files by name, in hexadecimal
 for _line in (GOLDEN / "stores.txt").read_text().splitlines():
     _which, _name, _content = _line.split()
@@ -536,15 +540,15 @@
     return {each.name: each.read_bytes().hex() for each in sorted(path.iterdir())}
 
 
-def lay(path, names):
+def write_files(path, names):
     path.mkdir()
     for name, content in names.items():
-        (path / name).write_bytes(hexed(content))
+        (path / name).write_bytes(from_hex(content))
     return path
 
 
-HELD = [(*row, at + 1, False) for at, row in enumerate(META_ROWS)]
-HELD += [(1, b"ban:n1", hexed(ROW_HEX), 6, False)]
+RECORDS = [(*row, at + 1, False) for at, row in enumerate(META_ROWS)]
+RECORDS += [(1, b"ban:n1", from_hex(ROW_HEX), 6, False)]
 
 
 def test_a_store_writes_the_same_files(tmp_path):
@@ -554,21 +558,21 @@
     assert folder_of(tmp_path / "s") == COMPACTED
 
 
-def test_a_keeper_writes_the_same_files(tmp_path):
+def test_a_store_writer_writes_the_same_files(tmp_path):
     asyncio.run(keep_in_store(tmp_path / "s", COMMITS, 150))
     assert folder_of(tmp_path / "s") == LOG
 
 
-@pytest.mark.parametrize(("there", "more"), [(LOG, []), (COMPACTED, [(1, b"k", b"", 8, False)])])
-def test_a_store_written_by_that_commit_opens_and_goes_on(tmp_path, there, more):
-    assert read_store(lay(tmp_path / "s", there)) == (HELD + more, 0)
-    assert folder_of(tmp_path / "s") == there  # opened, and not a byte moved
+@pytest.mark.parametrize(("files", "more"), [(LOG, []), (COMPACTED, [(1, b"k", b"", 8, False)])])
+def test_a_store_written_by_that_commit_opens_and_accepts_more(tmp_path, files, more):
+    assert read_store(write_files(tmp_path / "s", files)) == (RECORDS + more, 0)
+    assert folder_of(tmp_path / "s") == files  # opened, and not a byte changed
     write_store(tmp_path / "s", [[(1, b"next", b"v")]], 1 << 20)
-    assert read_store(tmp_path / "s") == ([*HELD, *more, (1, b"next", b"v", 8 + len(more), False)], 0)
+    assert read_store(tmp_path / "s") == ([*RECORDS, *more, (1, b"next", b"v", 8 + len(more), False)], 0)
 
 
-def test_a_gateway_finds_its_life_and_registers_in_a_store_of_that_commit(tmp_path):
-    found, _ = read_store(lay(tmp_path / "s", LOG))
+def test_a_gateway_reads_its_incarnation_and_registers_from_a_store_of_that_commit(tmp_path):
+    found, _ = read_store(write_files(tmp_path / "s", LOG))
     assert acceptor_of([each[:3] for each in found]) == (NOW, [NOW, 5, 6], {1, 2}, {"ban:n1": ROW})
 
 
@@ -583,9 +587,9 @@
     1, 2, "z3", 4.5, 27, 21.5, 22.5, 23.5, 24.5, 25.5, True, True, 42.5, 28, True, False, True, False, True,
     29.5, True, 32.5, 33.5, 34.5, 35.5, 0.365, 37.5, 26.5, 38.5, 39.5, 40.5, 41.5, 43.5, 44.5, 45.5,
     ("a", "b"), 30.5, 31.5)
-LEAST = {"classes": [{"name": "read", "target-ms": 1, "hard-limit-ms": 2, "effect": "read_like"}],
+MINIMAL = {"classes": [{"name": "read", "target-ms": 1, "hard-limit-ms": 2, "effect": "read_like"}],
          "contracts": [{"name": "p"}]}
-LEAST_SETTINGS = (
+MINIMAL_SETTINGS = (
     (("read", 1.0, 2.0, 1.0, 0.0, "safe", "cell", 0.0, False, False, False),),
     (("p", 0.0, 0.0, 1.0, 1.0, 0.0, 0.0, 0.0),),
     0, 1, "", 0.0, 0, 1.0, 1.0, 1.0, 1.0, 0.0, False, False, 0.0, 1, False, False, False, False, False, 0.0,
@@ -593,12 +597,12 @@
 # fmt: on
 
 
-def changed(path, value):
-    """The full document, one of its values another; "classes[0].name" is a path."""
+def settings_with(path, value):
+    """The full document with one value replaced; "classes[0].name" is a path."""
     info = json.loads(json.dumps(INFO))
-    *way, last = path.replace("[0]", ".0").split(".")
+    *keys, last = path.replace("[0]", ".0").split(".")
     at = info
-    for step in way:
+    for step in keys:
         at = at[int(step)] if step.isdigit() else at[step]
     at[int(last) if last.isdigit() else last] = value
     return info
@@ -606,10 +610,10 @@
 
 def test_every_key_of_the_settings_document_gives_its_value():
     assert plain(read_settings(INFO)) == SETTINGS
-    assert plain(read_settings(LEAST)) == LEAST_SETTINGS
+    assert plain(read_settings(MINIMAL)) == MINIMAL_SETTINGS
 
 
-# Which value a switch moves, and no other: many of them are alike in the document.
+# Which value a switch changes, and no other: many of them are alike in the document.
 SWITCHES = {
     "domain.counts-others": 12, "limits.second-copies": 16, "limits.cancel": 17, "limits.probes": 18,
     "limits.peers": 19, "limits.retry-after": 20, "clients.marks-retry": 22,
@@ -620,13 +624,13 @@
 def test_each_switch_of_the_settings_document_moves_its_own_value(path, at):
     part, _, key = path.rpartition(".")
     other = "automatic" if path == "discovery" else not INFO[part][key]
-    moved = plain(read_settings(changed(path, other)))
+    moved = plain(read_settings(settings_with(path, other)))
     assert moved == (*SETTINGS[:at], not SETTINGS[at], *SETTINGS[at + 1 :])
 
 
 SECTIONS = ("domain", "limits", "clients", "obligations", "deductions", "load-info")
 # fmt: off
-TYPED = [*("position", "balancers", "zone", "tick-ms"),
+TYPED_KEYS = [*("position", "balancers", "zone", "tick-ms"),
          *(f"classes[0].{key}" for key in INFO["classes"][0] if key != "effect"),
          *(f"contracts[0].{key}" for key in INFO["contracts"][0]),
          *(f"{part}.{key}" for part in SECTIONS for key in INFO[part] if key != "writes")]
@@ -638,7 +642,7 @@
                 "classes[0].importance", "classes[0].key-ttl-ms",
                 *(f"contracts[0].{key}" for key in INFO["contracts"][0] if key != "name")]
 FAULTS = [
-    *((path, {"w": 1}, f"{path}: Expected ") for path in TYPED),
+    *((path, {"w": 1}, f"{path}: Expected ") for path in TYPED_KEYS),
     *((path, 0, f"{path}: expected a number above 0, got 0") for path in POSITIVE),
     *((path, -1, f"{path}: expected a number of at least 0, got -1") for path in NOT_NEGATIVE),
     *((path, 3, f"{path}: expected an object") for path in (*SECTIONS[1:], "classes[0]", "contracts[0]")),
@@ -651,17 +655,17 @@
     ("contracts[0].name", "", "contracts[0].name: expected 1 to 64 printable ASCII characters, got ''"),
     ("classes", 3, "classes: expected a list"), ("contracts", 3, "contracts: expected a list"),
     ("classes", [], "classes: at least one class is needed"),
-    # As that commit says them: without the section, and by the program's own word.
+    # As in that commit: without the section, and by the program's own name.
     ("domain.writes", 3, "writes: expected a list"), ("contracts", [], "plans: at least one plan is needed"),
 ]
 # fmt: on
 
 
-@pytest.mark.parametrize(("path", "value", "told"), FAULTS)
-def test_a_faulty_setting_is_named_by_the_sites_own_key(path, value, told):
+@pytest.mark.parametrize(("path", "value", "error_text"), FAULTS)
+def test_a_faulty_setting_is_named_by_the_sites_own_key(path, value, error_text):
     with pytest.raises(FaultySettings) as error:
-        read_settings(changed(path, value))
-    assert str(error.value).startswith(told)
+        read_settings(settings_with(path, value))
+    assert str(error.value).startswith(error_text)
 
 
 # ---- 5. the configuration, and the operators' file
@@ -683,9 +687,9 @@
 # fmt: on
 
 
-def configured(folder, told=CONFIG, nvme=NVME, operator=None, **env):
-    """What is read of these files and variables."""
-    (folder / "c.json").write_text(json.dumps(told))
+def configured(folder, document=CONFIG, nvme=NVME, operator=None, **env):
+    """The configuration that is read from these files and variables."""
+    (folder / "c.json").write_text(json.dumps(document))
     (folder / "nvme.toml").write_text(nvme)
     env["EDGE_CONFIG"] = str(folder / "c.json")
     if operator is not None:
@@ -699,10 +703,10 @@
     assert plain(configured(tmp_path)) == (
         "g7", ("127.0.0.1", 7001), ("10.0.0.2", 7002), 0x8C1F, (1.25, 200.5, 1025), *PEERS, SERVERS, SETTINGS,
         NVME_VALUES, ("", 5000.0, 0.05), ("127.0.0.1", 7007), None, "/tmp")
-    least = {"settings": LEAST, "listen": "h:1", "discovery": "h:2"}
+    least = {"settings": MINIMAL, "listen": "h:1", "discovery": "h:2"}
     no_nvme = ("", "nqn.2026-12.example.shaletiller:gateway", 32, 32, ()), ()
     assert plain(configured(tmp_path, least, "")) == (
-        "", ("h", 1), ("h", 2), 0, (1.0, 192.0, 1024), None, (), None, (0, False, ()), LEAST_SETTINGS,
+        "", ("h", 1), ("h", 2), 0, (1.0, 192.0, 1024), None, (), None, (0, False, ()), MINIMAL_SETTINGS,
         no_nvme, ("", 5000.0, 0.05), None, None, "/tmp")
 
 
@@ -735,16 +739,16 @@
     ({"seed": "zz"}, "seed: expected hex digits, got 'zz'"),
     ({"name": "a/b"}, "EDGE_NAME: expected at most 200 printable bytes, no '/', got 'a/b'"),
     ({"settings": {}}, "settings.classes: at least one class is needed"),
-    ({"settings": changed("limits.cancel", 2)}, "settings.limits.cancel: Expected "),
+    ({"settings": settings_with("limits.cancel", 2)}, "settings.limits.cancel: Expected "),
 ]
 # fmt: on
 
 
-@pytest.mark.parametrize(("change", "told"), CONFIG_FAULTS)
-def test_a_faulty_key_of_the_configuration_is_named(tmp_path, change, told):
+@pytest.mark.parametrize(("change", "error_text"), CONFIG_FAULTS)
+def test_a_faulty_key_of_the_configuration_is_named(tmp_path, change, error_text):
     with pytest.raises(FaultyConfig) as error:
         configured(tmp_path, {**CONFIG, **change})
-    assert str(error.value).startswith(told)
+    assert str(error.value).startswith(error_text)
 
 
 def test_a_faulty_key_of_nvme_toml_is_named(tmp_path):
@@ -755,10 +759,10 @@
             continue
         key = line.split(" = ")[0]
         unknown = f"{part}: Object contains unknown field `x{key}`"
-        for swap, told in [(f"{key} = []", f"{part}.{key}: Expected "), (f"x{line}", unknown)]:
+        for swap, error_text in [(f"{key} = []", f"{part}.{key}: Expected "), (f"x{line}", unknown)]:
             with pytest.raises(FaultyConfig) as error:
                 configured(tmp_path, nvme=NVME.replace(f"{line}\n", f"{swap}\n", 1))
-            assert str(error.value).startswith(f"nvme.toml: {told}")
+            assert str(error.value).startswith(f"nvme.toml: {error_text}")
 
 
 # fmt: off
@@ -780,43 +784,43 @@
 # fmt: on
 
 
-@pytest.mark.parametrize(("old", "new", "told"), OPERATOR_FAULTS)
-def test_a_faulty_key_of_the_operators_file_is_named(tmp_path, old, new, told):
+@pytest.mark.parametrize(("old", "new", "error_text"), OPERATOR_FAULTS)
+def test_a_faulty_key_of_the_operators_file_is_named(tmp_path, old, new, error_text):
     (tmp_path / "o.kdl").write_text(OPERATOR.replace(old, new))
     with pytest.raises(FaultyFile) as error:
         read_operator(tmp_path / "o.kdl")
-    assert str(error.value) == f"o.kdl: {told}"
+    assert str(error.value) == f"o.kdl: {error_text}"
 
 
-def test_the_words_of_discovery_for_a_nodes_state():
+def test_the_states_of_nodes_in_discoverys_list():
     row = {"id": "n", "addr": "h:1", "zone": "z", "kind": "k", "cell": 3, "weight": 2.5, "started_ms": 4.5}
-    for word, state in [("active", 1), ("leaving", 2), ("left", 0)]:
-        assert list_row({**row, "state": word}) == (("n", "z", 3, state, 2.5, 4.5, "k"), "h:1")
+    for wire_name, state in [("active", 1), ("leaving", 2), ("left", 0)]:
+        assert list_row({**row, "state": wire_name}) == (("n", "z", 3, state, 2.5, 4.5, "k"), "h:1")
 
 
 # ---- 6. what operators read, and the simulator's wire
 
 # fmt: off
-PLAIN_STATS = words(
+PLAIN_STATS = split_items(
     "done edge.results.read.succeeded=0 edge.results.read.declined=0 edge.results.read.aborted=0 "
     "edge.forwards=0 edge.outstanding=0 edge.discovered=1 edge.ejected=0 edge.sighup_applied=0 "
     "edge.sighup_rejected=0 ")
-FLEET_STATS = words(
+FLEET_STATS = split_items(
     "members=1 configured=3 connected=0 superseded=0 limits=0 leases=0 granting=0 verdicts=0 "
     "verdicts.ban=0 verdicts.dead=0 verdicts.cold=0 verdicts.turning=0 verdicts.slow=0 "
     "verdicts.leaving=0 sent=0 sent_bytes=0 received=0 held_back=0 dropped.group=1 link_dropped=0 "
     "late_ticks=0 ")
-NODES_STATS = words(
+NODES_STATS = split_items(
     "version=3 list_age_ms=* discovery=0 given=1 kept=0 by_news=0 held_back=0 ")
-PROMISES_STATS = words(
+PROMISES_STATS = split_items(
     "filled=0 superseded=0 synced=0 records=0 under_way=0 rounds=0 claimed=0 made=0 repeated=0 "
     "in_progress=0 may_have_run=0 no_majority=0 unmade=0 repair_given=0 repair_taken=0 repair_bytes=0 "
     "dropped.malformed=1 ")
-STORE_STATS = words(
+STORE_STATS = split_items(
     "open=1 damaged=0 sound=1 records=0 log_bytes=32 live_bytes=0 commits=0 rows=0 failed=0 snapshots=0 "
     "torn_bytes=0 ")
 SMALL = {"name": "g0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "admin": "127.0.0.1:0",
-         "settings": LEAST, "known": {"version": 3, "servers": [{"id": "n1", "addr": "h:1"}]}}
+         "settings": MINIMAL, "known": {"version": 3, "servers": [{"id": "n1", "addr": "h:1"}]}}
 # fmt: on
 
 
@@ -828,59 +832,59 @@
 ]  # fmt: skip
 
 
-def test_the_lines_of_results():
-    told = [("read", SERVED), ("read", REFUSED), ("read", FAILED), ("read", FAILED), ("old", SERVED)]
-    read = words("read.succeeded=1 read.declined=1 read.aborted=2")
-    rest = words(
+def test_the_stats_lines_of_results():
+    results = [("read", SERVED), ("read", REFUSED), ("read", FAILED), ("read", FAILED), ("old", SERVED)]
+    read = split_items("read.succeeded=1 read.declined=1 read.aborted=2")
+    rest = split_items(
         "write.succeeded=0 write.declined=0 write.aborted=0 old.succeeded=1 old.declined=0 old.aborted=0"
     )
-    want = [f"edge.results.{each}" for each in read + rest]
-    assert figure_lines(told, ["read", "write"], {"a": 1}) == [*want, "edge.a=1"]
+    expected = [f"edge.results.{each}" for each in read + rest]
+    assert figure_lines(results, ["read", "write"], {"a": 1}) == [*expected, "edge.a=1"]
 
 
-def test_the_operators_calls_their_answers_and_the_file_of_bans(tmp_path):
+def test_the_operators_calls_their_responses_and_the_file_of_ejections(tmp_path):
     file = tmp_path / "shaletiller-g0-bans.json"
 
-    async def talk():
-        _, learn, answer = gateway_of(configured(tmp_path, SMALL, "", TMPDIR=str(tmp_path)))
+    async def call_gateway():
+        _, load_list, answer = gateway_of(configured(tmp_path, SMALL, "", TMPDIR=str(tmp_path)))
         assert await answer("READY") == ["error no: not ready"]
-        learn()
-        for line, want in CALLS:
-            assert await answer(line) == want
+        load_list()
+        for line, expected in CALLS:
+            assert await answer(line) == expected
         assert file.read_bytes() == b'["n1"]'
         assert await answer("ENABLE n1") == ["done n1"]
         assert file.read_bytes() == b"[]"
 
-    asyncio.run(talk())
+    asyncio.run(call_gateway())
     file.write_bytes(b'["n2","n3"]')
     assert bans_read(file) == ({"n2", "n3"}, [{"n2", "n3"}])
 
 
-def test_the_figures_of_a_gateway_in_a_fleet_and_what_tells_its_messages_apart(tmp_path):
+def test_the_stats_of_a_gateway_in_a_fleet_and_the_hashes_of_its_messages(tmp_path):
     members = "".join(f'member "g{n}" address="127.0.0.1:{7100 + n}"\n' for n in range(3))
     operator = f'fleet {{\nname "campus"\n{members}}}\nstore {{\ndir "{tmp_path}/store"\n}}\n'
     operator += "promises {\non true\nlease-tables true\n}\n"
-    to_promises = hexed("50c1")  # "P"
-    to_fleet = hexed("9701cedeadbeef02cf0000018bcfe5680001cf018bcfe56800000790")
-
-    async def talk():
-        gate, learn, answer = gateway_of(configured(tmp_path, SMALL, "", operator, TMPDIR=str(tmp_path)))
-        learn()
-        heard = await fleet_hears(gate, to_promises, to_fleet)
-        assert heard == ((15907461, 2948227333), [to_promises], {"group": 1})  # "campus+tables", "campus"
+    to_promises = from_hex("50c1")  # "P"
+    to_fleet = from_hex("9701cedeadbeef02cf0000018bcfe5680001cf018bcfe56800000790")
+
+    async def call_gateway():
+        gate, load_list, answer = gateway_of(configured(tmp_path, SMALL, "", operator, TMPDIR=str(tmp_path)))
+        load_list()
+        received = await fleet_hears(gate, to_promises, to_fleet)
+        assert received == ((15907461, 2948227333), [to_promises], {"group": 1})  # "campus+tables", "campus"
         lines = await answer("STATS")
         await fleet_ends(gate)
         return lines
 
-    lines = asyncio.run(talk())
+    lines = asyncio.run(call_gateway())
     named = [line if "list_age_ms" not in line else "edge.nodes.list_age_ms=*" for line in lines]
     more = {"fleet": FLEET_STATS, "nodes": NODES_STATS, "promises": PROMISES_STATS, "store": STORE_STATS}
-    want = [f"edge.{part}.{each}" for part, told in more.items() for each in told]
-    assert named == [*PLAIN_STATS, *want, "end"]
+    expected = [f"edge.{part}.{each}" for part, items in more.items() for each in items]
+    assert named == [*PLAIN_STATS, *expected, "end"]
 
 
 # fmt: off
-HAPPENED = [
+SIMULATOR_EVENTS = [
     (["PeersKnown", 2, 7, [["n1", "za", "k", 4, 2, 1.5, 9.5], ["n2"]]],
      (2, (("n1", "za", 4, 2, 1.5, 9.5, "k"), ("n2", "", 0, 1, 1.0, 0.0, "")), 7, 0.0)),
     (["Submit", "t/1", 4, "obj:a", "p", 2, 1200.5, "vol", 3, "read", 2.5],
@@ -896,8 +900,8 @@
     (["Headers", "t/1", 2, "n1", 7.5], ("t/1", 2, "n1", 7.5)),
     (["NeighbourSays", 3, "hi"], (3, "hi")),
     (["Abandoned", "t/1"], ("t/1",)),
-    *((["ProbeResult", "n1", word, 8.5, [["load", 9]]], ("n1", value, 8.5, (("load", 9.0),)))
-      for word, value in [
+    *((["ProbeResult", "n1", wire_name, 8.5, [["load", 9]]], ("n1", value, 8.5, (("load", 9.0),)))
+      for wire_name, value in [
         ("completed", "ok"), ("errored", "error"), ("saturated", "full"), ("overdue", "timeout"),
         ("refused_conn", "connect_failed"), ("severed", "reset"), ("recalled", "cancelled"),
         ("superseded", "moot")]),
@@ -906,67 +910,67 @@
 
 
 def test_the_simulators_events_are_read_by_their_names():
-    told = [["Up", 7, INFO], *(event for event, _ in HAPPENED), ["Down"], ["Novelty", 1]]
-    line = json.dumps({"time-ms": 5.5, "groups": [{"host": "host-0", "happened": told}]})
+    happened = [["Up", 7, INFO], *(event for event, _ in SIMULATOR_EVENTS), ["Down"], ["Novelty", 1]]
+    line = json.dumps({"time-ms": 5.5, "groups": [{"host": "host-0", "happened": happened}]})
     now_ms, [(host, found)] = simulator_reads(line)
-    assert (now_ms, host, [kind for kind, _ in found]) == (5.5, "host-0", [event[0] for event in told])
+    assert (now_ms, host, [kind for kind, _ in found]) == (5.5, "host-0", [event[0] for event in happened])
     assert (found[0][1][0], plain(found[0][1][1])) == (7, SETTINGS)
     assert found[-2:] == [("Down", None), ("Novelty", None)]
-    for (kind, event), (_, values) in zip(found[1:-2], HAPPENED, strict=True):
+    for (kind, event), (_, values) in zip(found[1:-2], SIMULATOR_EVENTS, strict=True):
         assert (type(event), plain(event)) == (EVENT_KINDS[kind], values)
 
 
 def test_the_simulators_actions_are_written_as_this_line():
     alarm = '{"time-ms":1,"groups":[{"host":"host-0","happened":[["Alarm","round"]]}]}'
-    want = (
+    expected = (
         '[["CallOut","t/1","n1",12.5],["TurnAway","t/2",40.0],["Surrender","t/3"],["Revoke","t/4",2],'
         '["Defer",3.5,"turn tok"],["Defer",20.0,"round"],["Defer",30.0,"overdue t/1 2"],["Defer",40.0,"ask"],'
         '["AskLoad","n2"],["BroadcastTo",null,"é"],["BroadcastTo",4,"x"],'
         '["KeepInformed",true],["QueryAll"],["FreeLinks","n3"],["Emit","line"]]'
     )
-    assert simulator_writes(ACTIONS, alarm) == f'{{"groups":[{{"host":"host-0","output":{want}}}]}}'
+    assert simulator_writes(ACTIONS, alarm) == f'{{"groups":[{{"host":"host-0","output":{expected}}}]}}'
 
 
 # ---- 7. frames round the messages
 
-FRAMES = hexed("00000003616263000000025000")
+FRAMES = from_hex("00000003616263000000025000")
 
 
 def test_a_link_puts_four_bytes_of_length_before_each_message():
-    async def talk():
-        came, heard = bytearray(), []
+    async def exchange_frames():
+        bytes_received, received = bytearray(), []
 
         async def collect(reader, writer):
-            came.extend(await reader.readexactly(len(FRAMES)))
+            bytes_received.extend(await reader.readexactly(len(FRAMES)))
             writer.close()
 
-        there = await asyncio.start_server(collect, "127.0.0.1", 0)
-        running = asyncio.ensure_future(link_sends(there.sockets[0].getsockname()[:2], b"abc", b"P\0"))
-        here = await asyncio.start_server(link_takes(heard.append), "127.0.0.1", 0)
-        _, writer = await asyncio.open_connection(*here.sockets[0].getsockname()[:2])
+        peer_server = await asyncio.start_server(collect, "127.0.0.1", 0)
+        running = asyncio.ensure_future(link_sends(peer_server.sockets[0].getsockname()[:2], b"abc", b"P\0"))
+        listener = await asyncio.start_server(link_takes(received.append), "127.0.0.1", 0)
+        _, writer = await asyncio.open_connection(*listener.sockets[0].getsockname()[:2])
         writer.write(FRAMES)
         async with asyncio.timeout(5):
-            while len(came) < len(FRAMES) or len(heard) < 2:
+            while len(bytes_received) < len(FRAMES) or len(received) < 2:
                 await asyncio.sleep(0.005)
         running.cancel()
         writer.close()
-        there.close()
-        here.close()
-        return bytes(came), heard
+        peer_server.close()
+        listener.close()
+        return bytes(bytes_received), received
 
-    assert asyncio.run(talk()) == (FRAMES, [b"abc", b"P\0"])
+    assert asyncio.run(exchange_frames()) == (FRAMES, [b"abc", b"P\0"])
 
 
-def test_datagrams_have_no_frame_and_their_first_byte_tells_the_fleets_from_texts():
+def test_datagrams_have_no_frame_and_their_first_byte_separates_fleet_messages_from_texts():
     text, fleet, sent = [], [], []
-    tell, send, came = datagrams((("a", 1), ("b", 2)), ("all", 3), text, fleet, sent)
-    tell(1, "é")
-    tell(None, "x")
-    send(0, hexed("9701"))
-    send(0, bytes(257))  # longer than the platform's bound: left out
-    assert sent == [(hexed("c3a9"), ("b", 2)), (b"x", ("all", 3)), (hexed("9701"), ("a", 1))]
-    came(hexed("9701"), ("a", 1))
-    for raw in ("c3a9", "50", "ff"):  # the last is no text: left out
-        came(hexed(raw), ("b", 2))
-    came(b"x", ("c", 9))  # none of the peers
-    assert (fleet, text) == ([hexed("9701")], [(1, "é"), (1, "P")])
+    send_text, send, receive = datagrams((("a", 1), ("b", 2)), ("all", 3), text, fleet, sent)
+    send_text(1, "é")
+    send_text(None, "x")
+    send(0, from_hex("9701"))
+    send(0, bytes(257))  # longer than the platform's bound: dropped
+    assert sent == [(from_hex("c3a9"), ("b", 2)), (b"x", ("all", 3)), (from_hex("9701"), ("a", 1))]
+    receive(from_hex("9701"), ("a", 1))
+    for raw in ("c3a9", "50", "ff"):  # the last is no text: dropped
+        receive(from_hex(raw), ("b", 2))
+    receive(b"x", ("c", 9))  # none of the peers
+    assert (fleet, text) == ([from_hex("9701")], [(1, "é"), (1, "P")])
