--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -28,6 +28,18 @@
         return int(found.getsockname()[1])
 
 
+async def start_gateway(config_file: Path, stderr: int) -> asyncio.subprocess.Process:
+    """Start a gateway process with this configuration file."""
+    return await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "shaletiller",
+        cwd=ROOT,
+        env={"EDGE_CONFIG": str(config_file)},
+        stderr=stderr,
+    )
+
+
 class DeployTest(unittest.TestCase):
     def test_the_build_compiles_the_package(self) -> None:
         """The build compiles every module: the file system is read-only at a start, and what is not compiled
@@ -98,14 +110,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(config_document))
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "shaletiller",
-                cwd=ROOT,
-                env={"EDGE_CONFIG": str(path)},
-                stderr=asyncio.subprocess.PIPE,
-            )
+            process = await start_gateway(path, asyncio.subprocess.PIPE)
             try:
                 self.assertEqual(await self.up(port, 20.0), "HTTP/1.1 200 OK")
                 assert process.stderr is not None
@@ -168,14 +173,7 @@
         }
         path = Path(files.name) / "config.json"
         path.write_text(json.dumps(config_document))
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "shaletiller",
-            cwd=ROOT,
-            env={"EDGE_CONFIG": str(path)},
-            stderr=asyncio.subprocess.DEVNULL,
-        )
+        process = await start_gateway(path, asyncio.subprocess.DEVNULL)
         clients: dict[str, RawClient] = {}
         try:
             await self.up(port, 20.0)
--- a/tests/gateway/test_readme.py
+++ b/tests/gateway/test_readme.py
@@ -30,11 +30,13 @@
     table = (root.parent / "docs" / "endings.md").read_text()
     named = re.findall(r"`(?:([A-Z]\w+)\.)?(test_\w+)(\*?)`|`([A-Z]\w+)\.\*`", table)
     assert len(named) > 40
-    for owner, test, some, whole in named:
+    for owner, test, is_prefix, class_name in named:
         if test and list(root.rglob(f"{test}.py")):
             continue
-        assert not (owner or whole) or (owner or whole) in known, owner or whole
-        assert not test or (any(each.startswith(test) for each in known) if some else test in known), test
+        assert not (owner or class_name) or (owner or class_name) in known, owner or class_name
+        assert not test or (any(each.startswith(test) for each in known) if is_prefix else test in known), (
+            test
+        )
 
 
 def test_the_deploy_file_lists_every_file_that_decides_within_1200_lines() -> None:
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -518,7 +518,7 @@
 class ClientLeaves(RaceScenario):
     """A client that leaves while its request waits: the request is not forwarded."""
 
-    async def gone(
+    async def disconnects(
         self, wire: RawClient, how: Callable[[], None], free: Callable[[], Awaitable[None]]
     ) -> None:
         how()
@@ -542,17 +542,17 @@
                     )
                 )
                 await until(lambda: self.gateway.engine.exchanges, "the request")
-                ways = {
+                disconnections = {
                     "close": wire.close,
                     "reset": lambda wire=wire: reset(wire.sock),
                     "half": lambda wire=wire: wire.sock.shutdown(socket.SHUT_WR),
                 }
 
-                async def comes(shard: int = shard) -> None:
+                async def node_joins(shard: int = shard) -> None:
                     await self.party(f"n{shard}")
                     await self.play(f"send d n{shard}=active")
 
-                await self.gone(wire, ways[how], comes)
+                await self.disconnects(wire, disconnections[how], node_joins)
                 self.assertEqual(self.parties[f"n{shard}"].received.qsize(), 0)
 
     async def test_while_it_is_pipelined_behind_another_request(self) -> None:
@@ -765,11 +765,11 @@
 
         Both attempts must end, and the kernel must not go on connecting for them.
         """
-        slow, gone = await self.wire(), await self.wire()
+        slow, disconnected = await self.wire(), await self.wire()
         slow.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="300"))
-        gone.send(encode_request(2, "PUT", b"y", Request_Timeout_Ms="5000"))
+        disconnected.send(encode_request(2, "PUT", b"y", Request_Timeout_Ms="5000"))
         await until(lambda: connecting_to(self.port) == 2, "both attempts")
-        gone.close()
+        disconnected.close()
         self.assertEqual((await slow.answer())[0], 502)  # a timeout proves nothing
         slow.close()
         await until(lambda: not self.gateway.engine.attempts.in_flight, "the ends of both")
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -329,7 +329,7 @@
         )  # no node has the shard yet
         reader.send(encode_request(2, IO_Info=far, Request_Timeout_Ms="5000"))
         await until(lambda: len(self.gateway.engine.exchanges) == 2, "both to be queued")
-        # Reads may not be retried any more, writes may, and one class has gone.
+        # Reads may not be retried any more, writes may, and one class is removed.
         read, write, _ = EFFECTS["classes"]
         self.reload_settings(
             classes=[{**read, "effect": "non_idempotent"}, {**write, "effect": "read_like"}],
--- a/tests/net/test_overload_control.py
+++ b/tests/net/test_overload_control.py
@@ -68,7 +68,7 @@
 ) -> None:
     """Under overload the queue holds a request, a health check, a silent client and one that has left.
 
-    The request must be rejected and counted, the health check handed back to be started, the silent client
+    The request must be rejected and counted, the health check returned to be started, the silent client
     left in the queue until it may be evicted, and the client that has left closed.
     """
     clock, rejected = SettableClock(), []
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -254,7 +254,7 @@
         node = await self.party("n1")
         node.current = next(writer for writer in node.writers if writer is not node.current)
         await self.play(
-            "send n1 200 held\nexpect c1 200 held\nsend c2 GET 3 timeout=5000\nexpect n1 GET 3\n"
+            "send n1 200 data\nexpect c1 200 data\nsend c2 GET 3 timeout=5000\nexpect n1 GET 3\n"
             "send n1 200 on\nexpect c2 200 on\nwait 150\nsend c1 PUT 4 x\nexpect c1 503\n"
             "expect n1 nothing\nexpect c2 end"
         )
@@ -903,7 +903,7 @@
         await Server.send(new, "200", full_list)
         self.assertIn("since=0&", (await new.next())[0])
         await self.play(
-            "send n1 200 held\nexpect c1 200 held\nsend c2 PUT 2 x shard=2 timeout=200\n"
+            "send n1 200 data\nexpect c1 200 data\nsend c2 PUT 2 x shard=2 timeout=200\n"
             "expect c2 503\nexpect n2 nothing\nreload d3"
         )
         await asyncio.wait_for(third.next(), 0.2)
