--- a/shaletiller/core/accept.py
+++ b/shaletiller/core/accept.py
@@ -11,7 +11,7 @@
 
 # Every class accepts a timeout of up to a minute, whatever its deadline.
 MAX_TIMEOUT_MS = 60_000.0
-# A class with a longer limit of its own may be given twice that; beyond, a time-out is a client's mistake.
+# A class with a longer limit of its own may be given twice that; beyond, a timeout is a client's mistake.
 DEADLINE_MULTIPLE = 2
 
 
--- a/shaletiller/core/admit.py
+++ b/shaletiller/core/admit.py
@@ -17,7 +17,7 @@
     def __call__(self, exchange: Exchange, remaining_ms: float | None = None) -> None:
         """Put a request before the scheduler.
 
-        :param remaining_ms: what is left of its time-out, where it has waited; None: all of it.
+        :param remaining_ms: what is left of its timeout, where it has waited; None: all of it.
         """
         call = exchange.call
         self._notify(
--- a/shaletiller/core/forward.py
+++ b/shaletiller/core/forward.py
@@ -16,7 +16,7 @@
 
 
 class AttemptSender:
-    """Runs attempts as tasks; each ends by its result, its time-out or a stop.
+    """Runs attempts as tasks; each ends by its result, its timeout or a stop.
 
     `in_flight` holds the attempts without a result by (request id, attempt number).
 
--- a/shaletiller/lab/discovery_scenarios.py
+++ b/shaletiller/lab/discovery_scenarios.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from shaletiller.lab.fleet_scenarios import unanswered_requests
-from shaletiller.lab.fleet_testbed import SHARDS, Testbed
+from shaletiller.lab.fleet_testbed import SHARDS, FleetTestbed
 from shaletiller.lab.guarantees import Guarantee, Outcome, count
 from shaletiller.lab.load_generator import LoadGenerator, Stream
 from shaletiller.lab.replication_scenarios import wait_until_synced
@@ -76,7 +76,7 @@
     :param fleet_enabled: with the fleet and stores; otherwise each gateway is alone.
     """
     with tempfile.TemporaryDirectory() as temporary:
-        rig = Testbed(
+        rig = FleetTestbed(
             gateways,
             seed,
             seconds,
@@ -102,7 +102,9 @@
         return judge(rig, load, scenario, stats)
 
 
-def judge(rig: Testbed, load: LoadGenerator, scenario: Scenario, stats: dict[str, dict[str, int]]) -> Outcome:
+def judge(
+    rig: FleetTestbed, load: LoadGenerator, scenario: Scenario, stats: dict[str, dict[str, int]]
+) -> Outcome:
     """Check the guarantees from the records of nodes, discovery and clients.
 
     :param stats: the counters of each gateway, which are only shown.
@@ -131,7 +133,7 @@
     return out
 
 
-def _check_listed_nodes(rig: Testbed) -> list[Guarantee]:
+def _check_listed_nodes(rig: FleetTestbed) -> list[Guarantee]:
     """Each node that is up and still listed is used by all gateways; only violations are returned."""
     last_ms = rig.began_ms + rig.seconds * 1000 - LAST_USE_MS
     found = []
@@ -145,7 +147,7 @@
     return found
 
 
-def _check_departed_nodes(rig: Testbed) -> Guarantee:
+def _check_departed_nodes(rig: FleetTestbed) -> Guarantee:
     """No gateway sends to a node that has left, or drains beyond its grace, once any was notified of that."""
     late_ms = [late_ms for node in rig.nodes for late_ms in _late_attempts_ms(rig, node)]
     return Guarantee(
@@ -156,7 +158,7 @@
     )
 
 
-def _late_attempts_ms(rig: Testbed, node: StorageNode) -> list[float]:
+def _late_attempts_ms(rig: FleetTestbed, node: StorageNode) -> list[float]:
     """Return for each attempt at a departed node how late it was, except those that were in time."""
     bound_ms = _last_use_ms(rig, node)
     found = []
@@ -172,7 +174,7 @@
     return found
 
 
-def _last_use_ms(rig: Testbed, node: StorageNode) -> float:
+def _last_use_ms(rig: FleetTestbed, node: StorageNode) -> float:
     """Return until when a node may be used; infinity if it has not departed, or is listed again."""
     first_sent_ms = rig.discovery.first_sent_ms
     ends_ms = [
@@ -192,7 +194,7 @@
     return min(ends_ms)
 
 
-def _check_restarts(rig: Testbed, load: LoadGenerator) -> list[Guarantee]:
+def _check_restarts(rig: FleetTestbed, load: LoadGenerator) -> list[Guarantee]:
     """A gateway serves its first request soon after a restart."""
     waits_ms = [
         _first_served_ms(load, name, up_ms) - up_ms
--- a/shaletiller/lab/fleet_scenarios.py
+++ b/shaletiller/lab/fleet_scenarios.py
@@ -22,7 +22,7 @@
     SHARDS,
     TERM_MS,
     Ban,
-    Testbed,
+    FleetTestbed,
 )
 from shaletiller.lab.guarantees import Guarantee, Outcome, count
 from shaletiller.lab.limit_usage import Limit, Spend, overshoot
@@ -59,7 +59,7 @@
 """
 
 
-def streams(rig: Testbed, surges: bool) -> list[Stream]:
+def streams(rig: FleetTestbed, surges: bool) -> list[Stream]:
     """Return the limited volume's requests, and those of other volumes to all nodes through all gateways.
 
     :param surges: whether other gateways than the lead have requests of the limited volume.
@@ -77,7 +77,7 @@
     return found
 
 
-def _surge(rig: Testbed, name: str, begin_ms: float) -> Stream:
+def _surge(rig: FleetTestbed, name: str, begin_ms: float) -> Stream:
     span_ms = min(SURGE_MS, 0.06 * rig.seconds * 1000)
     return Stream(
         name,
@@ -109,7 +109,7 @@
     """
     with tempfile.TemporaryDirectory() as temporary:
         operator = REPLICATED_TABLES if tables else ""
-        rig = Testbed(gateways, seed, seconds, folder or Path(temporary), carrier, operator=operator)
+        rig = FleetTestbed(gateways, seed, seconds, folder or Path(temporary), carrier, operator=operator)
         try:
             await rig.start()
             load = await rig.run(streams(rig, surges=scenario.span()[0] < 1), scenario.faults)
@@ -121,7 +121,7 @@
 
 
 def judge(
-    rig: Testbed,
+    rig: FleetTestbed,
     load: LoadGenerator,
     scenario: Scenario,
     stats: dict[str, dict[str, int]],
@@ -162,7 +162,7 @@
     return out
 
 
-def unanswered_requests(rig: Testbed, load: LoadGenerator) -> list[ClientRequest]:
+def unanswered_requests(rig: FleetTestbed, load: LoadGenerator) -> list[ClientRequest]:
     """Return the requests without an answer whose gateway was up all the time."""
     return [
         each
@@ -174,7 +174,7 @@
     ]
 
 
-def _spends_of_limited_volume(rig: Testbed, load: LoadGenerator, attempts: list[Attempt]) -> list[Spend]:
+def _spends_of_limited_volume(rig: FleetTestbed, load: LoadGenerator, attempts: list[Attempt]) -> list[Spend]:
     """Return the units of the limited volume; a request counts once, at its first attempt."""
     requests = {each.request: each for each in load.requests}
     first_ms: dict[str, float] = {}
@@ -192,7 +192,7 @@
     ]
 
 
-def _check_writes(out: Outcome, rig: Testbed, load: LoadGenerator) -> None:
+def _check_writes(out: Outcome, rig: FleetTestbed, load: LoadGenerator) -> None:
     """No write is executed more than once, on all nodes together."""
     writes = {each.request for each in load.requests if each.stream.write}
     runs: dict[str, int] = {}
@@ -219,7 +219,7 @@
     lossy: bool
 
     @classmethod
-    def of(cls, rig: Testbed, scenario: Scenario) -> _Phases:
+    def of(cls, rig: FleetTestbed, scenario: Scenario) -> _Phases:
         end_ms = rig.seconds * 1000
         first_ms, last_ms = (part * end_ms for part in scenario.span())
         ready_ms = LeaseTiming(TERM_MS, LEASE_MS, DRIFT).pledge_wait_ms + MEET_MS
@@ -265,7 +265,7 @@
         )
 
 
-def _check_partitioned_lead(out: Outcome, rig: Testbed, spends: list[Spend]) -> None:
+def _check_partitioned_lead(out: Outcome, rig: FleetTestbed, spends: list[Spend]) -> None:
     """The gateway with most of the traffic uses at least its own part while it is cut off.
 
     From when what it had pledged of that part has expired.
@@ -293,13 +293,13 @@
             return
 
 
-def _gateways_cut(rig: Testbed, text: str) -> set[str]:
+def _gateways_cut(rig: FleetTestbed, text: str) -> set[str]:
     """Return the gateways that a fault of the course cuts off."""
     verb, *words = text.split()
     return {rig.gateway_named(word) for word in words if "=" not in word} if verb == FaultVerb.CUT else set()
 
 
-def _check_staleness(out: Outcome, rig: Testbed, attempts: list[Attempt], bound_ms: float) -> None:
+def _check_staleness(out: Outcome, rig: FleetTestbed, attempts: list[Attempt], bound_ms: float) -> None:
     """No gateway sends to a node for longer than a bound after an operator's command ejected it.
 
     A gateway that was cut off or down in the time after the command is not judged.
@@ -325,7 +325,7 @@
         )
 
 
-def _late_ms(rig: Testbed, ban: Ban, attempts: list[Attempt]) -> dict[str, float]:
+def _late_ms(rig: FleetTestbed, ban: Ban, attempts: list[Attempt]) -> dict[str, float]:
     """Return, for each gateway, how long after the command it still sent to the node."""
     late_ms = dict.fromkeys(rig.names, 0.0)
     for attempt in attempts:
@@ -334,7 +334,7 @@
     return late_ms
 
 
-def _cut_during(rig: Testbed, begin_ms: float, end_ms: float) -> set[str]:
+def _cut_during(rig: FleetTestbed, begin_ms: float, end_ms: float) -> set[str]:
     """Return the gateways that were cut off at some time of a span."""
     found: set[str] = set()
     cut: set[str] = set()
--- a/shaletiller/lab/fleet_testbed.py
+++ b/shaletiller/lab/fleet_testbed.py
@@ -91,7 +91,7 @@
 
 
 @dataclass
-class Testbed:
+class FleetTestbed:
     """A fleet of processes, with all that it needs around it.
 
     :param gateways: number of gateways.
--- a/shaletiller/lab/gateway_benchmark.py
+++ b/shaletiller/lab/gateway_benchmark.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from shaletiller.lab.fleet_testbed import SETTINGS, Testbed
+from shaletiller.lab.fleet_testbed import SETTINGS, FleetTestbed
 from shaletiller.lab.gateway_processes import GatewayProcess
 from shaletiller.lab.load_generator import ClientRequest, LoadGenerator, Stream
 from shaletiller.lab.storage_nodes import now_ms
@@ -42,7 +42,7 @@
     memory_mb: float
 
 
-async def _measure_turn(rig: Testbed, seconds: float, number: int) -> Cost:
+async def _measure_turn(rig: FleetTestbed, seconds: float, number: int) -> Cost:
     gateway = rig.processes[rig.names[0]]
     idle_cpu_ms = await _idle_cpu_ms_per_second(gateway, seconds / 2)
     load = LoadGenerator({gateway.name: gateway.port}, rig.seed + number)
@@ -98,7 +98,7 @@
     """
     with tempfile.TemporaryDirectory() as temporary:
         rigs = [
-            Testbed(
+            FleetTestbed(
                 gateways,
                 seed,
                 seconds,
--- a/shaletiller/lab/replication_benchmark.py
+++ b/shaletiller/lab/replication_benchmark.py
@@ -11,7 +11,7 @@
 import tempfile
 from pathlib import Path
 
-from shaletiller.lab.fleet_testbed import SHARDS, Testbed
+from shaletiller.lab.fleet_testbed import SHARDS, FleetTestbed
 from shaletiller.lab.load_generator import ClientRequest, LoadGenerator
 from shaletiller.lab.replication_benchmark_report import (
     BenchmarkReport,
@@ -88,13 +88,13 @@
     return run
 
 
-async def _start(testbed: Testbed) -> LoadGenerator:
+async def _start(testbed: FleetTestbed) -> LoadGenerator:
     await testbed.start()
     await wait_until_synced(testbed)
     return LoadGenerator({name: process.port for name, process in testbed.processes.items()}, testbed.seed)
 
 
-def _draw(testbed: Testbed, load: LoadGenerator, gateways: list[str]) -> list[ClientRequest]:
+def _draw(testbed: FleetTestbed, load: LoadGenerator, gateways: list[str]) -> list[ClientRequest]:
     end_ms = testbed.seconds * 1000
     return load.draw([replicated_writes(name, UNITS_PER_S, end_ms) for name in gateways])
 
@@ -105,7 +105,7 @@
     return WriteRun(counts, Percentiles.of_writes(load.requests))
 
 
-async def _disk_usage(testbed: Testbed, load: LoadGenerator) -> DiskUsage:
+async def _disk_usage(testbed: FleetTestbed, load: LoadGenerator) -> DiskUsage:
     stats = [await process.stats() for process in testbed.processes.values()]
     commits = sum(each["edge.store.commits"] for each in stats)
     return DiskUsage(
@@ -118,7 +118,7 @@
     )
 
 
-async def _write_outcomes(testbed: Testbed, load: LoadGenerator, outcomes: int) -> None:
+async def _write_outcomes(testbed: FleetTestbed, load: LoadGenerator, outcomes: int) -> None:
     """Write so many outcomes, as fast as the fleet takes them."""
     draw, remaining = random.Random("hold"), outcomes
     stream = replicated_writes("", 1.0, 1.0)
@@ -135,7 +135,7 @@
     await asyncio.gather(*(client(name) for name in testbed.names for _ in range(SETUP_CLIENTS)))
 
 
-async def _lose_and_replace(testbed: Testbed, seconds: float) -> RepairTimes:
+async def _lose_and_replace(testbed: FleetTestbed, seconds: float) -> RepairTimes:
     process = testbed.processes[LOST_GATEWAY]
     await asyncio.sleep(seconds * LOSS_AT)
     lost_ms = now_ms() - testbed.began_ms
--- a/shaletiller/lab/replication_guarantees.py
+++ b/shaletiller/lab/replication_guarantees.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from shaletiller.lab.fleet_testbed import Testbed
+from shaletiller.lab.fleet_testbed import FleetTestbed
 from shaletiller.lab.guarantees import Guarantee, Outcome, count
 from shaletiller.lab.load_generator import ClientRequest, LoadGenerator
 from shaletiller.lab.scenario import Scenario
@@ -29,7 +29,7 @@
 
 
 def check_run(
-    testbed: Testbed, load: LoadGenerator, scenario: Scenario, stats: dict[str, dict[str, int]]
+    testbed: FleetTestbed, load: LoadGenerator, scenario: Scenario, stats: dict[str, dict[str, int]]
 ) -> Outcome:
     """Check a finished run.
 
@@ -109,7 +109,7 @@
     return check
 
 
-def _executions(testbed: Testbed) -> Counter[str]:
+def _executions(testbed: FleetTestbed) -> Counter[str]:
     """Count how often each write ran; a write without a key counts under its request id."""
     return Counter(
         attempt.key or attempt.request
@@ -119,7 +119,7 @@
     )
 
 
-def _is_unanswered(testbed: Testbed, request: ClientRequest) -> bool:
+def _is_unanswered(testbed: FleetTestbed, request: ClientRequest) -> bool:
     """Return whether a request got no answer although its gateway was up."""
     if request.status != NO_ANSWER:
         return False
@@ -127,7 +127,7 @@
     return not process.was_down(request.due_ms - DOWN_MARGIN_MS, request.ended_ms + DOWN_MARGIN_MS)
 
 
-def _disable_guarantees(testbed: Testbed) -> list[Guarantee]:
+def _disable_guarantees(testbed: FleetTestbed) -> list[Guarantee]:
     """For each DISABLE: the latest attempt at its node, from when its gateway could have known."""
     guarantees = []
     for name, since_ms, until_ms in testbed.bans:
@@ -144,11 +144,11 @@
     return guarantees
 
 
-def _heal_times_ms(testbed: Testbed) -> list[float]:
+def _heal_times_ms(testbed: FleetTestbed) -> list[float]:
     return [testbed.began_ms + at_ms for at_ms, what in testbed.course if what == "heal"]
 
 
-def _reachable_since_ms(testbed: Testbed, attempt: Attempt, since_ms: float) -> float:
+def _reachable_since_ms(testbed: FleetTestbed, attempt: Attempt, since_ms: float) -> float:
     """Return from when on the command could reach the gateway: after restarts and healed partitions."""
     process = testbed.processes[attempt.gateway]
     restarts_ms = [end_ms for _, end_ms in process.down if end_ms <= attempt.at_ms]
@@ -156,7 +156,7 @@
     return max([since_ms, *restarts_ms, *heals_ms])
 
 
-def _is_partitioned(testbed: Testbed, at_ms: float) -> bool:
+def _is_partitioned(testbed: FleetTestbed, at_ms: float) -> bool:
     """Return whether a partition was in force at a time."""
     cuts_ms = [testbed.began_ms + cut_ms for cut_ms, what in testbed.course if what.startswith("cut")]
     heals_ms = _heal_times_ms(testbed)
--- a/shaletiller/lab/replication_scenarios.py
+++ b/shaletiller/lab/replication_scenarios.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from shaletiller.lab.fleet_testbed import SHARDS, Testbed
+from shaletiller.lab.fleet_testbed import SHARDS, FleetTestbed
 from shaletiller.lab.gateway_processes import LabError
 from shaletiller.lab.guarantees import Outcome
 from shaletiller.lab.load_generator import ClientRequest, LoadGenerator, Stream
@@ -64,13 +64,13 @@
 
 def create_testbed(
     gateways: int, seconds: float, seed: int, directory: Path, level: str = "copied"
-) -> Testbed:
+) -> FleetTestbed:
     """Return a fleet of gateways with stores, not yet started.
 
     :param level: replication level of the class "once": "copied" or "local".
     """
     operator_file = OPERATOR.format(keep=RETENTION_S, level=level)
-    return Testbed(gateways, seed, seconds, directory, "tcp", settings(), operator_file)
+    return FleetTestbed(gateways, seed, seconds, directory, "tcp", settings(), operator_file)
 
 
 def replicated_writes(gateway: str, units_per_s: float, end_ms: float) -> Stream:
@@ -90,7 +90,7 @@
 
 
 def draw_requests(
-    testbed: Testbed, load: LoadGenerator, replicated_units_per_s: float
+    testbed: FleetTestbed, load: LoadGenerator, replicated_units_per_s: float
 ) -> list[ClientRequest]:
     """Draw reads of all nodes, other writes, and replicated writes with their retries, in order of time."""
     end_ms = testbed.seconds * 1000 - SETTLE_MS
@@ -109,7 +109,7 @@
 
 
 def _draw_retries(
-    testbed: Testbed, draw: random.Random, first: ClientRequest, end_ms: float
+    testbed: FleetTestbed, draw: random.Random, first: ClientRequest, end_ms: float
 ) -> list[ClientRequest]:
     times_ms = []
     while draw.random() < RETRY_CHANCE:
@@ -163,7 +163,7 @@
         return check_run(testbed, load, scenario, stats)
 
 
-async def wait_until_synced(testbed: Testbed, timeout_s: float = SYNC_TIMEOUT_S) -> None:
+async def wait_until_synced(testbed: FleetTestbed, timeout_s: float = SYNC_TIMEOUT_S) -> None:
     """Wait until every gateway votes on all its keys and sees all the others.
 
     :raises LabError: if that takes longer than the timeout.
--- a/shaletiller/policy/outcomes.py
+++ b/shaletiller/policy/outcomes.py
@@ -129,7 +129,7 @@
             self._hedge(attempt, timer.attempt)
 
     def _hedge(self, attempt: AttemptInFlight, number: int) -> None:
-        """Send a hedged request beside an attempt, which counts as executed; or cancel the attempt first.
+        """Send a hedged request beside an overdue attempt, which may have executed; or cancel that first.
 
         As in "The Tail at Scale" (J. Dean, L. Barroso, 2013).  Without hedging the outcome of the cancelled
         attempt brings its retry.
--- a/tests/replication/test_replication_process.py
+++ b/tests/replication/test_replication_process.py
@@ -11,7 +11,7 @@
 import pytest
 
 from shaletiller.lab import replication_scenarios, scenario
-from shaletiller.lab.fleet_testbed import Testbed
+from shaletiller.lab.fleet_testbed import FleetTestbed
 from shaletiller.lab.gateway_processes import LabError
 from shaletiller.lab.load_generator import ClientRequest, LoadGenerator, Stream
 from shaletiller.lab.storage_nodes import now_ms
@@ -45,7 +45,7 @@
         assert stats["edge.promises.repeated"] > 0
 
 
-def run_with_gateways(folder: Path, play: Callable[[Testbed, LoadGenerator], Awaitable[None]]) -> None:
+def run_with_gateways(folder: Path, play: Callable[[FleetTestbed, LoadGenerator], Awaitable[None]]) -> None:
     """Run a test on three gateways with stores."""
 
     async def run() -> None:
@@ -82,7 +82,7 @@
     it, neither from its file nor where its store is lost.
     """
 
-    async def play(rig: Testbed, load: LoadGenerator) -> None:
+    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
         g0, g1, g2 = rig.processes.values()
         assert await g0.call("DISABLE n1") == ["done n1"]
         assert await g0.call("DRAIN") == ["done"]
@@ -132,7 +132,7 @@
     rejected without reaching a node.  Once another is back, a retry must get the answer given before.
     """
 
-    async def play(rig: Testbed, load: LoadGenerator) -> None:
+    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
         g0, g1, g2 = rig.processes.values()
         served = await ask(load, "g0", "k1", "00000000000000a1")
         assert served.status == 200
@@ -159,7 +159,7 @@
     At its start the damage must be logged, the store moved aside, and its replicas recovered from the others.
     """
 
-    async def play(rig: Testbed, load: LoadGenerator) -> None:
+    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
         g0 = rig.processes["g0"]
         served = await ask(load, "g0", "k1", "00000000000000b1")
         await g0.kill()
@@ -184,7 +184,7 @@
     It must serve from its cached endpoint list: that of its store, then that of its replicas.
     """
 
-    async def play(rig: Testbed, load: LoadGenerator) -> None:
+    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
         g0, nothing = rig.processes["g0"], {"version": 0, "full": True, "servers": []}
         await until(lambda: cached(g0.folder))
         rig.discovery.silent = True
@@ -207,7 +207,7 @@
     It must serve without the store, log why, and take the store over once the first has stopped.
     """
 
-    async def play(rig: Testbed, load: LoadGenerator) -> None:
+    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
         g0 = rig.processes["g0"]
         port, admin, first = g0.port, g0.admin_port, g0._process
         other = type(g0)(
@@ -269,7 +269,7 @@
 def test_the_lab_does_not_wipe_a_process_that_runs(tmp_path: Path) -> None:
     """A scenario may wipe a gateway's directory only while the gateway is down."""
 
-    async def play(rig: Testbed, load: LoadGenerator) -> None:
+    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
         with pytest.raises(LabError, match="only while it is down"):
             rig.processes["g0"].wipe()
 
