--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -140,7 +140,7 @@
     ) -> None:
         """Apply an update of the endpoint list; nodes ejected by hand stay gone to routes and scheduler.
 
-        :param staleness_ms: how long ago the update may have been notified at the most.
+        :param staleness_ms: the longest time since discovery may have announced the update.
         """
         if kind is not UpdateKind.FAILED:
             full = kind is not UpdateKind.CHANGES
--- a/shaletiller/core/model.py
+++ b/shaletiller/core/model.py
@@ -116,7 +116,7 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the scheduler owes it nothing more."""
+        """Whether its result is decided, though the response may still wait for the replication."""
         return self.ended or self.replicating_outcome
 
     @property
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -39,8 +39,8 @@
 # How long new connections are still accepted after SIGTERM: the platform goes on opening them for 0.2 to 0.4
 # s.  Empirical beyond that: twice as long allows for a slow machine, and delays the end of the process.
 ACCEPT_AFTER_SIGTERM_S = 0.75
-# The platform's SIGKILL comes no sooner after SIGTERM than the longest deadline of a request, which counts as
-# so much at most, and so much more.
+# The platform's SIGKILL comes at the earliest min(longest deadline of a class, MAX_KILL_DEADLINE_MS) and
+# KILL_GRACE_MS after SIGTERM.
 MAX_KILL_DEADLINE_MS = 3000.0
 KILL_GRACE_MS = 700.0
 # The shutdown ends so long before SIGKILL.  Empirical: it leaves time for the last responses to arrive, at
@@ -218,9 +218,12 @@
         self.engine.eject(self.ejections.nodes, changed)
 
     def _load_stored_list(self, stored: ServerList) -> None:
-        """Serve by an endpoint list of the replication's store, where discovery has sent no newer one yet."""
+        """Serve by a stored endpoint list where discovery has sent no newer one yet.
+
+        :param stored: from this gateway's store or from the replicas.
+        """
         if self.discovery.load_stored_list(stored):
-            logger.info("endpoint list: version %d loaded from the replicated store", stored.version)
+            logger.info("endpoint list: version %d loaded from the store or its replicas", stored.version)
 
     async def _watch_ejections(self) -> None:
         while True:
--- a/shaletiller/net/client_connection.py
+++ b/shaletiller/net/client_connection.py
@@ -38,9 +38,9 @@
     IDLE = 3
     """Keep-alive: every request has its response."""
     LINGERING = 4
-    """An error response was sent; whatever the client still sends is discarded."""
+    """An error response was sent and the write side closed; input is read and discarded."""
     HALF_CLOSED = 5
-    """The write side is closed: nothing more is sent, and nothing more is read."""
+    """The write side is closed; input stays unread in the kernel."""
 
 
 class ConnectionEvent(IntEnum):
--- a/shaletiller/net/replication/commands.py
+++ b/shaletiller/net/replication/commands.py
@@ -20,7 +20,7 @@
 # Prefixes of register keys: a format of the stores.
 EJECTION_PREFIX, DRAIN_PREFIX = "ban:", "drain:"
 COMMAND_TIMEOUT_MS = 2_000.0  # an operator waits for the answer; a majority that is up answers within
-RECOVERY_TIMEOUT_MS = 30_000.0  # nobody waits for it at a start
+RECOVERY_TIMEOUT_MS = 30_000.0  # no request waits for it at a start; the endpoint list is restored after it
 
 
 class DrainSwitch(Protocol):
--- a/shaletiller/net/replication/lease_tables.py
+++ b/shaletiller/net/replication/lease_tables.py
@@ -1,6 +1,6 @@
 """Storage of lease tables on the replicas, so that a granter's successor need not wait out its leases.
 
-Implements `shaletiller.fleet.leases.Table`.
+Implements `shaletiller.fleet.leases.LeaseTable`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 from shaletiller.replication.records import LeaseTableRecord, decode_value, pack
 
 LEASE_PREFIX = "lease:"  # of register keys: a format of the stores
-WRITE_TIMEOUT_MS = 400.0  # within a lease's term; a table that is not committed by then backs no grant
+# Under half of the default lease; a table that is not committed by then backs no grant.
+WRITE_TIMEOUT_MS = 400.0
 RETENTION_MS = 600_000.0  # longer than any pledge
 
 
@@ -48,11 +49,11 @@
         self._number = 0
 
     def take_over(self, limit: str) -> None:
-        """Begin to write the table of a limit in this granter's name; its leases are notified."""
+        """Begin to write the table of a limit in this granter's name; `LeaseManager` gets the result."""
         self._spawn(self._take_over(limit))
 
     def write(self, limit: str, leased: Allowance) -> None:
-        """Begin to write all that this granter has leased of a limit; its leases are notified."""
+        """Begin to write all that this granter has leased of a limit; `LeaseManager` gets the result."""
         self._spawn(self._write(limit, *to_wire(leased)))
 
     async def _take_over(self, limit: str) -> None:
--- a/shaletiller/policy/scheduler.py
+++ b/shaletiller/policy/scheduler.py
@@ -30,6 +30,7 @@
 from shaletiller.state.runtime import PolicyState
 
 # After a failed watch the next one waits for this part of the site's poll interval: three more fit into it.
+# On the simulator's wire only: the gateway's watch is retried by `net/discovery.py`.
 WATCH_RETRY_PART = 0.25
 
 
@@ -79,6 +80,7 @@
         state = self.state
         state.now_ms, state.actions = now_ms, []
         if now_ms - state.next_round_ms > state.site.round_ms:
+            # This process stood still: what it handles now says nothing about the nodes.
             state.resumed_ms = now_ms
         if state.next_round_ms == math.inf:
             self._start()
--- a/shaletiller/policy/slow_start.py
+++ b/shaletiller/policy/slow_start.py
@@ -23,10 +23,10 @@
 ) -> bool:
     """Whether this gateway's part of a node's warm-up budget leaves so many units.
 
-    The budget (units in the overload window) rises linearly from what the node bears at its start to what it
-    bears warm.  What the node rejects counts as well.  What it serves of this gateway's requests pays back
-    half the overload multiple (see `OutcomeHandler`): all gateways together then send it the safe budget and
-    half the multiple of what it serves, while none of them alone would notice an overload in time.
+    The budget (units in the overload window) rises linearly from `warm_up_units` at the node's start to
+    `warm_up_units / initial_capacity_share`.  What the node rejects counts as well.  What it serves of this
+    gateway's requests pays back half the overload multiple (see `OutcomeHandler`): all gateways then send it
+    the budget and half the multiple of what it serves; none alone would notice an overload in time.
 
     :param quota: the part that the fleet assigns to this gateway; None without a fleet.
     """
