--- a/shaletiller/net/replication/commands.py
+++ b/shaletiller/net/replication/commands.py
@@ -20,7 +20,8 @@
 # Prefixes of register keys: a format of the stores.
 EJECTION_PREFIX, DRAIN_PREFIX = "ban:", "drain:"
 COMMAND_TIMEOUT_MS = 2_000.0  # an operator waits for the answer; a majority that is up answers within
-RECOVERY_TIMEOUT_MS = 30_000.0  # no request waits for it at a start; the endpoint list is restored after it
+# No request waits for it at a start; the endpoint list is restored after it.
+RECOVERY_TIMEOUT_MS = 30_000.0
 
 
 class DrainSwitch(Protocol):
