--- a/shaletiller/fleet/leases/granter.py
+++ b/shaletiller/fleet/leases/granter.py
@@ -328,8 +328,8 @@
     def on_table_written(self, limit: str, is_written: bool, now_ms: float) -> None:
         """Send the grants of the table written last if it was committed, and write those queued meanwhile.
 
-        :param is_written: `False` where the table was not committed, for want of a majority in time or because
-            another granter has taken over: nothing more is leased until the table is acquired again.
+        :param is_written: `False` where the table was not committed, for want of a majority in time or
+            because another granter has taken over: nothing more is leased until the table is acquired again.
         """
         pool = self._pools.get(limit)
         if pool is None:
