--- a/shaletiller/policy/__init__.py
+++ b/shaletiller/policy/__init__.py
@@ -1,8 +1,9 @@
-"""The decisions of shaletiller: which node, admit or shed, queue, retry, hedge, give up.
+"""Request scheduling: node selection, admission control, queueing, retries, hedging and load shedding.
 
-Cost-based admission control at a gateway after Chen and Verma.  No input or output happens here: the
-scheduler takes events (`shaletiller.messages.events`) and returns actions (`shaletiller.messages.actions`);
-what it knows is in `shaletiller.state`.  What is kept of the paper, what is changed and why: docs/design.md.
+Implements cost-based admission control at a gateway, after Chen and Verma.  This package does no input or
+output: the scheduler takes events (`shaletiller.messages.events`) and returns actions
+(`shaletiller.messages.actions`); its state is in `shaletiller.state`.  docs/design.md describes which parts
+of the paper are implemented, which are changed, and why.
 """
 
 from shaletiller.policy.scheduler import Scheduler
--- a/shaletiller/policy/admission.py
+++ b/shaletiller/policy/admission.py
@@ -18,13 +18,14 @@
 from shaletiller.state.runtime import PolicyState
 from shaletiller.state.tiers import QueueKey, Tier
 
-# A request that no node has received by this part of its time is given up: its client has the rest to retry.
+# Ratio of a request's time to its deadline after which it is given up if no node has received it.  The client
+# has the remaining time to retry.
 UNREACHED_PART = 0.5
 
 
 @dataclass(slots=True, eq=False)
 class Admission:
-    """Takes requests in; sheds load where a request would wait past its latency objective."""
+    """Admits requests, and sheds those that would miss their latency objective while queued."""
 
     state: PolicyState
     endpoints: EndpointTable
@@ -37,7 +38,7 @@
     completion: RequestCompletion
 
     def accept(self, request: Request) -> None:
-        """Take in a client's request."""
+        """Handle a new request from a client."""
         self.retries.record_request()
         state, spec = self.state, self.state.site.class_specs[request.request_class]
         volume = state.volumes.for_request(request, state.now_ms, state.started_ms)
@@ -52,7 +53,7 @@
             self.admit(pending)
 
     def admit(self, pending: PendingRequest) -> None:
-        """Send a request while there is capacity, queue it while it can be in time, else reject it now."""
+        """Send a request if there is capacity, queue it if it can still be in time, else reject it."""
         upstream = pending.upstream
         tier = self.limits.assign_tier(pending, upstream)
         queue = pending.queue = upstream.queues[QueueKey(pending.spec.name, tier)]
@@ -67,7 +68,10 @@
             self.completion.give_up(pending, GiveUpReason.NO_CAPACITY)
 
     def may_queue(self, pending: PendingRequest, upstream: Upstream) -> bool:
-        """Whether a request may wait: its class is owed work, or it has capacity and can be in time."""
+        """Return whether a request may be queued.
+
+        It may if its class is owed work, or if capacity is expected and it can meet its latency objective.
+        """
         if pending.deadline_ms <= self.state.next_round_ms + self.state.site.settings.tick_ms:
             return False
         if self.fairness.is_owed_work(pending):
@@ -75,10 +79,11 @@
         return self._can_be_in_time(pending, upstream) and self._has_capacity(pending, upstream)
 
     def _can_be_in_time(self, pending: PendingRequest, upstream: Upstream) -> bool:
-        """Whether a request that waits here is expected to meet its latency objective.
+        """Return whether a queued request is expected to meet its latency objective.
 
-        A node that is too slow for a request gets it as a trial only: the next one is half a latency away on
-        average, and excess work would wait for it in vain.
+        A node that is too slow for a request receives it only as a trial request.  On average the next trial
+        is half a node latency away, which is added to the wait.  Excess work is not queued for a trial, as it
+        is rarely sent as one.
         """
         too_slow = self.capacity.is_too_slow(pending, upstream)
         if too_slow and pending.queue.spec.key.tier is Tier.EXCESS:
@@ -89,7 +94,11 @@
 
     @staticmethod
     def _has_capacity(pending: PendingRequest, upstream: Upstream) -> bool:
-        """Whether the rounds within its latency objective have a slot of its queue or units of the node."""
+        """Return whether capacity is expected within the request's latency objective.
+
+        That is a slot of its queue, or units of the node's concurrency limit, in one of the rounds until
+        then.
+        """
         queue, rounds = pending.queue, pending.queue.spec.rounds
         if len(queue.requests) < rounds * queue.slots:
             return True
@@ -98,9 +107,9 @@
 
     @staticmethod
     def _queueing_ms(pending: PendingRequest, upstream: Upstream) -> float:
-        """Return how long the queued work of equal or higher priority takes.
+        """Return the expected time in milliseconds to serve queued work of equal or higher priority.
 
-        By Little's law (J. D. C. Little, 1961) a node serves what is in flight in one latency.
+        By Little's law (J. D. C. Little, 1961) a node serves the units in flight within one latency.
         """
         in_flight, priority_weight = upstream.in_flight_units, pending.queue.spec.priority_weight
         if in_flight <= 0:
--- a/shaletiller/policy/capacity_check.py
+++ b/shaletiller/policy/capacity_check.py
@@ -1,4 +1,4 @@
-"""The capacity check: whether a node can take a request now."""
+"""The capacity check: whether a request can be sent to a node now."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from shaletiller.state.records import PendingRequest, Upstream
 from shaletiller.state.runtime import PolicyState
 
-# Trial requests to a slow node in flight on average, from all gateways that use it.  Empirical: more notice
-# sooner that it has recovered, fewer keep its queue short meanwhile.
+# Average number of trial requests in flight at a slow node, from all gateways that use it.  A larger number
+# detects its recovery sooner; a smaller number keeps its queue shorter until then.
 TRIALS_IN_FLIGHT = 8
-# A gateway uses a node that responded to it within this time.  Empirical: longer counts gateways whose
-# requests have moved on, shorter misses those with little traffic.
+# A gateway counts as using a node if the node has responded to it within this time.  A longer time includes
+# gateways that no longer send to the node; a shorter time misses gateways with little traffic.
 IN_USE_MS = 15_000.0
 
 
 class CapacityCheck:
-    """Judges by placement, slow start, concurrency limit and latency threshold."""
+    """Checks endpoint state, slow start, concurrency limit and latency threshold."""
 
     def __init__(
         self,
@@ -28,21 +28,26 @@
         fairness: ClassFairness,
         threshold: LatencyThreshold,
     ) -> None:
-        """Start as if all gateways used every node."""
+        """Create a capacity check that assumes that all gateways use every node."""
         self._state, self._endpoints, self._fairness, self._threshold = state, endpoints, fairness, threshold
         self._gateways_per_node = float(state.site.settings.gateways)
 
     def update(self) -> None:
-        """Estimate how many gateways use a node: as many of all as this one uses of the shards."""
+        """Estimate how many gateways use a node.
+
+        Assumes that the fraction of the gateways that use a node equals the fraction of the shards that this
+        gateway uses.
+        """
         settings, now_ms = self._state.site.settings, self._state.now_ms
         in_use = sum(now_ms - each.last_response_ms < IN_USE_MS for each in self._endpoints.upstreams())
         part = min(1.0, in_use / (settings.shards or in_use or 1))
         self._gateways_per_node = settings.gateways * part
 
     def allows(self, pending: PendingRequest, upstream: Upstream, ignore_latency: bool = False) -> bool:
-        """Whether a request may be sent to the upstream's node now.
+        """Return whether a request may be sent to the upstream's node now.
 
-        :param ignore_latency: for the same object as one just sent, or a hedge: a slow node will do, too.
+        :param ignore_latency: skip the latency threshold, for a hedged request and for a request for the same
+            object as one that is sent at the same time.
         """
         if not self._endpoints.takes_work(upstream):
             return False
@@ -57,13 +62,14 @@
         return self._slow_start_allows(upstream, pending.units)
 
     def is_too_slow(self, pending: PendingRequest, upstream: Upstream) -> bool:
-        """Whether a node's latency is above the threshold for a request."""
+        """Return whether a node's latency is above the threshold for a request."""
         return upstream.latency_ms > self._threshold.for_request(pending)
 
     def _is_trial(self, pending: PendingRequest, upstream: Upstream) -> bool:
-        """Whether an idle node that is too slow is due for a trial, which shows if it has recovered.
+        """Return whether a request may be sent to a slow idle node as a trial, to detect its recovery.
 
-        Reserved requests try it at once, others after a pause: many gateways would else keep it slow.
+        Requests of the reserved tier are sent at once.  Others wait for a pause that grows with the number of
+        gateways that use the node, as trials from many gateways would keep it slow.
         """
         others = max(0.0, self._gateways_per_node / TRIALS_IN_FLIGHT - 1)
         pause_ms = (1 - pending.queue.spec.tier_weight) * upstream.latency_ms * others
--- a/shaletiller/policy/class_fairness.py
+++ b/shaletiller/policy/class_fairness.py
@@ -1,7 +1,8 @@
-"""Class fairness: what each class is sure of, however low its priority and however slow its work.
+"""Class fairness: a guaranteed share of the work for each class, regardless of its priority and latency.
 
-Deficit round robin (M. Shreedhar, G. Varghese, 1995) over the classes: each first attempt earns every class
-its share of what the attempt took, and a class that is owed a whole request goes ahead of the limits.
+Uses deficit round robin (M. Shreedhar, G. Varghese, 1995) over the classes: each first attempt credits every
+class with its share of the attempt's cost, and a class whose deficit covers a whole request bypasses the
+concurrency limit, the latency threshold and the headroom of rate limits.
 """
 
 from __future__ import annotations
@@ -10,46 +11,47 @@
 from shaletiller.state.runtime import PolicyState
 from shaletiller.state.shares import DecayingShares, DeficitCounters
 
-# The part of its share of weighted demand that a class gets for certain.  Empirical: more protects classes of
-# low priority, less leaves more capacity to go by priority.
+# Fraction of its share of weighted demand that is guaranteed to a class.  A larger fraction protects classes
+# of low priority; a smaller fraction leaves more capacity to be allocated by priority.
 GUARANTEED = 0.7
-# The bound of a deficit, in mean requests.  Empirical: more repays a class for a longer time without service,
-# less keeps the burst that repays it short.
+# Bound of a deficit counter, in requests of mean units.  A larger bound compensates a class for a longer time
+# without service; a smaller bound limits the burst that compensates it.
 CREDIT_REQUESTS = 16
-# Demand is the mix of about so many requests.  Empirical: fewer follow a change sooner, more are steadier.
+# Approximate number of recent requests from which the demand of the classes is estimated.  A smaller number
+# follows a change sooner; a larger number gives a more stable estimate.
 DEMAND_REQUESTS = 100
 
 
 class ClassFairness:
-    """Deficit counters for each class: of work at the nodes, and of units that rate limits let through."""
+    """Deficit counters for each class, of work at the nodes and of units admitted by rate limits."""
 
     def __init__(self, state: PolicyState) -> None:
-        """Start with no demand and no deficits."""
+        """Create the counters without demand or deficits."""
         self._state = state
         self._requests = DecayingShares(DEMAND_REQUESTS)  # by class
         self._weighted_units = DecayingShares(DEMAND_REQUESTS)  # units times priority weight, by class
         self._work, self._units = DeficitCounters(), DeficitCounters()
 
     def record_demand(self, pending: PendingRequest) -> None:
-        """Count a request for which the rate limit of its volume has tokens left."""
+        """Count a request towards the demand of its class; its volume's rate limit has tokens left for it."""
         self._requests.count(pending.spec.name)
         self._weighted_units.count(pending.spec.name, pending.units * pending.spec.priority_weight)
 
     def record_first_attempt(self, pending: PendingRequest) -> None:
-        """Charge a class for a request that is sent for the first time."""
+        """Charge a class for the first attempt of a request, and credit all classes with their shares."""
         most = CREDIT_REQUESTS * self._state.site.settings.mean_units
         earns = [(name, GUARANTEED * share) for name, share in self._weighted_units.shares()]
         self._work.spend(pending.spec.name, self._state.latency.work_units(pending), earns, most)
         self._units.spend(pending.spec.name, pending.units, earns, most)
 
     def demand_share(self, request_class: str) -> float:
-        """Return a class's share of the requests or of the weighted units, whichever is larger; 0 to 1."""
+        """Return the larger of a class's share of requests and its share of weighted units, from 0 to 1."""
         return max(self._requests.share(request_class), self._weighted_units.share(request_class))
 
     def is_owed_work(self, pending: PendingRequest) -> bool:
-        """Whether the nodes have done less work for its class than guaranteed, by this request or more."""
+        """Return whether the deficit of work at the nodes of the request's class covers this request."""
         return self._work.deficit(pending.spec.name) >= self._state.latency.work_units(pending)
 
     def is_owed_units(self, pending: PendingRequest) -> bool:
-        """Whether rate limits have let fewer units of its class through, by this request or more."""
+        """Return whether the deficit of units admitted by rate limits covers this request."""
         return self._units.deficit(pending.spec.name) >= pending.units
--- a/shaletiller/policy/completion.py
+++ b/shaletiller/policy/completion.py
@@ -1,4 +1,4 @@
-"""The end of a request: its final answer by the scheduler, and what is cleaned up behind it."""
+"""Completion of requests: the scheduler's final answer, and the removal of their state."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(slots=True, eq=False)
 class RequestCompletion:
-    """Ends requests: each pending request is finished exactly once."""
+    """Completes requests; each pending request is finished exactly once."""
 
     state: PolicyState
     ordering: KeyOrdering
 
     def give_up(self, pending: PendingRequest, reason: GiveUpReason) -> None:
-        """Answer a request that will not be served: rejected where a retry does no harm, else failed."""
+        """Answer a request that will not be served: reject it if a client may safely retry, else fail it."""
         if client_may_retry(pending):
             self.state.actions.append(Reject(pending.id, self._retry_after_ms(), reason))
         else:
@@ -27,10 +27,11 @@
         self.finish(pending)
 
     def _retry_after_ms(self) -> float:
-        """Return the time to the next round, which divides the node's capacity anew.
+        """Return the Retry-After time in milliseconds: the time to the next round, plus one timer tick.
 
-        Sooner, a retry is only rejected again.  A tick more, as the round's timer may be late by one: half of
-        the clients would come just before it.
+        The next round reallocates the node's capacity; an earlier retry would be rejected again.  The round's
+        timer may expire one tick late; without the additional tick, half of the clients would retry just
+        before it.
         """
         settings = self.state.site.settings
         if not settings.retry_after_allowed:
@@ -39,7 +40,7 @@
         return min(wait_ms, settings.max_retry_after_ms or wait_ms)
 
     def finish(self, pending: PendingRequest) -> None:
-        """Forget a request that needs no answer any more; attempts in flight still report their outcomes."""
+        """Remove a request that needs no further answer; attempts in flight still report their outcomes."""
         if self.state.pending.pop(pending.id, None) is None:
             return
         pending.return_tokens()
@@ -49,12 +50,15 @@
         self.ordering.remove(pending)
 
     def client_disconnected(self, request_id: str) -> None:
-        """Forget the request of a client that disconnected."""
+        """Remove the request of a client that disconnected."""
         if pending := self.state.pending.get(request_id):
             self.finish(pending)
 
     def answer_expiring(self) -> None:
-        """Give up what would pass its deadline before the next round's timer expires, a tick late at most."""
+        """Give up requests that would exceed their deadline before the next round.
+
+        The round's timer may expire up to one tick late.
+        """
         last_ms = self.state.next_round_ms + self.state.site.settings.tick_ms
         for pending in list(self.state.pending.values()):
             waits = not pending.attempts_in_flight and not pending.response_started
--- a/shaletiller/policy/concurrency_limit.py
+++ b/shaletiller/policy/concurrency_limit.py
@@ -1,7 +1,8 @@
 """The adaptive concurrency limit of a node, and its division into slots for each queue.
 
-Additive increase, multiplicative decrease, as TCP congestion avoidance (V. Jacobson, 1988): once a round the
-limit grows by one request after responses in time, and shrinks by a part after late ones.
+Uses additive increase and multiplicative decrease, as in TCP congestion avoidance (V. Jacobson, 1988): at the
+end of a round the limit grows by one request if responses were in time, and shrinks proportionally if they
+were late.
 """
 
 from __future__ import annotations
@@ -10,28 +11,30 @@
 from shaletiller.state.records import Upstream
 from shaletiller.state.site import ROUND_PART, SiteSettings
 
-# The first limit of a node, in mean requests for each class, so that each class can be sent and learned from.
+# Initial concurrency limit of a node, in requests of mean units for each class, and initial slots of a queue.
+# Requests of every class can then be sent from the start, which provides latency estimates for all classes.
 INITIAL_REQUESTS = 4
-# A node is taken to bear this many mean requests at once even if it has shown less: below, a node with little
-# traffic could not show more.  Empirical: more opens a node sooner, less keeps a surge from overloading it.
+# Lower bound, in requests of mean units, of the concurrency that a node is assumed to support.  With a lower
+# limit a node with little traffic could not demonstrate a higher capacity.  A larger bound raises the limit
+# of a node sooner; a smaller bound protects it better from a surge.
 UNPROVEN_REQUESTS = 6
-# The largest limit, in mean requests.  Empirical: bounds the cost of splitting slots against the use of
-# larger nodes.
+# Maximum concurrency limit, in requests of mean units.  A larger maximum makes use of larger nodes; a smaller
+# one bounds the computation that divides the limit into slots.
 MAX_REQUESTS = 32
-# Parts by which a round lowers the limit, both empirical: more sheds load from an overloaded node sooner,
-# less keeps a node that paused once from losing its limit.
-LATE_DECREASE = 0.1  # towards what it served, after late responses
-UNPROVEN_DECREASE = 0.25  # towards what it has shown to serve, after any
+# Ratios by which a round lowers the limit.  Larger ratios shed load from an overloaded node sooner; smaller
+# ratios preserve the limit of a node that paused once.
+LATE_DECREASE = 0.1  # of the excess over the units served in the round, if most responses were late
+UNPROVEN_DECREASE = 0.25  # of the excess over the demonstrated capacity, in every round
 
 
 def adjust_limit(upstream: Upstream, mean_units: float) -> None:
-    """End a round: raise the limit after responses in time, lower it after late ones."""
+    """Adjust the limit at the end of a round: raise it after responses in time, lower it after late ones."""
     limit = upstream.concurrency_limit
     if upstream.on_time_balance < 0:
         limit -= LATE_DECREASE * max(0.0, limit - upstream.served_units)
     elif upstream.on_time_balance > 0 and upstream.in_flight_units + upstream.served_units >= limit / 2:
-        limit += mean_units  # only while the limit is used: idle rounds prove nothing
-    # What it serves within the tightest latency objective, as a round is a part of that.
+        limit += mean_units  # only if the limit is used: idle rounds do not demonstrate capacity
+    # Units that the node serves within the tightest latency objective; a round lasts ROUND_PART of it.
     proven = max(UNPROVEN_REQUESTS * mean_units, upstream.served_units / ROUND_PART)
     limit -= UNPROVEN_DECREASE * max(0.0, limit - proven)
     upstream.concurrency_limit = min(max(limit, mean_units), MAX_REQUESTS * mean_units)
@@ -39,7 +42,7 @@
 
 
 def allocate_slots(upstream: Upstream, site: SiteSettings, now_ms: float) -> None:
-    """Divide the limit into slots for each queue by payoff, under the latest arrival rates."""
+    """Divide the limit into slots for each queue by payoff, using the current arrival rates."""
     queues = upstream.queues.values()
     demands = [
         Demand(
--- a/shaletiller/policy/dispatch.py
+++ b/shaletiller/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: queued requests are sent in batches, as slots and capacity become free."""
+"""Dispatch: sends queued requests in batches as slots and capacity become available."""
 
 from __future__ import annotations
 
@@ -34,7 +34,10 @@
     random: Random
 
     def release(self, upstream: Upstream) -> None:
-        """Send what an upstream can take: each queue its free slots by priority, then what is left over."""
+        """Send queued requests of an upstream.
+
+        Queues fill their free slots in order of priority; remaining capacity is then distributed among them.
+        """
         batch: list[PendingRequest] = []
         self._give_up_late(upstream)
         for queue in upstream.by_priority:
@@ -46,7 +49,7 @@
         self._send(batch)
 
     def send_now(self, pending: PendingRequest) -> None:
-        """Send one request outside of a round; the caller has checked the capacity."""
+        """Send one request without waiting for a round; the caller has checked the capacity."""
         batch: list[PendingRequest] = []
         self._take_slot(pending, batch)
         self._send(batch)
@@ -54,7 +57,7 @@
     def _give_up_late(self, upstream: Upstream) -> None:
         """Give up queued requests that would miss their latency objective.
 
-        Sent, they would take slots from requests that can still meet theirs.
+        If they were sent, they would take slots from requests that can still meet theirs.
         """
         for queue in upstream.by_priority:
             while queue.requests and self._would_be_late(queue.requests[0]):
@@ -65,14 +68,14 @@
         return self.state.now_ms + expected_ms > pending.latency_objective_due_ms
 
     def _give_up_unreached(self, upstream: Upstream) -> None:
-        """Give up what no node has received while its client still has time to retry elsewhere."""
+        """Give up requests that no node has received, while their clients have time to retry elsewhere."""
         next_round_ms = self.state.next_round_ms
         for queue in upstream.by_priority:
             for pending in [each for each in queue.requests if each.unreached_deadline_ms < next_round_ms]:
                 self.completion.give_up(pending, GiveUpReason.UNREACHED)
 
     def _share_leftover(self, upstream: Upstream, batch: list[PendingRequest]) -> None:
-        """Give capacity that is left over to queues at random, each in proportion to its slots."""
+        """Distribute remaining capacity to queues at random, weighted by their slots."""
         blocked: set[RequestQueue] = set()
         while True:
             queues = [each for each in upstream.by_priority if each.requests and each not in blocked]
@@ -84,7 +87,10 @@
                 blocked.add(queue)
 
     def _take_head(self, upstream: Upstream, queue: RequestQueue, batch: list[PendingRequest]) -> bool:
-        """Move the head of a queue, and what waits there for the same object, into the batch."""
+        """Move the head of a queue, and the requests queued there for the same object, into the batch.
+
+        :returns: whether there was capacity for the head.
+        """
         head = queue.requests[0]
         if not self.capacity.allows(head, upstream):
             return False
@@ -97,7 +103,7 @@
         return True
 
     def _take_slot(self, pending: PendingRequest, batch: list[PendingRequest]) -> None:
-        """Put a request into the batch with its slot, or give up a retry that is not allowed."""
+        """Add a request to the batch and take a slot, or give it up if it is a retry that is not allowed."""
         upstream = pending.upstream
         pending.queued = False
         if pending.attempts_started:
@@ -115,7 +121,7 @@
         batch.append(pending)
 
     def _send(self, batch: list[PendingRequest]) -> None:
-        """Start an attempt of each request, those of one object beside each other."""
+        """Start an attempt of each request in the batch, grouped by object key."""
         for pending in sorted(batch, key=lambda each: each.request.object_key):
             self._start_attempt(pending)
 
@@ -129,5 +135,5 @@
         window_ms = self.retries.start_window_ms(pending)
         state.actions.append(SendAttempt(pending.id, node, start_within_ms=window_ms))
         timeout_ms = overdue_after_ms(pending, state.latency)
-        if state.now_ms + timeout_ms < pending.deadline_ms:  # by its deadline the attempt has ended anyway
+        if state.now_ms + timeout_ms < pending.deadline_ms:  # an attempt ends at its deadline in any case
             state.actions.append(StartTimer(timeout_ms, AttemptOverdueTimer(pending.id, number)))
--- a/shaletiller/policy/endpoint_table.py
+++ b/shaletiller/policy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint table: which node serves a shard, and which nodes take no work now."""
+"""The endpoint table: which node serves a shard, and which nodes accept requests."""
 
 from __future__ import annotations
 
@@ -12,34 +12,37 @@
 from shaletiller.state.records import Upstream
 from shaletiller.state.runtime import PolicyState
 
-# A drain may be noticed late by as many rounds: work for the node stops so long before its grace time is up.
+# A drain may be noticed this many rounds late.  Sending to a draining node stops that long before the end of
+# its grace period.
 DRAIN_MARGIN_ROUNDS = 2
 
 
 class EndpointTable:
-    """The endpoint list as this gateway knows it, and the upstream of each shard.
+    """The endpoint list as known to this gateway, and the upstream of each shard.
 
-    A shard is held by one node.  While that is draining or gone, work waits for the next one to be ready.
+    Each shard is held by one node.  While that node is draining or gone, requests wait for its successor.
     """
 
     def __init__(self, state: PolicyState) -> None:
-        """Start with an empty list."""
+        """Create an empty table."""
         self._state = state
-        self._endpoints: dict[str, EndpointEntry] = {}
+        self._endpoints: dict[str, EndpointEntry] = {}  # by node
         self._upstreams: dict[int, Upstream] = {}  # by shard
-        self._draining_until_ms: dict[str, float] = {}  # by node: until when it may still get work
-        self._down_until_ms: dict[str, float] = {}  # by node, as other gateways report
+        # The time until which a draining node may be sent requests, by node.
+        self._draining_until_ms: dict[str, float] = {}
+        # The time until which a node is considered down because other gateways reported it, by node.
+        self._down_until_ms: dict[str, float] = {}
 
     def zone_of(self, node: str) -> str:
-        """Return the zone of a node of the list."""
+        """Return the zone of a node in the endpoint list."""
         return self._endpoints[node].zone
 
     def upstreams(self) -> ValuesView[Upstream]:
-        """Return the upstreams of all shards that had requests."""
+        """Return the upstreams of all shards that have received requests."""
         return self._upstreams.values()
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Take an update of the endpoint list; `place` each upstream afterwards."""
+        """Apply an update of the endpoint list; the caller must call `place` for each upstream afterwards."""
         before = self._endpoints
         updated = {entry.node: entry for entry in event.entries}
         listed = before | updated if event.kind is UpdateKind.CHANGES else updated
@@ -47,13 +50,14 @@
         self._learn_draining(before, self._state.now_ms - event.staleness_ms)
 
     def _learn_draining(self, before: Mapping[str, EndpointEntry], notified_ms: float) -> None:
-        """Set until when draining nodes get work.
+        """Set the time until which each draining node is sent requests.
 
-        A draining node serves requests for its grace time, and no other holds its data.  It gets work until
-        shortly before that time is up, as a send may wait for its connection, or until it rejects some.
-        Only where this gateway saw it ready: else it may have been draining long before this process started.
+        A draining node serves requests during its grace period, and no other node holds its data.  It is sent
+        requests until shortly before the end of that period, as a request may have to wait for a connection,
+        or until it rejects one.  A node that this gateway has not seen ready is sent none: it may have
+        started draining long before this process started.
 
-        :param notified_ms: when the drain was announced at the earliest.
+        :param notified_ms: the earliest time at which the drain may have been announced.
         """
         settings, site = self._state.site.settings, self._state.site
         margin_ms = settings.connect_timeout_ms + DRAIN_MARGIN_ROUNDS * site.round_ms
@@ -66,29 +70,32 @@
             del self._draining_until_ms[node]
 
     def record_rejection(self, node: str) -> None:
-        """Send no more work to a draining node that rejected an attempt or refused its connection."""
+        """Stop sending to a draining node that rejected an attempt or refused a connection."""
         if node in self._draining_until_ms:
             self._draining_until_ms[node] = self._state.now_ms
 
     def report_down(self, event: EndpointReportedDown) -> None:
-        """Send nothing to a node that others report down, until it responds to this gateway."""
+        """Stop sending to a node that other gateways report down, until it responds to this gateway."""
         self._down_until_ms[event.node] = event.down_until_ms
         known, now_ms = self._down_until_ms.items(), self._state.now_ms
         self._down_until_ms = {node: until_ms for node, until_ms in known if until_ms > now_ms}
 
     def record_response(self, node: str) -> None:
-        """Take a node that responded here for up, whatever others report."""
+        """Consider a node up that responded to this gateway, overriding the reports of other gateways."""
         self._down_until_ms.pop(node, None)
 
     def takes_work(self, upstream: Upstream) -> bool:
-        """Whether a shard has a node that is neither done draining nor reported down."""
+        """Return whether an upstream has a node that may be sent requests.
+
+        The node must not be reported down, nor be at the end of its draining period.
+        """
         node, now_ms = upstream.node, self._state.now_ms
         if node is None or now_ms >= self._draining_until_ms.get(node, math.inf):
             return False
         return now_ms >= self._down_until_ms.get(node, 0.0)
 
     def place(self, upstream: Upstream) -> None:
-        """Find the node of a shard: the ready one that holds it, else a draining one that may get work."""
+        """Assign a node to a shard: its ready node, else a draining one that accepts requests."""
         holders = [entry for entry in self._endpoints.values() if entry.shard == upstream.shard]
         candidates = [entry for entry in holders if entry.state is EndpointState.READY] or [
             entry for entry in holders if self._draining_until_ms.get(entry.node, 0.0) > self._state.now_ms
@@ -104,7 +111,7 @@
             upstream.warming_up_since_ms = started_ms
 
     def upstream_for(self, shard: int) -> Upstream:
-        """Return the upstream of a shard; a new object (shard below 0) may go to any."""
+        """Return the upstream of a shard; for a new object (shard below 0), the least loaded upstream."""
         if shard < 0:
             return self._least_loaded()
         upstream = self._upstreams.get(shard)
@@ -117,9 +124,10 @@
         return upstream
 
     def _least_loaded(self) -> Upstream:
-        """Return the upstream with the most free capacity; among equals the lowest shard.
+        """Return the upstream with the most free capacity; ties go to the lowest shard.
 
-        What a node failed of late counts as load: one that fails at once would seem free all the time.
+        Recently failed units count as load.  Otherwise a node that fails requests immediately would always
+        seem to be free, and would attract all new objects.
         """
         ready = {entry.shard for entry in self._endpoints.values() if entry.state is EndpointState.READY}
         shards = sorted(ready) or sorted(self._upstreams) or [0]
@@ -131,6 +139,6 @@
         return upstream.concurrency_limit - upstream.in_flight_units - failed
 
     def rearrange_queues(self) -> None:
-        """Follow the classes of new settings."""
+        """Rebuild the queues of all upstreams for the classes of new settings."""
         for upstream in self._upstreams.values():
             upstream.arrange_queues(self._state.site.queue_specs, INITIAL_REQUESTS)
--- a/shaletiller/policy/key_ordering.py
+++ b/shaletiller/policy/key_ordering.py
@@ -1,4 +1,4 @@
-"""Per-key ordering: ordered requests for one object are served one at a time, in order of arrival."""
+"""Per-key ordering: ordered requests for one object are served one at a time in order of arrival."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class KeyOrdering:
-    """A queue for each object key.
+    """Queues ordered requests by object key.
 
-    After an attempt that may still run at its node (it timed out, was reset or cancelled) the key has a quiet
-    period: sent at once, the next request could overtake it there.
+    After an attempt that may still be running at its node (it timed out, was reset or was cancelled), the key
+    has a quiet period in which no request is sent.  A request sent at once could overtake that attempt.
 
-    :param admit: admits the request at the head of a key's queue.
+    :param admit: called with the request at the head of a key's queue to admit it.
     """
 
     def __init__(self, state: PolicyState, admit: Callable[[PendingRequest], None]) -> None:
-        """Start with no key taken."""
+        """Create the ordering without queued requests."""
         self._state, self._admit = state, admit
         self._queues = state.key_queues
 
     def enqueue(self, pending: PendingRequest) -> None:
-        """Queue an ordered request; it is admitted once all before it have their final answers."""
+        """Queue an ordered request; it is admitted after all earlier requests have their final answers."""
         object_key = pending.request.object_key
         queue = self._queues.setdefault(object_key, KeyQueue())
         queue.requests.append(pending)
@@ -34,7 +34,7 @@
             self.advance(object_key)
 
     def advance(self, object_key: str) -> None:
-        """Admit the head of a key's queue where the key is free; drop a queue that is done."""
+        """Admit the head of a key's queue if the key is free; remove the queue if it is no longer needed."""
         queue = self._queues.get(object_key)
         if queue is None or queue.in_flight:
             return
@@ -51,12 +51,12 @@
             self._admit(head)
 
     def record_sent(self, pending: PendingRequest) -> None:
-        """Take the key of a started attempt until its outcome."""
+        """Block the key of a started attempt until its outcome is known."""
         if pending.spec.ordered and pending.request.object_key:
             self._queues[pending.request.object_key].in_flight += 1
 
     def record_outcome(self, pending: PendingRequest, outcome: Outcome) -> None:
-        """Free the key; where the request has its final answer already, the next may follow."""
+        """Unblock the key of an attempt; admit the next request if this one has its final answer."""
         queue = self._queue_of(pending)
         if queue is None:
             return
@@ -68,7 +68,7 @@
             self.advance(pending.request.object_key)
 
     def remove(self, pending: PendingRequest) -> None:
-        """Take a request that has its final answer out of its key's queue."""
+        """Remove a request that has its final answer from its key's queue."""
         queue = self._queue_of(pending)
         if queue is not None and pending in queue.requests:
             queue.requests.remove(pending)
--- a/shaletiller/policy/latency_threshold.py
+++ b/shaletiller/policy/latency_threshold.py
@@ -1,4 +1,4 @@
-"""When a response is late, and when an attempt is overdue."""
+"""Latency threshold of responses, and the attempt timeout after which an attempt is overdue."""
 
 from __future__ import annotations
 
@@ -7,35 +7,39 @@
 from shaletiller.state.records import PendingRequest
 from shaletiller.state.runtime import PolicyState
 
-# A node is too slow from this part of the tightest latency objective, for requests of the lowest and of the
-# highest value.  Empirical: a wider range yields more to high value, a narrower one uses nodes more.
+# Ratios of the latency threshold to the tightest latency objective, for requests of the lowest and of the
+# highest value.  A wider range favors requests of high value; a narrower range uses more of a node's
+# capacity.
 LOWEST_VALUE_PART, HIGHEST_VALUE_PART = 0.1, 0.4
-# A class with less of the demand does not lower the threshold for all others.  Empirical: it trades the
-# latency of rare classes against the capacity that is used for the rest.
+# Minimum share of the demand with which a class affects the threshold.  A smaller share improves the latency
+# of rare classes; a larger share lets the other classes use more capacity.
 MIN_DEMAND_SHARE = 0.05
-# An attempt is overdue after so many times the expected latency of its class.  Empirical: fewer hedge sooner,
-# more hedge less work that is only slow.
+# The attempt timeout is the larger of this multiple of the expected latency of the request's class and the
+# multiple below of the node's latency.  A smaller multiple hedges sooner; a larger multiple hedges fewer
+# requests that are only slow.
 EXPECTED_LATENCIES = 4.0
-NODE_LATENCIES = 2.0  # and after so many times the latency of its node, where that is longer
-# The attempt timeout doubles at most so often while a node does not respond: later than any deadline.
+NODE_LATENCIES = 2.0
+# Maximum number of doublings of the attempt timeout while a node does not respond.  After that many doublings
+# it exceeds any deadline.
 MAX_DOUBLINGS = 10
 
 
 class LatencyThreshold:
-    """The latency of a mean request at which a node counts as too slow.
+    """The latency of a request of mean units above which a node is considered too slow.
 
-    Gateways share nothing but the latency of the nodes: where it grows, the gateway whose work has the lower
-    value yields first.  All go by the class with the tightest objective, or work that can wait would keep a
-    node too slow for work that can not.
+    Gateways do not coordinate; they only observe the same node latencies.  As the latency of a node grows,
+    the gateways whose requests have the lowest value stop sending to it first.  All classes use the tightest
+    objective of the classes in demand.  Otherwise requests with loose objectives would keep a node too slow
+    for requests with tight ones.
     """
 
     def __init__(self, state: PolicyState, fairness: ClassFairness) -> None:
-        """Start from the tightest objective of all classes."""
+        """Create a threshold from the tightest objective of all classes."""
         self._state, self._fairness = state, fairness
         self._tightest_ms = state.site.tightest_objective_ms
 
     def update(self) -> None:
-        """Take the tightest objective of the classes in demand, as a latency of the mean request."""
+        """Update the tightest objective of the classes in demand, as a latency of the mean request."""
         site, latency = self._state.site, self._state.latency
         objectives = [
             spec.latency_objective_ms / latency.class_factor(name)
@@ -45,15 +49,16 @@
         self._tightest_ms = min(objectives, default=site.tightest_objective_ms)
 
     def for_request(self, pending: PendingRequest) -> float:
-        """Return the threshold in milliseconds for a request: the higher its value, the higher."""
+        """Return the threshold in milliseconds for a request; it grows with the value of the request."""
         value = self._state.site.relative_value(pending)
         return self._tightest_ms * (LOWEST_VALUE_PART + (HIGHEST_VALUE_PART - LOWEST_VALUE_PART) * value)
 
 
 def overdue_after_ms(pending: PendingRequest, latency: LatencyEstimates) -> float:
-    """Return how long an attempt may take before it is overdue.
+    """Return the attempt timeout in milliseconds, after which an attempt is overdue.
 
-    By the expected latency of its class and node, doubled with each attempt overdue since its last response.
+    It is based on the expected latency of the class and the node, and doubles with each overdue attempt since
+    the node's last response.
     """
     upstream = pending.upstream
     usual_ms = max(EXPECTED_LATENCIES * latency.expected_ms(pending), NODE_LATENCIES * upstream.latency_ms)
--- a/shaletiller/policy/outcomes.py
+++ b/shaletiller/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts: what they teach, and whether their requests are retried, hedged or given up."""
+"""Outcomes of attempts: updates the estimates, and retries, hedges or gives up the requests."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
 from shaletiller.state.records import AttemptInFlight, PendingRequest
 from shaletiller.state.runtime import PolicyState
 
-# Overdue attempts are taken for lost, and their slots for free, while more than this share of them is never
-# answered.  Empirical: higher hedges less work that is only slow, lower works around lost responses sooner.
+# While at least this share of overdue attempts is never answered, an overdue attempt is considered lost, its
+# slot is freed and its request is hedged.  A larger share hedges fewer requests that are only slow; a smaller
+# share works around lost responses sooner.
 LOST_SHARE = 0.5
 
 
 @dataclass(slots=True, eq=False)
 class OutcomeHandler:
-    """Handles the outcomes of attempts, and attempts that are overdue."""
+    """Handles outcomes of attempts and overdue attempts."""
 
     state: PolicyState
     endpoints: EndpointTable
@@ -39,7 +40,10 @@
     completion: RequestCompletion
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from an outcome; finish, retry or give up its request; use the slot that became free."""
+        """Handle the outcome of an attempt.
+
+        Updates the estimates, finishes, retries or gives up the request, and reuses the freed slot.
+        """
         attempt = self.state.attempts.pop((event.request, event.attempt), None)
         if attempt is None:
             return
@@ -48,7 +52,7 @@
         attempt.release_slot()
         if event.latency_ms > overdue_after_ms(pending, self.state.latency):
             self.state.latency.record_overdue(event.outcome)
-        # After the process stood still, what it finds waiting says nothing about the nodes.
+        # Latencies measured while the process was suspended say nothing about the node.
         if attempt.node == attempt.upstream.node and self.state.now_ms != self.state.resumed_ms:
             self._learn(attempt, event)
         self.state.volumes.record_outcome(pending, event, self.state.now_ms)
@@ -61,15 +65,15 @@
             self.completion.finish(pending)
         else:
             self._retry_or_give_up(pending)
-        # A node that just rejected work has no capacity before the next round.
+        # A node that has just rejected an attempt is assumed to have no capacity before the next round.
         if event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED):
             self.dispatcher.release(attempt.upstream)
 
     def _learn(self, attempt: AttemptInFlight, event: AttemptEnded) -> None:
-        """Judge the node by an outcome.
+        """Update the estimates of a node from an outcome.
 
-        Errors and resets do not lower its concurrency limit: they say nothing about load, and a sound node
-        would be starved.
+        Errors and resets do not lower its concurrency limit: they do not indicate overload, and would reduce
+        the limit of a healthy node to its minimum.
         """
         pending, upstream, now_ms = attempt.pending, attempt.upstream, self.state.now_ms
         if event.outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT):
@@ -86,18 +90,21 @@
         self.endpoints.record_response(attempt.node)
         upstream.served_units += pending.units
         if upstream.warming_up_since_ms is not None:
-            # What a node serves while it warms up proves its capacity (see `warm_up_allows`).
+            # Units served during slow start demonstrate capacity and refill the budget: see `warm_up_allows`.
             repaid = self.state.site.settings.overload_multiple / 2 * pending.units
             upstream.warm_up_sends.add(now_ms, -repaid)
         self.state.latency.record_response(pending, latency_ms, now_ms)
         upstream.on_time_balance += 1 if latency_ms <= self.threshold.for_request(pending) else -1
 
     def _retry_or_give_up(self, pending: PendingRequest) -> None:
-        """Queue a retry at the head: no other node holds the shard, so the next round is soon enough."""
+        """Queue a retry at the head of its queue, or give up the request.
+
+        The retry is not sent before the node has capacity again, as no other node holds the shard.
+        """
         if pending.attempts_in_flight or pending.queued:
-            return  # its hedged request may still be answered
+            return  # another attempt of the request may still be answered
         settings, now_ms = self.state.site.settings, self.state.now_ms
-        # One more connection that does not come up would leave its client no time to try elsewhere.
+        # If another connection timed out, the client would have no time left to retry elsewhere.
         reached = now_ms + settings.connect_timeout_ms <= pending.unreached_deadline_ms
         in_time = pending.deadline_ms > self.state.next_round_ms
         if reached and in_time and pending.attempts_started < settings.max_attempts:
@@ -107,14 +114,14 @@
             self.completion.give_up(pending, GiveUpReason.NO_RETRY_LEFT)
 
     def response_started(self, event: ResponseStarted) -> None:
-        """Leave a request whose response has begun to its client: it is neither hedged nor given up."""
+        """Handle the start of a response: its request is neither hedged nor given up from now on."""
         if pending := self.state.pending.get(event.request):
             pending.response_started = True
 
     def attempt_overdue(self, timer: AttemptOverdueTimer) -> None:
-        """Take the node of an overdue attempt for slow; hedge its request where responses get lost."""
+        """Handle an overdue attempt: consider its node slow, or hedge the request if responses are lost."""
         if self.state.now_ms <= self.state.resumed_ms:
-            return  # the process stood still, not the node
+            return  # this process was suspended; the node may not be slow
         attempt = self.state.attempts.get((timer.request, timer.attempt))
         if attempt is None or attempt.node != attempt.upstream.node:
             return
@@ -129,10 +136,10 @@
             self._hedge(attempt, timer.attempt)
 
     def _hedge(self, attempt: AttemptInFlight, number: int) -> None:
-        """Send a hedged request beside an overdue attempt, which may have executed; or cancel that first.
+        """Send a hedged request in addition to an overdue attempt, which may have been executed.
 
-        As in "The Tail at Scale" (J. Dean, L. Barroso, 2013).  Without hedging the outcome of the cancelled
-        attempt brings its retry.
+        See "The Tail at Scale" (J. Dean, L. Barroso, 2013).  If hedging is not allowed, the overdue attempt
+        is cancelled instead, and the outcome of the cancellation triggers a retry.
         """
         pending, settings = attempt.pending, self.state.site.settings
         spent = pending.attempts_started >= settings.max_attempts or not self.retries.budget_allows()
--- a/shaletiller/policy/payoff.py
+++ b/shaletiller/policy/payoff.py
@@ -1,4 +1,4 @@
-"""The payoff split of Chen and Verma: the slots of each queue that earn the most a second."""
+"""Division of capacity into slots for each queue that maximizes payoff, after Chen and Verma."""
 
 from __future__ import annotations
 
@@ -6,28 +6,31 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-# Requests a second below which a queue gets no slots of its own, only capacity left over: slots for it would
-# stand empty most of the time.
+# Arrival rate, in requests a second, below which a queue gets no slots of its own and uses only remaining
+# capacity: its slots would be idle most of the time.
 MIN_ARRIVAL_RATE = 0.05
-# The paper's cost of a rejection.  None here: the weight that a rejection loses is not earned, which counts.
+# Cost of a rejection in the paper, in units of priority weight.  It is 0 here because a rejection already
+# loses the weight that the request would have earned.
 REJECTION_COST = 0.0
-# Probabilities are computed relative to each other; larger figures are scaled down, or they would overflow.
+# State probabilities are computed without normalization.  Values above the guard are scaled down, as they
+# would overflow.
 OVERFLOW_GUARD, SCALE_DOWN = 1e200, 1e-200
-# The least gain a unit for which a slot is given: less is rounding, and the split would never end.
+# Minimum gain of payoff per unit for which a slot is added.  Smaller gains are rounding errors, with which
+# the division would never terminate.
 MIN_GAIN = 1e-9
 
 
 @lru_cache(maxsize=1 << 13)
 def batch_queue(arrival_rate: float, batch_rate: float, slots: int, rounds: int) -> tuple[float, float]:
-    """Solve the paper's queue with batch service, M/M/1^[n]/Kn.
+    """Solve the batch-service queue of the paper, M/M/1^[n]/Kn.
 
-    Cutting between states gives arrival*P[j] = batch*(P[j+1]+...+P[min(j+n, Kn)]), computed downward from the
-    full queue.
+    The balance equation across the cut between states j and j+1 is
+    arrival*P[j] = batch*(P[j+1]+...+P[min(j+n, Kn)]); it is solved downward from the state of a full queue.
 
     :param arrival_rate: requests a second.
-    :param batch_rate: batches a second, one a round.
-    :param slots: n, the requests of a batch.
-    :param rounds: K, the batches that fit into the queue.
+    :param batch_rate: batches a second; one batch is sent in each round.
+    :param slots: n, the number of requests in a batch.
+    :param rounds: K, the number of batches that fit into the queue.
     :returns: the requests served a second, and the probability that the queue is full.
     """
     if slots == 0 or arrival_rate <= 0:
@@ -46,14 +49,20 @@
 
 
 def payoff_rate(arrival_rate: float, batch_rate: float, slots: int, rounds: int, weight: float) -> float:
-    """Return what a queue earns a second with so many slots (equations 4 and 5 of the paper)."""
+    """Return the payoff a second of a queue with this number of slots (equations 4 and 5 of the paper)."""
     served, full = batch_queue(arrival_rate, batch_rate, slots, rounds)
     return weight * served - REJECTION_COST * arrival_rate * full
 
 
 @dataclass(slots=True)
 class Demand:
-    """A queue as the split sees it: arrivals a second, the weight and units of a request, its rounds."""
+    """The demand of one queue.
+
+    :param arrival_rate: requests a second.
+    :param priority_weight: payoff of a served request.
+    :param units: cost units of a request.
+    :param rounds: scheduling rounds for which a request may wait.
+    """
 
     arrival_rate: float
     priority_weight: float
@@ -64,13 +73,16 @@
 def best_split(demands: list[Demand], capacity: float, batch_rate: float) -> list[int]:
     """Divide a capacity in units into slots for each demand.
 
-    Greedy: always the slot that adds most payoff for its units.  The paper's search fixes one class after the
-    other; payoff flattens with each slot, so this finds at least as good a split.
+    Uses a greedy algorithm that always adds the slot with the largest gain of payoff per unit.  The paper
+    searches the slots of one class after the other.  As each further slot of a queue gains less, the greedy
+    division is at least as good.
+
+    :returns: the number of slots of each demand, in the same order.
     """
     slots, payoffs, free = [0] * len(demands), [0.0] * len(demands), capacity
 
     def next_slot(at: int) -> tuple[float, float]:
-        """Return the payoff of a demand with one slot more, and the gain for each of its units."""
+        """Return the payoff of a demand with one more slot, and the gain per unit."""
         of = demands[at]
         rate = payoff_rate(of.arrival_rate, batch_rate, slots[at] + 1, of.rounds, of.priority_weight)
         return rate, (rate - payoffs[at]) / of.units
@@ -90,9 +102,9 @@
 
 
 def rounded_rate(rate: float) -> float:
-    """Round a rate to about a tenth, so that results of `batch_queue` are found in its cache.
+    """Round a rate to about a tenth of its value, to increase the cache hits of `batch_queue`.
 
-    A rate that has decayed counts as none: on its way to zero it would pass ever new figures, each of which
-    would be computed and cached.
+    Rates below MIN_ARRIVAL_RATE are rounded to 0.  Otherwise a rate that decays towards 0 would produce new
+    values without end, each of which would be computed and cached.
     """
     return 0.0 if rate < MIN_ARRIVAL_RATE else math.exp(round(math.log(rate) * 10) / 10)
--- a/shaletiller/policy/retries.py
+++ b/shaletiller/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries: which requests may be sent again, when and where, by idempotency and by the retry budget."""
+"""Retries: whether, when and where a request may be sent again, by idempotency and retry budget."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class RetryPolicy:
-    """Judges retries by the idempotency of their class and by the attempts of this gateway of late."""
+    """Allows retries by the idempotency of their class and by the recent retries of this gateway."""
 
     def __init__(self, state: PolicyState, endpoints: EndpointTable) -> None:
-        """Start with nothing counted."""
+        """Create the policy without counted requests or retries."""
         self._state, self._endpoints = state, endpoints
         self._requests, self._retries = SlidingWindowSum(), SlidingWindowSum()
 
@@ -29,14 +29,15 @@
 
     def _count(self, counted: SlidingWindowSum) -> None:
         settings = self._state.site.settings
-        if settings.retry_budget_free is not None:  # without a budget nothing would ever be dropped
+        if settings.retry_budget_free is not None:  # without a budget, counts are not needed
             counted.add(self._state.now_ms)
             counted.forget(self._state.now_ms, settings.retry_budget_window_ms)
 
     def idempotency_allows(self, pending: PendingRequest) -> bool:
-        """Whether its work would not be done twice: what may have run is only repeated where it is discarded.
+        """Return whether a retry cannot execute the request twice.
 
-        A keyed request is discarded while its idempotency key is known, and in its deduplication scope.
+        After an attempt that may have been executed, a keyed request is only sent while nodes remember its
+        idempotency key, and to a node within its deduplication scope, which discards a duplicate.
         """
         first = pending.possibly_executed
         if first is None or pending.spec.effect is Idempotency.SAFE:
@@ -48,17 +49,18 @@
         return pending.spec.deduplication_scope is not DeduplicationScope.ZONE or zone == first.zone
 
     def start_window_ms(self, pending: PendingRequest) -> float:
-        """Return the time in which a retry has to start, as its idempotency key expires; else infinity.
+        """Return the time in milliseconds until a retry's idempotency key expires, infinity if it has none.
 
-        The attempt is held to it as well: its connection may come up after the key has expired.
+        The attempt has to start within this time.  It is checked again when its connection is established,
+        which may be after the key has expired.
         """
         first = pending.possibly_executed if pending.spec.effect is Idempotency.KEYED else None
         return first.sent_ms + pending.spec.key_ttl_ms - self._state.now_ms if first else math.inf
 
     def budget_allows(self) -> bool:
-        """Retry budget (as Finagle's): retries are at most a free number and a share of the requests.
+        """Return whether the retry budget (as in Finagle) allows a retry.
 
-        Counted within a window, for this gateway alone.
+        Within a window, retries of this gateway may not exceed a fixed number plus a share of its requests.
         """
         settings, now_ms = self._state.site.settings, self._state.now_ms
         if settings.retry_budget_free is None:
@@ -69,7 +71,7 @@
 
 
 def client_may_retry(pending: PendingRequest) -> bool:
-    """Whether a retry by the client does no harm: no attempt may have run, or every node discards it."""
+    """Return whether the client may safely retry: nothing was executed, or all nodes discard duplicates."""
     spec = pending.spec
     never_ran = pending.possibly_executed is None and pending.attempts_in_flight == 0
     if spec.effect is Idempotency.SAFE or never_ran:
--- a/shaletiller/policy/scheduler.py
+++ b/shaletiller/policy/scheduler.py
@@ -1,8 +1,8 @@
-"""The scheduler: takes one event at a time and returns the actions it calls for.
+"""The scheduler: handles one event at a time and returns the resulting actions.
 
-After the state machine of Dask's workers (events in, instructions out, one handler for each event): the
-scheduler only passes each event to the object that decides on it.  Requests wait in the queues of the
-upstream that holds their shard; rounds release them by the payoff split.
+Modeled on the state machine of Dask workers: events in, instructions out, one handler for each event.  The
+scheduler passes each event to the object that handles it.  Requests wait in the queues of the upstream that
+holds their shard, and are sent in rounds, with slots divided by payoff.
 """
 
 from __future__ import annotations
@@ -29,26 +29,26 @@
 from shaletiller.state.invariants import validate_state
 from shaletiller.state.runtime import PolicyState
 
-# After a failed watch the next one waits for this part of the site's poll interval: three more fit into it.
-# On the simulator's wire only: the gateway's watch is retried by `net/discovery.py`.
+# Delay before a failed watch is retried, as a ratio of the site's poll interval: three more retries fit into
+# the interval.  Only used with the simulator; the gateway's watch is retried by `net/discovery.py`.
 WATCH_RETRY_PART = 0.25
 
 
 class Scheduler:
-    """The decisions of one gateway; it knows only its settings and its own events.
+    """The scheduler of one gateway; it depends only on its settings and its events.
 
-    :param seed: of the random choices; equal seeds and events give equal actions.
+    :param seed: seed of the random choices; equal seeds and events result in equal actions.
     """
 
     def __init__(self, settings: Settings, seed: int = 0) -> None:
-        """Create the parts of the policy, each with what it depends on."""
+        """Create the components of the policy with their dependencies."""
         state = self.state = PolicyState.create(settings)
         endpoints = self.endpoints = EndpointTable(state)
         fairness = self.fairness = ClassFairness(state)
         threshold = self.threshold = LatencyThreshold(state, fairness)
         capacity = self.capacity = CapacityCheck(state, endpoints, fairness, threshold)
         retries, limits = RetryPolicy(state, endpoints), VolumeLimits(state, fairness)
-        # A cycle by nature: the end of an ordered request admits the next one of its key.
+        # Circular dependency: finishing an ordered request admits the next request of its key.
         ordering = self.ordering = KeyOrdering(state, admit=lambda pending: self.admission.admit(pending))
         completion = self.completion = RequestCompletion(state, ordering)
         dispatcher = self.dispatcher = Dispatcher(
@@ -63,24 +63,24 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings in force, with the removed classes of which requests are still under way."""
+        """The current settings, including removed classes that still have requests in progress."""
         return self.state.site.settings
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take new settings under load; what is pending keeps its class."""
+        """Apply new settings at runtime; pending requests keep their class."""
         self.state.apply_settings(settings)
         self.endpoints.rearrange_queues()
 
     def handle(self, now_ms: float, event: events.Event) -> list[Action]:
-        """Take one event.
+        """Handle one event.
 
-        :param now_ms: the time of the event on a clock that never goes back.
-        :returns: the actions it calls for, in order.
+        :param now_ms: the time of the event on a monotonic clock.
+        :returns: the resulting actions, in order.
         """
         state = self.state
         state.now_ms, state.actions = now_ms, []
         if now_ms - state.next_round_ms > state.site.round_ms:
-            # This process stood still: what it handles now says nothing about the nodes.
+            # This process was suspended: latencies of the events handled now say nothing about the nodes.
             state.resumed_ms = now_ms
         if state.next_round_ms == math.inf:
             self._start()
@@ -106,7 +106,7 @@
             case events.EndpointReportedDown():
                 self.endpoints.report_down(event)
             case events.HealthCheckEnded() | events.PeerMessageReceived():
-                pass  # no decision depends on them
+                pass  # these events do not affect any decision
 
     def _timer_expired(self, timer: timers.Timer) -> None:
         match timer:
@@ -120,7 +120,7 @@
                 self.state.actions.append(WatchEndpoints())
 
     def _start(self) -> None:
-        """Start the clock of the rounds with the first event."""
+        """Start the rounds and, if needed, the watch on the endpoint list, with the first event."""
         self.state.started_ms = self.state.now_ms
         self._start_round_timer()
         if self.settings.subscribed:
@@ -131,7 +131,7 @@
         self.state.actions.append(StartTimer(self.state.site.round_ms, timers.RoundTimer()))
 
     def _run_round(self) -> None:
-        """Adjust limits and thresholds, then release queued requests, upstream by upstream."""
+        """Run a scheduling round: adjust limits and thresholds, then send queued requests."""
         self._start_round_timer()
         self.completion.answer_expiring()
         self.state.volumes.expire(self.endpoints.upstreams(), self.state.now_ms)
@@ -154,5 +154,5 @@
             self.dispatcher.release(upstream)
 
     def validate_state(self) -> None:
-        """Check the invariants of the state, for tests (see `shaletiller.state.invariants`)."""
+        """Check the invariants of the state (see `shaletiller.state.invariants`); used by tests."""
         validate_state(self.state, self.endpoints.upstreams())
--- a/shaletiller/policy/slow_start.py
+++ b/shaletiller/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start, as of load balancers (HAProxy, Envoy): this gateway's part of a starting node's budget."""
+"""Slow start, as in HAProxy and Envoy: this gateway's share of the warm-up budget of a starting node."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def finish_slow_start(upstream: Upstream, settings: Settings, now_ms: float) -> bool:
-    """End the slow start of a node once its time is over; return whether it ended now."""
+    """End the slow start of a node after its duration; return whether it ended now."""
     started_ms = upstream.warming_up_since_ms
     if started_ms is None or now_ms - started_ms < settings.slow_start_ms:
         return False
@@ -21,14 +21,15 @@
 def warm_up_allows(
     upstream: Upstream, settings: Settings, units: float, quota: Quota | None, now_ms: float
 ) -> bool:
-    """Whether this gateway's part of a node's warm-up budget leaves so many units.
+    """Return whether this gateway's share of a node's warm-up budget has this many units left.
 
-    The budget (units in the overload window) rises linearly from `warm_up_units` at the node's start to
-    `warm_up_units / initial_capacity_share`.  What the node rejects counts as well.  What it serves of this
-    gateway's requests pays back half the overload multiple (see `OutcomeHandler`): all gateways then send it
-    the budget and half the multiple of what it serves; none alone would notice an overload in time.
+    The budget, in units within the overload window, rises linearly from `warm_up_units` at the node's start
+    to `warm_up_units / initial_capacity_share`.  Units that the node rejects count against it.  Each unit
+    that the node serves for this gateway refills it by half the overload multiple (see `OutcomeHandler`).
+    All gateways together thus send at most the budget plus half the overload multiple of what the node
+    serves.  No gateway could detect an overload in time from its own requests.
 
-    :param quota: the part that the fleet assigns to this gateway; None without a fleet.
+    :param quota: the quota of the budget that the fleet assigns to this gateway; None without a fleet.
     """
     if upstream.warming_up_since_ms is None:
         return True
@@ -43,10 +44,10 @@
 
 
 def _even_part(upstream: Upstream, settings: Settings, budget: float, age_ms: float) -> float:
-    """Return an even part of the budget, in units.
+    """Return an equal share of the budget for this gateway, in units.
 
-    Where that is less than one request, gateways take turns by their index.  A turn lasts one overload window
-    and has half of the budget, as any window overlaps two turns at most.
+    If an equal share is less than one request, gateways take turns by their index.  A turn lasts one overload
+    window and uses half of the budget, as any window overlaps at most two turns.
     """
     gateways, one_request = settings.gateways, settings.mean_units
     if not 0 < budget < one_request * gateways:
--- a/shaletiller/policy/volume_limits.py
+++ b/shaletiller/policy/volume_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a volume: rate limit and reservation of its plan, and weighted fair share of a node."""
+"""Limits of a volume: the rate limit and reservation of its plan, and its weighted fair share of a node."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 from shaletiller.state.tiers import Tier
 from shaletiller.state.volumes import unsent_units
 
-# Headroom: the part of a bucket that is kept for higher classes where all other demand is theirs.  Empirical:
-# more lets their next burst through, less leaves fewer tokens unused.
+# Ratio of a bucket that is reserved as headroom for classes of higher priority if they have all of the
+# demand.  A larger ratio admits larger bursts of these classes; a smaller ratio leaves fewer tokens unused.
 HEADROOM_PART = 0.8
-# Headroom is taken of a bucket no larger than this part of what has flowed into it since it started empty: of
-# a full one it would keep back all that a gateway just started has.  Empirical: more keeps headroom sooner,
-# less rejects fewer requests after a start.
+# Headroom is computed for a bucket of at most this ratio of the tokens added since the bucket was created
+# empty.  Headroom of the full burst would withhold all tokens of a gateway that has just started.  A larger
+# ratio provides headroom sooner; a smaller ratio rejects fewer requests after a start.
 HEADROOM_OF_INFLOW = 0.15
-MIN_WEIGHT = 1e-9  # where all plans weigh 0: nothing must be divided by that
+MIN_WEIGHT = 1e-9  # lower bound of a divisor; all plans may have a weight of 0
 
 
 @dataclass(slots=True, eq=False)
 class VolumeLimits:
-    """Judges requests by the token buckets of their volumes."""
+    """Checks requests against the token buckets of their volumes."""
 
     state: PolicyState
     fairness: ClassFairness
 
     def check_rate_limit(self, pending: PendingRequest) -> bool:
-        """Rate limit: whether the volume's bucket has tokens for a request and all unsent ones before it.
+        """Return whether the volume's rate limit has tokens for a request and all earlier unsent requests.
 
-        The limit holds for all gateways together and must never be exceeded.  So each spends its even part
-        or its quota, never the plan's slack, and starts with an empty bucket: what a process before this one
-        sent is not known.  Tokens are drawn when a request is sent (`draw_rate_limit`): drawn on arrival, the
-        bucket would fill again while the request waits, and the send come on top.
+        The limit applies to all gateways together and must never be exceeded.  Each gateway therefore spends
+        only its equal share or its quota, never the plan's slack.  It starts with an empty bucket, as it does
+        not know what an earlier process of the gateway has sent.  Tokens are drawn when a request is sent
+        (see `draw_rate_limit`).  If they were drawn on arrival, the bucket would refill while the request
+        waits, and the request would be sent in addition to a full burst.
         """
         volume, plan = pending.volume, pending.volume.plan
         volume.demand.count(pending.spec.name, pending.units)
@@ -51,29 +52,35 @@
         return left >= self._headroom(pending, cap) or self.fairness.is_owed_units(pending)
 
     def draw_rate_limit(self, pending: PendingRequest) -> None:
-        """Draw a request's tokens from its volume's rate limit as it is sent for the first time."""
+        """Draw a request's tokens from its volume's rate limit; called for its first attempt."""
         self._rate_limit_level(pending)
         pending.volume.rate_limit.level -= pending.units
 
     def _rate_limit_level(self, pending: PendingRequest) -> float:
-        """Return the bucket's level now, by the quota where a fleet assigns one (it may have expired)."""
+        """Return the current level of the rate limit's bucket.
+
+        The bucket fills by the quota that the fleet assigns, which may have expired, else by an equal share.
+        """
         plan, part = pending.volume.plan, 1 / pending.volume.gateways
         even = Quota(Allowance(plan.limit_rate * part, plan.limit_burst * part))
         quota = self.state.volumes.quota(pending.request.volume) or even
         return pending.volume.rate_limit.fill_by_quota(self.state.now_ms, quota)
 
     def _headroom(self, pending: PendingRequest, cap: float) -> float:
-        """Headroom for higher priority: tokens that a request has to leave in a bucket of this cap.
+        """Return the tokens that a request must leave in a bucket for classes of higher priority.
 
-        Whoever came first would spend a volume's tokens; so they are kept in proportion to the share of
-        higher classes in its demand, but for one request of this size.
+        Without headroom a volume's tokens would be spent in order of arrival.  Headroom is proportional to
+        the share of higher classes in the volume's demand; a full bucket always admits one request of this
+        size.
+
+        :param cap: capacity of the bucket, in units.
         """
         higher_classes = self.state.site.higher_priority_classes[pending.spec.name]
         higher = pending.volume.demand.share_of(higher_classes)
         return max(0.0, min(HEADROOM_PART * cap * higher, cap - pending.units))
 
     def assign_tier(self, pending: PendingRequest, upstream: Upstream) -> Tier:
-        """Draw tokens for the best tier of which the volume has some."""
+        """Return the best tier for which the volume has tokens, and draw them."""
         volume, volume_name, now_ms = pending.volume, pending.request.volume, self.state.now_ms
         reserved = volume.plan.reserved_rate > 0
         if reserved and self._draw(pending, volume.reservation, self._reserved_rate(volume)):
@@ -86,21 +93,24 @@
 
     @staticmethod
     def _reserved_rate(volume: VolumeState) -> float:
-        """Reservation: this gateway's even part in units a second, or more where others leave more of it."""
+        """Return the rate of the reservation for this gateway, in units a second.
+
+        It is an equal share, or what the other gateways leave of the reservation if that is more.
+        """
         reserved = volume.plan.reserved_rate
         return max(reserved / volume.gateways, reserved - volume.other_gateways_rate)
 
     def _fair_share_rate(self, upstream: Upstream, volume: VolumeState) -> float:
-        """Weighted fair share: units a second of what the node serves past the reservations.
+        """Return the weighted fair share of a volume, in units a second.
 
-        As generalized processor sharing (A. Parekh, R. Gallager, 1993), divided by plan weight among the
-        volumes that request more than they reserved.
+        The capacity of the node beyond the reservations is divided by plan weight among the volumes that
+        request more than they reserved, as in generalized processor sharing (A. Parekh, R. Gallager, 1993).
         """
         site, now_ms = self.state.site, self.state.now_ms
         mean_units = site.settings.mean_units
         node_rate = upstream.concurrency_limit * 1000 / site.round_ms
         reserved = sum(queue.arrivals.rate(now_ms) for queue in upstream.reserved_queues) * mean_units
-        # A volume takes part while it requests half a mean request a second or more.
+        # A volume participates while it requests at least half a request of mean units a second.
         demands = upstream.excess_demand.items()
         taking_part = [name for name, demand in demands if demand.rate(now_ms) >= mean_units / 2]
         weight = sum(self.state.volumes[name].plan.weight for name in taking_part)
@@ -109,7 +119,10 @@
         )
 
     def _draw(self, pending: PendingRequest, bucket: TokenBucket, rate: float) -> bool:
-        """Draw a request's tokens from a bucket that holds a second's worth and one largest request."""
+        """Draw a request's tokens from a bucket; return whether it has enough.
+
+        The capacity of the bucket is one second at its rate plus one request of maximum units.
+        """
         cap = rate + self.state.site.settings.max_units
         if bucket.fill(self.state.now_ms, rate, cap) < pending.units + self._headroom(pending, cap):
             return False
