--- a/shaletiller/adapter.py
+++ b/shaletiller/adapter.py
@@ -1,7 +1,7 @@
-"""The simulator's wire on standard input and output, mapped to events and actions.
+"""Adapter of the simulator's protocol, on standard input and output, to events and actions.
 
-Each instance (a simulated gateway) has a scheduler of its own; instances share nothing.  No decision is taken
-here.  The strings of the wire stand in this module alone.
+Each instance, a simulated gateway, has its own scheduler; instances share no state.  This module makes no
+scheduling decisions.  It is the only module that contains the strings of the protocol.
 """
 
 from __future__ import annotations
@@ -57,15 +57,15 @@
     "recalled": Outcome.CANCELLED,
     "superseded": Outcome.NOT_SENT,
 }
-RETRY_BIT, WRITE_BIT = 2, 4  # flags of a "Submit"
+RETRY_BIT, WRITE_BIT = 2, 4  # flags of a "Submit" event
 
 
 class WireError(Exception):
-    """A line that is not in the format of the wire."""
+    """A line does not conform to the simulator's protocol."""
 
 
 def _load_report(value: Any) -> tuple[tuple[str, float], ...]:
-    """Read a load report: an object, or pairs."""
+    """Read a load report, which is an object or a list of pairs."""
     if not value:
         return ()
     pairs = value.items() if isinstance(value, dict) else value
@@ -73,7 +73,7 @@
 
 
 def _at(values: list[Any], index: int, default: Any) -> Any:
-    """Return a positional value, or a default where it is absent."""
+    """Return the value at an index, or a default if it is missing or null."""
     return values[index] if index < len(values) and values[index] is not None else default
 
 
@@ -127,7 +127,7 @@
 
 
 def write_timer(timer: Timer) -> str:
-    """Write a timer as the simulator's token."""
+    """Return the token of a timer in the simulator's protocol."""
     match timer:
         case RoundTimer():
             return "round"
@@ -140,14 +140,14 @@
 
 
 def read_timer(token: str) -> Timer | None:
-    """Read a timer from its token; None for a token that `write_timer` does not write."""
+    """Return the timer of a token, None for a token that `write_timer` does not return."""
     name, _, rest = token.partition(" ")
     if name == "round":
         return RoundTimer()
     if name == "turn":
         return OrderingTimer(rest)
     if name == "overdue":
-        request, attempt = rest.rsplit(" ", 1)  # a request's id may hold spaces
+        request, attempt = rest.rsplit(" ", 1)  # a request id may contain spaces
         return AttemptOverdueTimer(request, int(attempt))
     return WatchRetryTimer() if name == "ask" else None
 
@@ -185,14 +185,14 @@
 }
 
 
-WireEvent = tuple[str, Any]  # an event's name on the wire, and what it was read into
+WireEvent = tuple[str, Any]  # the name of an event in the protocol, and its decoded value
 
 
 def read_batch(line: str) -> tuple[float, list[tuple[str, list[WireEvent]]]]:
-    """Read a line: all of it is read before any of it is acted on.
+    """Read a line completely before any of its events is handled.
 
-    :returns: the clock in milliseconds and, for each instance, its events.
-    :raises WireError: where the line is malformed.
+    :returns: the time in milliseconds, and the events of each instance.
+    :raises WireError: if the line is malformed.
     """
     try:
         batch = json.loads(line)
@@ -210,7 +210,7 @@
 
 
 def _read_event(values: list[Any]) -> WireEvent:
-    """Read an event; an unknown one is read into None, and skipped."""
+    """Read an event; the value of an unknown event is None, and it is skipped."""
     kind, rest = values[0], values[1:]
     if kind == "Up":
         return kind, (int(rest[0]), read_settings(rest[1]))
@@ -219,10 +219,10 @@
 
 
 class Instances:
-    """The instances of this process, each with a scheduler of its own."""
+    """The instances of this process, each with its own scheduler."""
 
     def __init__(self) -> None:
-        """Start without instances."""
+        """Create an empty set of instances."""
         self._schedulers: dict[str, Scheduler] = {}
 
     def _handle(self, now_ms: float, host: str, happened: list[WireEvent]) -> list[list[Any]]:
@@ -240,10 +240,10 @@
         return output
 
     def reply(self, line: str) -> str:
-        """Handle one line.
+        """Handle one line of input.
 
         :returns: the line of the reply.
-        :raises WireError: where the line is malformed.
+        :raises WireError: if the line is malformed.
         """
         now_ms, read = read_batch(line)
         groups = []
@@ -255,9 +255,9 @@
 
 
 def main(source: TextIO = sys.stdin, target: TextIO = sys.stdout, errors: TextIO = sys.stderr) -> int:
-    """Reply to every line until the input ends.
+    """Reply to every line until the end of the input.
 
-    :returns: the exit status: 2 after a malformed line.
+    :returns: the exit status; 2 after a malformed line.
     """
     instances = Instances()
     for number, line in enumerate(source, start=1):
--- a/shaletiller/messages/__init__.py
+++ b/shaletiller/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between the scheduler and the program around it: events in, actions out."""
+"""Typed messages of the scheduler: the events that it handles, and the actions that it returns."""
--- a/shaletiller/messages/actions.py
+++ b/shaletiller/messages/actions.py
@@ -1,7 +1,7 @@
-"""Actions: what the scheduler asks the gateway to do.  Times are milliseconds.
+"""Actions that the scheduler requests from the gateway.  Times are milliseconds.
 
-The present policy sends no health checks or peer messages, fetches no list and closes no idle connections:
-those actions belong to the simulator's wire and to the engine's interface.
+The current policy does not send health checks or peer messages, fetch endpoint lists or close idle
+connections.  These actions are part of the simulator's protocol and of the engine's interface.
 """
 
 from __future__ import annotations
@@ -14,30 +14,30 @@
 
 
 class GiveUpReason(StrEnum):
-    """Why the scheduler gives a request up; the values are part of the operators' STATS."""
+    """Why the scheduler gives up a request; the values are part of the operators' STATS."""
 
     RATE_LIMIT = "rate_limit"
-    """Its volume's rate limit does not allow it."""
+    """The rate limit of its volume is exceeded."""
     NO_CAPACITY = "no_capacity"
-    """Its node cannot take it now, and it cannot wait for it."""
+    """Its node has no capacity for it now, and it cannot be queued."""
     LATE = "late"
-    """It waited, and would miss its latency objective."""
+    """It was queued, and would miss its latency objective."""
     UNREACHED = "unreached"
     """No node has received it, and its client still has time to retry elsewhere."""
     RETRY_NOT_ALLOWED = "retry_not_allowed"
-    """Its class's effect or the retry budget allows no further attempt."""
+    """A retry is not allowed by the idempotency of its class or by the retry budget."""
     NO_RETRY_LEFT = "no_retry_left"
-    """Its attempt failed, and no further one is possible in its time or within the limit of attempts."""
+    """Its attempt failed, and its deadline or the maximum number of attempts allows no retry."""
     DEADLINE = "deadline"
-    """It would pass its deadline before the next round."""
+    """It would exceed its deadline before the next round."""
     UNKNOWN = "unknown"
 
 
 class SendAttempt(Message, frozen=True):
     """Start an attempt of a request at a node.
 
-    :param timeout_ms: how long to wait for the response; 0 waits until the client's deadline.
-    :param start_within_ms: the request has to be written by then, or must not be written at all.
+    :param timeout_ms: time to wait for the response; 0 to wait until the client's deadline.
+    :param start_within_ms: time within which the request has to be written; later it must not be written.
     """
 
     request: str
@@ -47,10 +47,10 @@
 
 
 class Reject(Message, frozen=True):
-    """Final answer: rejected, and a retry by the client does no harm.
+    """Final answer: the request is rejected, and the client may safely retry it.
 
-    :param retry_after_ms: what Retry-After tells the client; 0 tells it nothing.
-    :param reason: counted, never sent.
+    :param retry_after_ms: value of Retry-After for the client; 0 for none.
+    :param reason: for metrics; it is not sent to the client.
     """
 
     request: str
@@ -59,9 +59,9 @@
 
 
 class Fail(Message, frozen=True):
-    """Final answer: failed, and a node may have done some of the work.
+    """Final answer: the request failed, and a node may have executed some or all of it.
 
-    :param reason: counted, never sent.
+    :param reason: for metrics; it is not sent to the client.
     """
 
     request: str
@@ -69,14 +69,14 @@
 
 
 class CancelAttempt(Message, frozen=True):
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: str
     attempt: int
 
 
 class StartTimer(Message, frozen=True):
-    """Return the timer in a TimerExpired after `wait_ms`."""
+    """Start a timer, which is returned in a TimerExpired event after `wait_ms`."""
 
     wait_ms: float
     timer: Timer
@@ -89,20 +89,20 @@
 
 
 class SendPeerMessage(Message, frozen=True):
-    """Send a message to one gateway, or to all of them (None)."""
+    """Send a message to one gateway, or to all gateways if `peer` is None."""
 
     peer: int | None
     data: str
 
 
 class WatchEndpoints(Message, frozen=True):
-    """Watch the endpoint list for changes, or stop watching it."""
+    """Start watching the endpoint list for changes, or stop if not `active`."""
 
     active: bool = True
 
 
 class FetchEndpointList(Message, frozen=True):
-    """Fetch the full endpoint list once."""
+    """Fetch the complete endpoint list once."""
 
 
 class CloseIdleConnections(Message, frozen=True):
@@ -112,7 +112,7 @@
 
 
 class WriteLog(Message, frozen=True):
-    """Write a line for the operators."""
+    """Write a line to the log."""
 
     line: str
 
--- a/shaletiller/messages/base.py
+++ b/shaletiller/messages/base.py
@@ -1,4 +1,4 @@
-"""The base of every event, action and timer."""
+"""The base class of all events, actions and timers."""
 
 from __future__ import annotations
 
@@ -6,4 +6,8 @@
 
 
 class Message(msgspec.Struct, frozen=True, gc=False):
-    """An immutable message.  Thousands are created a second, and a frozen dataclass takes longer."""
+    """An immutable message.
+
+    It is a msgspec struct because thousands of messages are created each second, and a frozen dataclass takes
+    longer to create.
+    """
--- a/shaletiller/messages/endpoints.py
+++ b/shaletiller/messages/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the storage nodes that discovery names, and their states."""
+"""The endpoint list: the storage nodes reported by discovery, and their states."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class UpdateKind(Enum):
-    """What an update of the endpoint list holds."""
+    """The kind of an update of the endpoint list."""
 
-    CHANGES = 0  # the entries that changed
+    CHANGES = 0  # only the entries that have changed
     FULL = 1  # all entries
-    CACHED = 2  # all entries as they were when the list was last received
-    FAILED = 3  # nothing: the call failed
+    CACHED = 2  # all entries of the list that was last received
+    FAILED = 3  # no entries: the call to discovery failed
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
     """An entry of the endpoint list.
 
     :param shard: the shard whose data the node holds.
-    :param started_ms: when the node started, 0 where that is not known.
+    :param started_ms: time at which the node started, 0 if it is unknown.
     """
 
     node: str
--- a/shaletiller/messages/events.py
+++ b/shaletiller/messages/events.py
@@ -1,6 +1,6 @@
-"""Events: what the scheduler is notified of.
+"""Events that are passed to the scheduler.
 
-Times are milliseconds; a figure of 0 means that it is not known.
+Times are milliseconds.  Unless stated otherwise, a number of 0 is an unknown value.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 class EndpointListUpdate(Message, frozen=True):
     """An update of the endpoint list.
 
-    :param staleness_ms: how old it may be: the watch was interrupted for so long before it.
+    :param staleness_ms: maximum age of the changes: the duration for which the watch was interrupted before.
     """
 
     kind: UpdateKind
@@ -25,14 +25,16 @@
 
 
 class Request(Message, frozen=True):
-    """A client's request, which this gateway has to answer from now on.
-
-    :param request: its id.
-    :param shard: the shard that holds its object; below 0 for a new object, which any node may take.
-    :param object_key: the object, by which requests are ordered and batched; may be empty.
-    :param units: its size in cost units.
-    :param volume_gateways: the gateways that serve the volume.
-    :param is_retry: whether the client says that it sent the request before.
+    """A new request of a client, which the scheduler must answer.
+
+    :param request: request id.
+    :param shard: the shard that holds the object; below 0 for a new object, which any node may store.
+    :param object_key: key of the object, by which requests are ordered and batched; may be empty.
+    :param units: size of the request in cost units.
+    :param deadline_in_ms: time until the client's deadline.
+    :param volume_gateways: number of gateways that serve the volume.
+    :param is_retry: whether the client has marked the request as a retry.
+    :param write: whether the request changes its object.
     """
 
     request: str
@@ -49,11 +51,11 @@
 
 
 class AttemptEnded(Message, frozen=True):
-    """The one outcome of one attempt.
+    """The end of an attempt; sent exactly once for each attempt.
 
-    :param request_finished: whether the request has its final answer and needs nothing more.
-    :param usage_percent_plus_one: what the volume used of late over all gateways, in percent of its plan's
-        base rate and plus 1, as the node states it.
+    :param request_finished: whether the request has its final answer, so that no further action is needed.
+    :param usage_percent_plus_one: recent usage of the volume through all gateways as reported by the node, in
+        percent of the base rate of its plan, plus 1.
     """
 
     request: str
@@ -68,9 +70,9 @@
 
 
 class ResponseStarted(Message, frozen=True):
-    """The response has begun to reach the client: the attempt is neither hedged nor given up any more.
+    """The client has received the start of the response; its request is neither hedged nor given up then.
 
-    Sent by the simulator only; the gateway forwards complete responses.
+    Only sent by the simulator; the gateway forwards complete responses.
     """
 
     request: str
@@ -80,13 +82,13 @@
 
 
 class ClientDisconnected(Message, frozen=True):
-    """The client disconnected: its request needs no answer any more."""
+    """The client has disconnected; its request needs no answer."""
 
     request: str
 
 
 class HealthCheckEnded(Message, frozen=True):
-    """The outcome of one health check."""
+    """The end of a health check."""
 
     node: str
     outcome: Outcome
@@ -95,17 +97,17 @@
 
 
 class PeerMessageReceived(Message, frozen=True):
-    """A message of another gateway."""
+    """A message from another gateway."""
 
     origin: int
     data: str
 
 
 class QuotaUpdated(Message, frozen=True):
-    """What this gateway may spend from now on of a limit that the fleet holds together.
+    """A new quota of this gateway for a limit that is shared by the fleet.
 
-    :param name: the volume whose rate limit it is, or the node whose warm-up budget it is.
-    :param quota: of a warm-up budget only the burst counts.
+    :param name: name of the volume of a rate limit, or of the node of a warm-up budget.
+    :param quota: the quota from now on; for a warm-up budget only its burst is used.
     """
 
     name: str
@@ -113,9 +115,9 @@
 
 
 class EndpointReportedDown(Message, frozen=True):
-    """Several gateways report a node down, whatever this one sees of it itself.
+    """Several gateways report a node down, regardless of this gateway's own observations.
 
-    :param down_until_ms: until when the report holds; a time that is past withdraws it.
+    :param down_until_ms: time until which the report is valid; a time in the past withdraws it.
     """
 
     node: str
@@ -123,7 +125,7 @@
 
 
 class TimerExpired(Message, frozen=True):
-    """A timer of the scheduler has expired; it comes back as it was started."""
+    """A timer of the scheduler has expired; it is returned as it was started."""
 
     timer: Timer
 
--- a/shaletiller/messages/timers.py
+++ b/shaletiller/messages/timers.py
@@ -1,6 +1,6 @@
-"""Timers of the scheduler: StartTimer carries one out, TimerExpired brings the same one back.
+"""Timers of the scheduler: started by the action StartTimer, and returned by the event TimerExpired.
 
-To the program around the scheduler a timer is opaque; only the simulator's adapter writes it as a string.
+Timers are opaque to the gateway; only the simulator's adapter converts them to strings.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 
 class OrderingTimer(Message, frozen=True):
-    """The quiet period of an object key has ended: its next ordered request may be admitted."""
+    """The quiet period of an object key has ended; its next ordered request may be admitted."""
 
     object_key: str
 
 
 class AttemptOverdueTimer(Message, frozen=True):
-    """An attempt has been in flight for longer than its attempt timeout."""
+    """An attempt has been in flight for longer than the attempt timeout."""
 
     request: str
     attempt: int
 
 
 class WatchRetryTimer(Message, frozen=True):
-    """The watch on the endpoint list failed a while ago and is to be opened again."""
+    """The watch on the endpoint list has failed and is due to be retried."""
 
 
 Timer = RoundTimer | OrderingTimer | AttemptOverdueTimer | WatchRetryTimer
--- a/shaletiller/policy/retries.py
+++ b/shaletiller/policy/retries.py
@@ -29,7 +29,7 @@
 
     def _count(self, counted: SlidingWindowSum) -> None:
         settings = self._state.site.settings
-        if settings.retry_budget_free is not None:  # without a budget, counts are not needed
+        if settings.retry_budget_free is not None:  # without a budget the counts would never be dropped
             counted.add(self._state.now_ms)
             counted.forget(self._state.now_ms, settings.retry_budget_window_ms)
 
--- a/shaletiller/rate_counters.py
+++ b/shaletiller/rate_counters.py
@@ -1,4 +1,4 @@
-"""Counters shared by the policy and the fleet: token bucket, decaying rate, sliding-window sum.
+"""Counters used by the policy and the fleet: token bucket, decaying rate and sliding-window sum.
 
 Times are milliseconds, rates are amounts a second.
 """
@@ -9,24 +9,24 @@
 from collections import deque
 from dataclasses import dataclass
 
-# The time constant of a decaying rate.  Empirical: shorter follows a change of load sooner, longer is moved
-# less by single requests.
+# Default time constant of a decaying rate.  A shorter time follows a change of load sooner; a longer time is
+# less affected by single requests.
 RATE_MEMORY_MS = 1000.0
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A token bucket (J. Turner, 1986): it fills at a rate up to a cap; spending takes from its level."""
+    """A token bucket (J. Turner, 1986): it fills at a rate up to its capacity; spending lowers its level."""
 
     level: float
     at_ms: float
 
     def fill(self, now_ms: float, rate: float, cap: float) -> float:
-        """Bring the bucket up to date.
+        """Add the tokens since the last call.
 
         :param rate: tokens a second.
-        :param cap: the most tokens that it holds.
-        :returns: its level.
+        :param cap: capacity of the bucket, in tokens.
+        :returns: the new level.
         """
         self.level = min(cap, self.level + rate * (now_ms - self.at_ms) / 1000)
         self.at_ms = now_ms
@@ -35,16 +35,16 @@
 
 @dataclass(slots=True)
 class DecayingRate:
-    """An exponentially decaying rate, as Unix load averages: counts lose weight by e^(-t/memory)."""
+    """An exponentially decaying rate, as in Unix load averages: counts decay by e^(-t/memory)."""
 
     total: float = 0.0
     at_ms: float = 0.0
     memory_ms: float = RATE_MEMORY_MS
 
     def add(self, now_ms: float, amount: float = 0.0) -> float:
-        """Count an amount.
+        """Add an amount.
 
-        :returns: the rate a second, the amount included.
+        :returns: the rate a second, including the amount.
         """
         self.total = self.total * math.exp((self.at_ms - now_ms) / self.memory_ms) + amount
         self.at_ms = now_ms
@@ -56,26 +56,26 @@
 
 
 class SlidingWindowSum:
-    """A sliding-window log: the exact sum of what was counted within a window that ends now."""
+    """A sliding-window log: the exact sum of the amounts within a window that ends now."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty window."""
         self._counted: deque[tuple[float, float]] = deque()  # time in milliseconds, amount
 
     def add(self, now_ms: float, amount: float = 1.0) -> None:
-        """Count an amount."""
+        """Add an amount."""
         self._counted.append((now_ms, amount))
 
     def within(self, now_ms: float, window_ms: float) -> float:
-        """Return the sum over the last `window_ms`; what is older is dropped."""
+        """Return the sum of the amounts of the last `window_ms`; older amounts are dropped."""
         self.forget(now_ms, window_ms)
         return sum(amount for _, amount in self._counted)
 
     def forget(self, now_ms: float, window_ms: float) -> None:
-        """Drop what is older than the window."""
+        """Drop amounts that are older than the window."""
         while self._counted and self._counted[0][0] <= now_ms - window_ms:
             self._counted.popleft()
 
     def clear(self) -> None:
-        """Drop all counts."""
+        """Drop all amounts."""
         self._counted.clear()
--- a/shaletiller/settings/__init__.py
+++ b/shaletiller/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings of a site: their types, and the one decoder that reads them."""
+"""The settings of a site: types, validation and decoding."""
--- a/shaletiller/settings/decoder.py
+++ b/shaletiller/settings/decoder.py
@@ -1,7 +1,7 @@
-"""The one decoder of the settings object.
+"""Decoder of the settings object.
 
-The simulator's first message and a real gateway's configuration hold the same object.  Its keys are the
-site's own; they stand in the tables of this module alone.
+The first message of the simulator and the configuration of a gateway contain the same object.  Its keys are
+defined by the site; only the tables of this module refer to them.
 """
 
 from __future__ import annotations
@@ -80,7 +80,7 @@
     "deductions": {"probe": "health_check_cost", "peer": "peer_message_cost", "waste": "wasted_work_cost"},
     "load-info": {"columns": "load_report_fields"},
 }
-# The site's key of each field, to name a faulty one.
+# The settings key of each field, for error messages.
 SITE_NAMES = {
     ours: f"{section}.{theirs}" if section else theirs
     for section, keys in SETTING_KEYS.items()
@@ -93,9 +93,9 @@
 
 
 def _known_keys(source: Any, keys: Mapping[str, str], where: str) -> dict[str, Any]:
-    """Return the known keys that are present, under the names of the code.
+    """Return the values of the known keys that are present, by field name.
 
-    :raises SettingsError: where the source is no object.
+    :raises SettingsError: if the source is not an object.
     """
     if not isinstance(source, Mapping):
         raise SettingsError(f"{where}: expected an object")
@@ -111,7 +111,7 @@
 
 def _class(source: Any, at: int, writes: list[Any]) -> dict[str, Any]:
     known = _known_keys(source, CLASS_KEYS, f"classes[{at}]")
-    if "effect" not in known:  # a default of unsafe would keep its reads from ever being retried
+    if "effect" not in known:  # it has no default: with "unsafe", reads would never be retried
         raise SettingsError(f"classes[{at}].effect: is missing")
     if not isinstance(known["effect"], str) or known["effect"] not in EFFECTS:
         raise SettingsError(f"classes[{at}].effect: unknown value {known['effect']!r}")
@@ -120,9 +120,11 @@
 
 
 def _check_names(names: list[Any], where: str) -> None:
-    """Check that names fit into a header field and are unique.
+    """Check that names are valid in a header field and unique.
 
-    Requests name their class and plan in header fields: any other name could not be used, or be ambiguous.
+    Requests specify their class and plan in header fields.
+
+    :raises SettingsError: if a name is invalid or not unique.
     """
     for at, name in enumerate(names):
         if not isinstance(name, str):
@@ -135,9 +137,9 @@
 
 
 def read_settings(info: Mapping[str, Any]) -> Settings:
-    """Read the settings; absent keys have defaults, unknown ones are ignored.
+    """Read the settings.  Missing keys have default values, unknown keys are ignored.
 
-    :raises SettingsError: its text begins with the site's key of the first faulty value.
+    :raises SettingsError: if a value is invalid; the message begins with the key of the first invalid value.
     """
     known: dict[str, Any] = {}
     for section, keys in SETTING_KEYS.items():
@@ -158,7 +160,7 @@
 
 
 def _with_site_key(text: str) -> str:
-    """Rewrite msgspec's message: the faulty key first, and as the site names it."""
+    """Rewrite an error message of msgspec so that it begins with the settings key of the invalid value."""
     message, _, path = text.partition(" - at `$")
     found = re.fullmatch(r"\.?(\w*)(\[(?:\d+|\.\.\.)\])?(?:\.(\w+))?`", path)
     if found is None:
--- a/shaletiller/settings/errors.py
+++ b/shaletiller/settings/errors.py
@@ -4,4 +4,4 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or has a value that is not allowed; the text begins with its key."""
+    """A setting is missing or has an invalid value; the message begins with its key."""
--- a/shaletiller/settings/model.py
+++ b/shaletiller/settings/model.py
@@ -1,6 +1,7 @@
-"""The settings in force: what the site states when a gateway starts, under the names of the code.
+"""Types of the settings that a gateway receives when it starts.
 
-Times are milliseconds, rates are cost units a second.  A figure of 0 (or None): the site states none.
+Times are milliseconds, rates are cost units a second.  A number of 0 (or None) means that it is not
+specified.
 """
 
 from __future__ import annotations
@@ -12,34 +13,35 @@
 
 
 class Idempotency(Enum):
-    """What sending a request of a class twice may do."""
+    """The effect of sending a request of a class twice."""
 
-    SAFE = "safe"  # nothing: it only reads
-    KEYED = "keyed"  # nothing while its idempotency key is known: nodes discard what they have done before
-    UNSAFE = "unsafe"  # its work may be done twice
+    SAFE = "safe"  # none; the request only reads
+    KEYED = "keyed"  # none while nodes remember its idempotency key, by which they discard a duplicate
+    UNSAFE = "unsafe"  # the request may be executed twice
 
 
 class DeduplicationScope(Enum):
-    """Which nodes discard a keyed request that was sent before."""
+    """The nodes that discard duplicates of a keyed request."""
 
-    ALL = "all"
-    ZONE = "zone"  # those of the zone of its first attempt
-    CELL = "cell"  # those of the cell of its first attempt
+    ALL = "all"  # all nodes
+    ZONE = "zone"  # nodes in the zone of its first attempt
+    CELL = "cell"  # nodes in the cell of its first attempt
 
 
 @dataclass(slots=True, frozen=True)
 class ClassSpec:
     """A class of requests.
 
-    :param latency_objective_ms: a response within this time is worth the whole priority weight.
-    :param deadline_ms: how long its clients wait in all, over all of their tries.
-    :param priority_weight: what serving a request is worth, relative to other classes.
-    :param late_answer_share: the part of that which a response after the objective is still worth.
-    :param effect: whether a request may be sent twice.
-    :param key_ttl_ms: how long nodes know an idempotency key.
-    :param ordered: requests for one object are served in order of arrival.
-    :param streaming: a response begins to reach the client before it is complete.
-    :param writes: its requests change objects.
+    :param latency_objective_ms: response time within which a response earns the full priority weight.
+    :param deadline_ms: total time for which clients wait, including their retries.
+    :param priority_weight: payoff of a response within the latency objective, relative to other classes.
+    :param late_answer_share: ratio of the priority weight that a later response earns.
+    :param effect: effect of sending a request twice.
+    :param deduplication_scope: nodes that discard duplicates, for keyed requests.
+    :param key_ttl_ms: time for which nodes remember an idempotency key.
+    :param ordered: whether requests for one object must be served in order of arrival.
+    :param streaming: whether a client may receive the start of a response before it is complete.
+    :param writes: whether its requests change objects.
     """
 
     name: str
@@ -64,15 +66,15 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanSpec:
-    """A plan; its figures hold for each volume over all gateways and nodes together.
-
-    :param base_rate: the rate that nodes state a volume's usage against.
-    :param reserved_rate: the rate that a volume has reserved.
-    :param weight: a volume's weight in fair shares of a node.
-    :param value_factor: multiplies the priority weights of its volumes' requests.
-    :param limit_rate: the rate limit of a volume; 0 for none.
-    :param limit_burst: the burst of the rate limit, in units.
-    :param limit_slack: units by which the bucket may fall below 0 before the site counts it as exceeded.
+    """A plan.  Its limits apply to each volume, over all gateways and nodes together.
+
+    :param base_rate: rate of which nodes report the usage of a volume as a percentage.
+    :param reserved_rate: rate that is reserved for a volume.
+    :param weight: weight of a volume for fair shares of a node.
+    :param value_factor: factor of the priority weights of its volumes' requests.
+    :param limit_rate: rate limit of a volume; 0 for none.
+    :param limit_burst: burst of the rate limit, in units.
+    :param limit_slack: units by which a volume may exceed the rate limit before the site counts a violation.
     """
 
     name: str
@@ -100,27 +102,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What the site states once, when the gateway starts."""
+    """The settings of a site for one gateway."""
 
     classes: tuple[ClassSpec, ...]
     plans: tuple[PlanSpec, ...]
-    # This gateway among all.
+    # The gateways.
     gateway_index: int = 0
     gateways: int = 1
     zone: str = ""
-    tick_ms: float = 0.0  # the resolution of timers
+    tick_ms: float = 0.0  # resolution of timers
     # Requests, nodes and volumes.
     shards: int = 0
-    mean_units: float = 1.0  # of a request
-    max_units: float = 1.0  # of a request
-    fair_share_tier_weight: float = 1.0  # multiplies priority weights within a volume's fair share
-    excess_tier_weight: float = 1.0  # the same beyond it
-    usage_period_ms: float = 0.0  # over which nodes measure a volume's usage
-    counts_other_gateways: bool = False  # nodes state what other gateways sent them
+    mean_units: float = 1.0  # average units of a request
+    max_units: float = 1.0  # maximum units of a request
+    fair_share_tier_weight: float = 1.0  # factor of priority weights within a volume's fair share
+    excess_tier_weight: float = 1.0  # factor of priority weights beyond a volume's fair share
+    usage_period_ms: float = 0.0  # period over which nodes measure the usage of a volume
+    counts_other_gateways: bool = False  # whether nodes report the units received from other gateways
     # Discovery.
-    subscribed: bool = False  # the endpoint list has to be watched
-    poll_within_ms: float = 0.0
-    # What a gateway may do.
+    subscribed: bool = False  # whether the endpoint list has to be watched
+    poll_within_ms: float = 0.0  # maximum time between two polls of the endpoint list
+    # Features that a gateway may use, and their limits.
     max_attempts: int = 1
     hedging_allowed: bool = False
     cancellation_allowed: bool = False
@@ -128,20 +130,23 @@
     peer_messages_allowed: bool = False
     retry_after_allowed: bool = False
     max_retry_after_ms: float = 0.0
-    retries_marked: bool = False  # clients mark requests that they sent before
-    # What a gateway must keep to.
-    answer_slack_ms: float = 0.0  # a final answer may come so long after the deadline
-    drain_grace_ms: float = 0.0  # a draining node serves requests for so long
-    overload_multiple: float = 0.0  # a node that warms up fails at this multiple of what it can serve
-    overload_window_ms: float = 0.0  # and that is counted over this window
-    initial_capacity_share: float = 1.0  # of its capacity, what a node has at its start
-    slow_start_ms: float = 0.0  # how long it takes to warm up
-    warm_up_units: float = 0.0  # that it bears at its start within the overload window, from all gateways
-    ordering_gap_ms: float = 0.0  # the quiet period of an object key after an attempt that may still run
-    retry_budget_free: float | None = None
-    retry_budget_share: float = 0.0  # of the requests within the window
+    retries_marked: bool = False  # whether clients mark their retries
+    # Obligations of a gateway, and properties of nodes.
+    answer_slack_ms: float = 0.0  # time after the deadline within which a final answer is accepted
+    drain_grace_ms: float = 0.0  # grace period in which a draining node serves requests
+    # A node in slow start fails if it is sent this multiple of what it can serve, within the overload window.
+    overload_multiple: float = 0.0
+    overload_window_ms: float = 0.0
+    initial_capacity_share: float = 1.0  # ratio of its capacity that a node has at its start
+    slow_start_ms: float = 0.0  # duration of slow start
+    # Units that a node can be sent at its start by all gateways, within the overload window.
+    warm_up_units: float = 0.0
+    # Quiet period of an object key after an attempt that may still be running.
+    ordering_gap_ms: float = 0.0
+    retry_budget_free: float | None = None  # retries allowed within the window regardless of the requests
+    retry_budget_share: float = 0.0  # retries allowed as a ratio of the requests within the window
     retry_budget_window_ms: float = 0.0
-    # What the site charges for.
+    # Costs charged by the site.
     health_check_cost: float = 0.0
     peer_message_cost: float = 0.0
     wasted_work_cost: float = 0.0
--- a/shaletiller/state/__init__.py
+++ b/shaletiller/state/__init__.py
@@ -1,4 +1,4 @@
-"""State of the decisions: requests, upstreams and volumes, the settings in force, and learned estimates.
+"""State of the scheduler: requests, upstreams, volumes, current settings and latency estimates.
 
-Nothing is decided here; the decisions are in `shaletiller.policy`.
+This package makes no scheduling decisions; those are in `shaletiller.policy`.
 """
--- a/shaletiller/state/invariants.py
+++ b/shaletiller/state/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of the policy's state, checked by tests after events."""
+"""Invariants of the scheduler's state, checked by tests after events."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def validate_state(state: PolicyState, upstreams: Collection[Upstream]) -> None:
-    """Check that queues, slots and attempts agree with each other.
+    """Check that queues, slots and attempts are consistent.
 
-    :raises AssertionError: where they do not.
+    :raises AssertionError: if an invariant is violated.
     """
     _validate_queues(state, upstreams)
     _validate_slots(state, upstreams)
@@ -27,7 +27,7 @@
 
 
 def _validate_queues(state: PolicyState, upstreams: Collection[Upstream]) -> None:
-    """Check that every queued request is pending, and waits in its own queue and there once."""
+    """Check that every queued request is pending, and is exactly once in its own queue and in no other."""
     waiting = []
     for upstream in upstreams:
         assert list(upstream.queues) == [spec.key for spec in state.site.queue_specs]
@@ -39,7 +39,7 @@
 
 
 def _validate_slots(state: PolicyState, upstreams: Collection[Upstream]) -> None:
-    """Check that slots and units in flight of an upstream are those of its attempts that hold a slot."""
+    """Check that the slots and units in flight of an upstream match its attempts that hold a slot."""
     holders = [
         attempt
         for attempt in state.attempts.values()
--- a/shaletiller/state/records.py
+++ b/shaletiller/state/records.py
@@ -1,4 +1,4 @@
-"""Records of volumes, upstreams, requests and attempts."""
+"""State of volumes, queues, upstreams, requests and attempts."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 from shaletiller.state.shares import DecayingShares
 from shaletiller.state.tiers import QueueKey, QueueSpec, Tier
 
-# The mix of classes in a volume's demand is taken over about so many requests.  Empirical: fewer follow a
-# change of the mix sooner, more let a class that is asked for rarely keep its headroom.
+# Approximate number of recent requests from which the mix of classes in a volume's demand is estimated.  A
+# smaller number follows a change of the mix sooner; a larger number preserves the headroom of a class that is
+# requested rarely.
 VOLUME_DEMAND_REQUESTS = 64
 
 
@@ -25,12 +26,12 @@
 
 @dataclass(slots=True, eq=False)
 class VolumeState:
-    """What this gateway knows of a volume.
+    """State of a volume at this gateway.
 
-    :param gateways: the gateways that serve the volume, among which its limits are divided.
-    :param reservation: bucket of its reserved rate.
-    :param rate_limit: bucket of its plan's rate limit.
-    :param rate_limit_since_ms: when that bucket was created, empty.
+    :param gateways: number of gateways that serve the volume, among which its limits are divided.
+    :param reservation: token bucket of its reserved rate.
+    :param rate_limit: token bucket of its plan's rate limit.
+    :param rate_limit_since_ms: time at which the bucket of the rate limit was created, empty.
     """
 
     plan: PlanSpec
@@ -38,18 +39,18 @@
     reservation: TokenBucket
     rate_limit: QuotaBucket
     rate_limit_since_ms: float
-    served_rate: DecayingRate = field(default_factory=DecayingRate)  # units a second, by this gateway
-    other_gateways_rate: float = 0.0  # units a second, as the nodes' usage figures imply
+    served_rate: DecayingRate = field(default_factory=DecayingRate)  # units a second, through this gateway
+    other_gateways_rate: float = 0.0  # units a second, derived from the usage that nodes report
     last_request_ms: float = 0.0
     fair_shares: dict[int, TokenBucket] = field(default_factory=dict)  # by shard
-    demand: DecayingShares = field(default_factory=_volume_demand)  # units requested, by class
+    demand: DecayingShares = field(default_factory=_volume_demand)  # requested units, by class
 
 
 @dataclass(slots=True, eq=False)
 class RequestQueue:
-    """The requests of one class and tier at one upstream.
+    """The queue of one class and tier at one upstream.
 
-    :param slots: requests that may be in flight before the queue depends on capacity left over.
+    :param slots: number of its requests that may be in flight; beyond that it uses remaining capacity only.
     """
 
     spec: QueueSpec
@@ -61,37 +62,38 @@
 
 @dataclass(slots=True, eq=False)
 class Upstream:
-    """A shard and the node that serves it, as this gateway sees them.
+    """State of a shard and of the node that serves it, at this gateway.
 
-    :param concurrency_limit: units that may be in flight (see `shaletiller.policy.concurrency_limit`).
+    :param concurrency_limit: maximum units in flight (see `shaletiller.policy.concurrency_limit`).
     """
 
     shard: int
     concurrency_limit: float
     queues: dict[QueueKey, RequestQueue] = field(default_factory=dict)  # in the order of the settings
-    by_priority: list[RequestQueue] = field(default_factory=list)  # the same, highest weight first
-    reserved_queues: list[RequestQueue] = field(default_factory=list)  # those of the reserved tier
+    by_priority: list[RequestQueue] = field(default_factory=list)  # all queues, highest weight first
+    reserved_queues: list[RequestQueue] = field(default_factory=list)  # the queues of the reserved tier
     node: str | None = None
     in_flight_units: float = 0.0
-    served_units: float = 0.0  # in this round
-    on_time_balance: int = 0  # responses within the latency threshold in this round, less the late ones
-    latency_ms: float = 0.0  # of a mean request, exponentially weighted
-    overdue_streak: int = 0  # attempts overdue since the last response
+    served_units: float = 0.0  # in the current round
+    # Responses within the latency threshold in the current round, minus late responses and rejections.
+    on_time_balance: int = 0
+    latency_ms: float = 0.0  # moving average for a request of mean units
+    overdue_streak: int = 0  # overdue attempts since the last response
     last_response_ms: float = -math.inf
-    warming_up_since_ms: float | None = None
-    warm_up_sends: SlidingWindowSum = field(default_factory=SlidingWindowSum)  # units
-    # Units requested past the reservation, by volume.
+    warming_up_since_ms: float | None = None  # start of the node, None if it is not in slow start
+    warm_up_sends: SlidingWindowSum = field(default_factory=SlidingWindowSum)  # units sent in slow start
+    # Units a second requested beyond the reservation, by volume.
     excess_demand: dict[str, DecayingRate] = field(default_factory=dict)
-    failed_units: DecayingRate = field(default_factory=DecayingRate)  # units a second that failed
+    failed_units: DecayingRate = field(default_factory=DecayingRate)  # failed units a second
 
     def arrange_queues(self, specs: Sequence[QueueSpec], initial_slots: int) -> None:
-        """Create the queues of these specs; a queue that exists already keeps its requests and figures."""
+        """Create the queues of these specs; existing queues keep their requests and state."""
         before, self.queues = self.queues, {}
         for spec in specs:
             queue = before.get(spec.key) or RequestQueue(spec, initial_slots)
             queue.spec = spec
             self.queues[spec.key] = queue
-        # Not in the order of the settings file: that must not decide who is served first.
+        # The order of the settings file must not determine which queue is served first.
         self.by_priority = sorted(
             self.queues.values(),
             key=lambda queue: (-queue.spec.priority_weight, queue.spec.latency_objective_ms),
@@ -99,7 +101,7 @@
         self.reserved_queues = [queue for key, queue in self.queues.items() if key.tier is Tier.RESERVED]
 
     def migrate_to(self, node: str | None, attempts: Iterable[AttemptInFlight]) -> None:
-        """Another node serves the shard: attempts in flight at the previous one hold no slot of this one."""
+        """Assign another node to the shard; attempts in flight at the previous node lose their slots."""
         self.node, self.in_flight_units, self.overdue_streak = node, 0.0, 0
         for queue in self.queues.values():
             queue.in_flight = 0
@@ -110,7 +112,7 @@
                 attempt.holds_slot = False
 
     def queued_units(self) -> float:
-        """Return the units of all requests that wait here."""
+        """Return the units of all queued requests."""
         return sum(pending.units for queue in self.queues.values() for pending in queue.requests)
 
 
@@ -118,12 +120,12 @@
 class PendingRequest:
     """A request from its arrival to its final answer.
 
-    :param queue: its queue at its upstream; until admission decides the tier, that of the reserved tier.
-    :param latency_objective_due_ms: an answer by then meets the latency objective.
-    :param unreached_deadline_ms: while no node has received the request it is given up by then, so that its
-        client has half of its time left to try again; infinite once a node has received it.
-    :param drawn_from: the bucket of its volume that paid for its tier.
-    :param possibly_executed: the first attempt whose work a node may have done.
+    :param queue: its queue at its upstream; the queue of the reserved tier until admission assigns a tier.
+    :param latency_objective_due_ms: time by which a response meets the latency objective.
+    :param unreached_deadline_ms: time at which the request is given up if no node has received it, so that
+        its client has half of its time left to retry; infinity once a node has received it.
+    :param drawn_from: the token bucket of its volume from which the tokens for its tier were drawn.
+    :param possibly_executed: the first attempt that a node may have executed.
     """
 
     id: str
@@ -153,9 +155,9 @@
         now_ms: float,
         unreached_part: float,
     ) -> PendingRequest:
-        """Create the record of a request that arrives now.
+        """Create the state of a request that arrives now.
 
-        :param unreached_part: the part of its time in which a node has to receive it.
+        :param unreached_part: ratio of its time to its deadline within which a node has to receive it.
         """
         time_left_ms = request.deadline_in_ms
         return cls(
@@ -172,7 +174,7 @@
         )
 
     def return_tokens(self) -> None:
-        """Give back, once, the tokens drawn for its tier, unless an attempt was started."""
+        """Return the tokens drawn for its tier, unless an attempt was started; further calls do nothing."""
         if self.drawn_from is not None and not self.attempts_started:
             self.drawn_from.level += self.units
         self.drawn_from = None
@@ -180,7 +182,10 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptInFlight:
-    """An attempt whose outcome is not known yet."""
+    """An attempt whose outcome is not known yet.
+
+    :param holds_slot: whether it counts towards the slots and units in flight of its queue and upstream.
+    """
 
     pending: PendingRequest
     upstream: Upstream
@@ -190,7 +195,7 @@
     holds_slot: bool = True
 
     def release_slot(self) -> None:
-        """Give the slot back, once, unless the shard migrated to another node meanwhile."""
+        """Release the slot, unless the shard has migrated to another node; further calls do nothing."""
         if self.holds_slot and self.node == self.upstream.node:
             self.upstream.in_flight_units = max(0.0, self.upstream.in_flight_units - self.pending.units)
             self.pending.queue.in_flight -= 1
@@ -202,5 +207,5 @@
     """The ordered requests of one object key."""
 
     requests: deque[PendingRequest] = field(default_factory=deque)
-    in_flight: int = 0  # attempts
-    quiet_until_ms: float = 0.0  # an attempt may still run at its node until then
+    in_flight: int = 0  # attempts in flight
+    quiet_until_ms: float = 0.0  # time until which an earlier attempt may still be running at its node
--- a/shaletiller/state/runtime.py
+++ b/shaletiller/state/runtime.py
@@ -1,4 +1,4 @@
-"""All that the policy knows: the settings, the requests and attempts under way, and learned estimates."""
+"""The scheduler's state: settings, pending requests, attempts in flight, volumes and estimates."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(slots=True, eq=False)
 class PolicyState:
-    """What all parts of the policy share.  Times are milliseconds on the clock of the events.
+    """State shared by all components of the policy.  Times are milliseconds on the clock of the events.
 
-    :param actions: what the event that is being handled calls for, in order.
-    :param started_ms: the time of the first event.
-    :param resumed_ms: when the process last ran again after it had missed a whole round.
+    :param actions: the actions that result from the current event, in order.
+    :param started_ms: time of the first event.
+    :param resumed_ms: time at which the process last resumed after it was suspended for more than a round.
     """
 
     site: SiteSettings
@@ -41,10 +41,10 @@
         return cls(site, LatencyEstimates(site), VolumeTable(site))
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take new settings under load.
+        """Apply new settings at runtime.
 
-        What is pending keeps its class; one that is removed is known for as long as requests or attempts of
-        it are under way, and does not count in figures of the whole site.
+        Pending requests keep their class.  A removed class is kept while requests or attempts of it are in
+        progress, but is excluded from values that are derived from all classes of the site.
         """
         under_way = [*self.pending.values(), *(attempt.pending for attempt in self.attempts.values())]
         specs = (*(pending.spec for pending in under_way), *settings.classes)
--- a/shaletiller/state/shares.py
+++ b/shaletiller/state/shares.py
@@ -1,27 +1,28 @@
-"""Shares of classes in recent demand, and the deficit counters that owe each class its share."""
+"""Shares of names (such as classes) in recent demand, and deficit counters."""
 
 from __future__ import annotations
 
 from collections.abc import Container
 
-FORGOTTEN_SHARE = 1e-3  # a name whose share falls below this is dropped, so that old names take no memory
+FORGOTTEN_SHARE = 1e-3  # names with a smaller share are dropped, so that unused names take no memory
 
 
 class DecayingShares:
-    """Each name's share of recent demand, by exponential decay a count (not by time).
+    """The share of each name in recent demand, with exponential decay for each count, not over time.
 
-    An exponentially weighted moving average (J. S. Hunter, 1986) over counts: a gateway may see a thousand
-    requests a second or one in ten seconds, and about the last `memory` of them tell the mix.
+    This is an exponentially weighted moving average (J. S. Hunter, 1986) over counts.  A gateway may receive
+    a thousand requests a second or one in ten seconds; in both cases the mix is estimated from about the last
+    `memory` requests.
     """
 
     def __init__(self, memory: int) -> None:
-        """Start empty; about the last `memory` counts tell the shares."""
+        """Create empty shares, which are determined by about the last `memory` counts."""
         self._decay = 1 - 1 / memory
         self._amounts: dict[str, float] = {}
         self._total = 0.0
 
     def count(self, name: str, amount: float = 1.0) -> None:
-        """Count an amount, not negative, under a name."""
+        """Add a non-negative amount to a name."""
         for each in self._amounts:
             self._amounts[each] *= self._decay
         self._amounts[name] = self._amounts.get(name, 0.0) + amount
@@ -30,37 +31,38 @@
         self._amounts = {each: kept for each, kept in self._amounts.items() if kept >= least}
 
     def share(self, name: str) -> float:
-        """Return a name's share, 0 to 1."""
+        """Return the share of a name, from 0 to 1."""
         return self._amounts.get(name, 0.0) / self._total if self._total > 0 else 0.0
 
     def shares(self) -> list[tuple[str, float]]:
-        """Return all names that are remembered, each with its share."""
+        """Return all known names with their shares."""
         return [(name, self.share(name)) for name in self._amounts]
 
     def share_of(self, names: Container[str]) -> float:
-        """Return the share of several names together."""
+        """Return the total share of several names."""
         return sum(self.share(name) for name in self._amounts if name in names)
 
 
 class DeficitCounters:
-    """The deficit counters of deficit round robin (M. Shreedhar, G. Varghese, 1995), one a name.
+    """The deficit counters of deficit round robin (M. Shreedhar, G. Varghese, 1995), one for each name.
 
-    Not in rounds of fixed quanta: whatever one name spends earns all names their shares of it.
+    Unlike the original there are no rounds with a fixed quantum: each amount that is spent by one name
+    credits all names with their shares of it.
     """
 
     def __init__(self) -> None:
-        """Start with every name at 0."""
+        """Create counters that are 0 for every name."""
         self._deficits: dict[str, float] = {}
 
     def deficit(self, name: str) -> float:
-        """Return what a name is still owed; below 0 it has had more than its share."""
+        """Return the amount that a name is owed, negative if it has received more than its share."""
         return self._deficits.get(name, 0.0)
 
     def spend(self, name: str, amount: float, earns: list[tuple[str, float]], most: float) -> None:
-        """Charge an amount to one name and credit the others with their parts of it.
+        """Charge an amount to a name, and credit names with their shares of it.
 
-        :param earns: the names that are credited, each with its part of the amount.
-        :param most: the bound of each deficit, in either direction.
+        :param earns: the names to credit, with the ratio of the amount that each receives.
+        :param most: maximum absolute value of each deficit.
         """
         deficits = {each: self.deficit(each) + part * amount for each, part in earns}
         deficits[name] = deficits.get(name, self.deficit(name)) - amount
--- a/shaletiller/state/site.py
+++ b/shaletiller/state/site.py
@@ -1,4 +1,4 @@
-"""The settings in force and the figures derived from them."""
+"""The current settings, and values derived from them."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from shaletiller.state.records import PendingRequest
 from shaletiller.state.tiers import QueueKey, QueueSpec, Tier
 
-# A scheduling round lasts this part of the tightest latency objective: a request that waits for the next
-# round still has half of its objective left for the node.
+# Duration of a scheduling round, as a ratio of the tightest latency objective.  A request that waits for the
+# next round still has half of its objective left for the node.
 ROUND_PART = 0.5
-MIN_VALUE = 1e-9  # of the highest value, where all weights are 0: values are divided by it
+MIN_VALUE = 1e-9  # lower bound of the highest value, which is a divisor; all weights may be 0
 
 
 class SiteSettings:
-    """Shared by all parts of the policy; new settings change it in place."""
+    """Settings shared by all components of the policy; new settings are applied in place."""
 
     def __init__(self, settings: Settings) -> None:
-        """Take the first settings."""
+        """Create the site settings from the settings at the start of the gateway."""
         self.update(settings, settings.classes)
 
     def update(self, settings: Settings, classes: tuple[ClassSpec, ...]) -> None:
-        """Take new settings.
+        """Apply new settings.
 
-        :param classes: those of the settings, and removed ones of which requests are still under way.
+        :param classes: the classes of the settings, and removed classes that still have requests in progress.
         """
         self.settings = replace(settings, classes=classes)
         self.class_specs = {spec.name: spec for spec in classes}
@@ -58,5 +58,5 @@
         )
 
     def relative_value(self, pending: PendingRequest) -> float:
-        """Return the value of a request as a part of the highest that any request has at this site."""
+        """Return the ratio of a request's value to the highest value of any request at this site."""
         return pending.queue.spec.priority_weight * pending.volume.plan.value_factor / self.highest_value
--- a/shaletiller/state/tiers.py
+++ b/shaletiller/state/tiers.py
@@ -1,4 +1,4 @@
-"""Tiers of service, and the queues of an upstream: one for each request class in each tier."""
+"""Service tiers, and the keys and specs of queues: an upstream has one for each class and tier."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class Tier(IntEnum):
-    """What a volume is still entitled to at the time of a request, best first."""
+    """The entitlement of a volume at the time of a request, best tier first."""
 
     RESERVED = 0  # within the reserved rate of its plan
     FAIR_SHARE = 1  # within its weighted fair share of the node
-    EXCESS = 2  # beyond both: served only from capacity that is left over
+    EXCESS = 2  # beyond both; served from remaining capacity only
 
 
 class QueueKey(NamedTuple):
-    """Names one queue of an upstream."""
+    """Identifies a queue of an upstream."""
 
     request_class: str
     tier: Tier
@@ -24,11 +24,11 @@
 
 @dataclass(slots=True, frozen=True)
 class QueueSpec:
-    """What the settings in force say about a queue; the same at each upstream.
+    """Parameters of a queue by the current settings; they are the same at each upstream.
 
-    :param priority_weight: what serving one of its requests is worth: the class's weight times the tier's.
-    :param tier_weight: the tier's part of that, 0 to 1.
-    :param latency_objective_ms: of its class.
+    :param priority_weight: payoff of a served request: the weight of the class times the weight of the tier.
+    :param tier_weight: weight of the tier, 0 to 1.
+    :param latency_objective_ms: latency objective of the class.
     :param rounds: scheduling rounds for which a request may wait within its latency objective.
     """
 
--- a/shaletiller/state/volumes.py
+++ b/shaletiller/state/volumes.py
@@ -1,4 +1,4 @@
-"""The volumes with recent requests, and this gateway's quotas of limits that the fleet holds together."""
+"""Volumes with recent requests, and this gateway's quotas of limits that are shared by the fleet."""
 
 from __future__ import annotations
 
@@ -12,31 +12,32 @@
 from shaletiller.state.records import PendingRequest, Upstream, VolumeState
 from shaletiller.state.site import SiteSettings
 
-# A volume without requests for so long is dropped, so that volumes that come and go take no memory.  It is
-# kept longer while its rate limit may not be full again: dropping it would refill the bucket.
+# A volume without requests for this time is removed, so that short-lived volumes do not accumulate in memory.
+# It is kept if its rate limit takes longer than that to refill: if it were created again, its bucket would be
+# full too early.
 VOLUME_EXPIRY_MS = 15_000.0
 
 
 class VolumeTable:
-    """Volumes by name, and quotas by the name of a volume or of a node that warms up."""
+    """Volumes by name, and quotas by the name of a volume or of a node in slow start."""
 
     def __init__(self, site: SiteSettings) -> None:
-        """Start empty."""
+        """Create an empty table."""
         self._site = site
         self._volumes: dict[str, VolumeState] = {}
         self._quotas: dict[str, Quota] = {}
         self._next_expiry_ms = 0.0
 
     def __len__(self) -> int:
-        """Return the number of volumes that are remembered."""
+        """Return the number of volumes in the table."""
         return len(self._volumes)
 
     def __contains__(self, name: str) -> bool:
-        """Whether a volume is remembered."""
+        """Return whether a volume is in the table."""
         return name in self._volumes
 
     def __getitem__(self, name: str) -> VolumeState:
-        """Return a volume by its name."""
+        """Return the volume with this name."""
         return self._volumes[name]
 
     def quota(self, name: str) -> Quota | None:
@@ -44,25 +45,29 @@
         return self._quotas.get(name)
 
     def set_quota(self, event: QuotaUpdated) -> None:
-        """Take the quota that the fleet assigns to this gateway."""
+        """Set a quota that the fleet assigns to this gateway."""
         self._quotas[event.name] = event.quota
 
     def for_request(self, request: Request, now_ms: float, started_ms: float) -> VolumeState:
-        """Return the volume of a request.  The bucket of its rate limit starts empty with the gateway."""
+        """Return the volume of a request, which is created if it is not in the table.
+
+        The bucket of a new volume's rate limit fills from empty since the start of the gateway.
+        """
         plan, gateways = self._site.plans[request.plan], max(1, request.volume_gateways)
         volume = self._volumes.get(request.volume)
         if volume is None:
             buckets = TokenBucket(math.inf, now_ms), QuotaBucket(0.0, started_ms)
             volume = self._volumes[request.volume] = VolumeState(plan, gateways, *buckets, started_ms)
         elif volume.plan != plan:
-            # What was drawn under the previous plan is not known of the new one: its bucket starts empty.
+            # The tokens spent under the previous plan do not carry over to the new one: its bucket starts
+            # empty.
             volume.plan, volume.rate_limit = plan, QuotaBucket(0.0, now_ms)
             volume.rate_limit_since_ms = now_ms
         volume.last_request_ms = now_ms
         return volume
 
     def expire(self, upstreams: Collection[Upstream], now_ms: float) -> None:
-        """Drop volumes without recent requests, at most once in VOLUME_EXPIRY_MS."""
+        """Remove volumes without recent requests; does nothing more often than every VOLUME_EXPIRY_MS."""
         if now_ms < self._next_expiry_ms:
             return
         self._next_expiry_ms = now_ms + VOLUME_EXPIRY_MS
@@ -78,7 +83,7 @@
         return refills and now_ms - volume.last_request_ms >= VOLUME_EXPIRY_MS
 
     def record_outcome(self, pending: PendingRequest, event: AttemptEnded, now_ms: float) -> None:
-        """Learn what other gateways serve of a volume, from the usage stated with an answer."""
+        """Update the rate that a volume uses through other gateways, from the usage reported by a node."""
         volume, served = pending.volume, event.outcome is Outcome.OK
         own_rate = volume.served_rate.add(now_ms, pending.units if served else 0.0)
         if event.usage_percent_plus_one > 0:
@@ -87,7 +92,7 @@
 
 
 def unsent_units(pending: PendingRequest, requests: Iterable[PendingRequest]) -> float:
-    """Return the units of a request and of all others of its volume without an attempt so far."""
+    """Return the units of a request and of all other requests of its volume that were not attempted yet."""
     others = (
         each.units
         for each in requests
