--- a/shaletiller/adapter.py
+++ b/shaletiller/adapter.py
@@ -202,11 +202,11 @@
             groups.append((group["host"], [_read_event(each) for each in group.get("happened") or []]))
         return now_ms, groups
     except json.JSONDecodeError as error:
-        raise WireError(f"not a line of JSON: {error}") from error
+        raise WireError(f"not valid JSON: {error}") from error
     except KeyError as error:
-        raise WireError(f"missing or unknown value {error}") from error
+        raise WireError(f"missing key or unknown value: {error}") from error
     except (TypeError, ValueError, IndexError, AttributeError) as error:
-        raise WireError(f"value out of place: {error}") from error
+        raise WireError(f"malformed value: {error}") from error
 
 
 def _read_event(values: list[Any]) -> WireEvent:
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures found in service and in simulations, each by scripted events to the scheduler alone."""
+"""Regression tests of failures in service and in simulations, with scripted events to the scheduler."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 def in_flight(upstream: Upstream) -> int:
-    """The requests in flight of all queues."""
+    """Return the number of requests in flight of all queues."""
     return sum(queue.in_flight for queue in upstream.queues.values())
 
 
 def fill(gateway: ScriptedGateway, count: int, **changes: object) -> None:
-    """Send so many requests at once."""
+    """Pass several requests to the scheduler at the same time."""
     for n in range(count):
         gateway.request(f"f{n}", **changes)
 
 
 def test_queued_requests_that_would_miss_their_objective_are_rejected_before_they_take_a_slot() -> None:
-    """More requests come than a node has slots, and its responses take longer than the latency objective.
+    """A node has fewer slots than requests, and its responses take longer than the latency objective.
 
-    What is queued can no longer be in time: it must be rejected, and none of it sent.
+    Queued requests can no longer meet the objective; they are rejected and not sent.
     """
     gateway = ScriptedGateway()
     fill(gateway, 12)
@@ -46,9 +46,10 @@
 
 
 def test_resets_of_a_sound_node_do_not_lower_its_concurrency_limit() -> None:
-    """A third of the attempts at a node that is quick otherwise are reset and retried.
+    """A third of the attempts at a node that is fast otherwise are reset and retried.
 
-    Resets say nothing about load: its concurrency limit must not fall, or the node would be starved.
+    Its concurrency limit does not fall: resets do not indicate overload, and the node would receive too few
+    requests.
     """
     gateway = ScriptedGateway()
     for n in range(60):
@@ -62,9 +63,9 @@
 
 
 def test_a_rejected_request_that_was_never_sent_uses_nothing_of_the_rate_limit() -> None:
-    """A volume with a rate limit sends a request while no node is there, and it is rejected.
+    """A request of a volume with a rate limit is rejected because there is no node.
 
-    When a node is back the next request of the volume must find all of its tokens.
+    When a node is available again, all tokens of the volume are left for its next request.
     """
     plan = PlanSpec("basic", base_rate=4, limit_rate=10, limit_burst=20)
     gateway = ScriptedGateway(plans=(plan,))
@@ -79,10 +80,10 @@
 
 
 def test_tokens_of_the_rate_limit_are_drawn_when_a_queued_request_is_sent() -> None:
-    """A request of a limited volume waits for a node until the bucket is full again.
+    """A request of a volume with a rate limit waits for a node until the bucket is full.
 
-    Had it been drawn on arrival, the next request would find a full bucket as well, and both together would
-    exceed the limit.
+    If its tokens had been drawn on arrival, the bucket would be full again for the next request, and both
+    together would exceed the limit.
     """
     plan = PlanSpec("basic", base_rate=4, limit_rate=10, limit_burst=10)
     gateway = ScriptedGateway(
@@ -102,7 +103,7 @@
 
 
 def cut(gateway: ScriptedGateway) -> None:
-    """Let a node time out for a while and respond again."""
+    """Let attempts at a node time out for a while, until it responds again."""
     for n in range(5):
         gateway.request(f"c{n}")
         gateway.run_to(gateway.now + 1200)
@@ -113,9 +114,9 @@
 
 
 def test_lost_responses_of_a_sound_node_do_not_put_it_into_slow_start() -> None:
-    """A node does not respond for a while and then responds again, and the endpoint list knows of no restart.
+    """A node that responds again after a while is not put into slow start.
 
-    It must get its usual work, not that of a node that warms up.
+    The endpoint list reports no restart, so that the node is sent requests as before.
     """
     gateway = ScriptedGateway(warm_up_units=8.0, slow_start_ms=60000.0, gateways=50)
     cut(gateway)
@@ -125,10 +126,7 @@
 
 
 def test_a_node_that_the_list_names_as_just_started_stays_in_slow_start() -> None:
-    """The endpoint list names a node that has just started.
-
-    However fast it responds, it is in slow start until its time is over.
-    """
+    """A node that has just started by the endpoint list stays in slow start, however fast it responds."""
     gateway = ScriptedGateway(entry(started_ms=1.0), slow_start_ms=60000.0)
     for n in range(200):
         gateway.request(f"w{n}")
@@ -139,10 +137,7 @@
 
 
 def test_log_lines_name_the_node_and_what_happened_to_it() -> None:
-    """A node's slow start ends, and later it drains without a successor.
-
-    Each writes one line that names the node.
-    """
+    """The end of a node's slow start and its drain without a successor write one log line each."""
     gateway = ScriptedGateway(entry(started_ms=1.0), slow_start_ms=2000.0, drain_grace_ms=0.0)
     gateway.request("first")
     gateway.end_attempt("first")
@@ -154,13 +149,13 @@
 
 
 def slow_node(gateway: ScriptedGateway) -> None:
-    """One response that shows the node far behind."""
+    """Let a node respond with a latency far above the threshold."""
     gateway.request("slow", volume="v0", plan="basic")
     gateway.end_attempt("slow", latency_ms=240)
 
 
 def trials_of_a_slow_node(**changes: int) -> int:
-    """Count the excess requests that a slow node gets in three seconds, of one every 50 ms."""
+    """Return how many excess requests a slow node is sent in 3 s, of one request every 50 ms."""
     gateway = ScriptedGateway(plans=(PlanSpec("basic", base_rate=4, weight=0.0),), **changes)
     slow_node(gateway)
     for n in range(60):
@@ -172,18 +167,15 @@
 
 
 def test_a_slow_idle_node_gets_excess_work_only_as_a_trial_now_and_then() -> None:
-    """A node is slower than the threshold, and sixty gateways have excess work for it.
+    """Sixty gateways have excess work for a node that is slower than the threshold.
 
-    Each may only try now and then whether it has recovered, or together they would keep it slow.
+    Each sends only occasional trial requests to detect its recovery.  More would keep the node slow.
     """
     assert 1 <= trials_of_a_slow_node(gateways=60) <= 12
 
 
 def test_a_slow_idle_node_still_gets_reserved_work() -> None:
-    """A node has shown one slow response and nothing is in flight there.
-
-    A request within its volume's reservation is sent at once.
-    """
+    """A request within its volume's reservation is sent at once to an idle node, even if it was slow."""
     gateway = ScriptedGateway()
     slow_node(gateway)
     gateway.request("paid", volume="v1")
@@ -191,10 +183,9 @@
 
 
 def test_a_single_response_after_a_pause_replaces_the_known_latency() -> None:
-    """A node was slow ten seconds ago, and nothing was sent to it since.
+    """One fast response after a pause of ten seconds replaces the latency estimate of a slow node.
 
-    One fast response must count for more than all that was known: a gateway with little traffic sees too
-    few to average.
+    A gateway with little traffic receives too few responses to average.
     """
     gateway = ScriptedGateway()
     slow_node(gateway)
@@ -205,7 +196,7 @@
 
 
 def losing(gateway: ScriptedGateway, count: int = 8) -> None:
-    """Bring usual responses, then as many attempts that are never answered, each followed by a response."""
+    """Let attempts be answered, then let as many be lost, each followed by one that is answered."""
     for n in range(count):
         gateway.request(f"u{n}")
         gateway.run_to(gateway.now + 20)
@@ -222,10 +213,10 @@
 
 
 def test_lost_responses_bring_a_hedged_request_while_it_can_be_in_time() -> None:
-    """The responses of one shard's node get lost, so that its overdue attempts are never answered.
+    """The responses of the node of one shard are lost, so that its overdue attempts are never answered.
 
-    A further overdue request must be hedged while the hedge can be in time, and both outcomes must be
-    accounted for without a final answer by the scheduler.
+    Another overdue request is hedged while a hedge can be in time, and the outcomes of both attempts are
+    handled without a final answer by the scheduler.
     """
     gateway = ScriptedGateway(entry(), entry("n2", 1), hedging_allowed=True)
     losing(gateway)
@@ -239,9 +230,9 @@
 
 
 def test_without_hedging_an_overdue_attempt_is_cancelled_before_its_retry() -> None:
-    """Responses get lost at a site that allows cancellation but no hedging.
+    """Responses are lost at a site that allows cancellation but not hedging.
 
-    The overdue attempt must be cancelled first, and its request sent again only after the outcome of that.
+    The overdue attempt is cancelled, and its request is only retried after the outcome of the cancellation.
     """
     gateway = ScriptedGateway(entry(), entry("n2", 1), cancellation_allowed=True)
     losing(gateway)
@@ -254,9 +245,9 @@
 
 
 def test_slow_responses_that_arrive_bring_no_hedged_requests() -> None:
-    """Every other response is late but comes.
+    """Every second response is late but arrives, and each request is sent only once.
 
-    A hedge would only add work to a node that is slow: each request must be sent once.
+    Hedged requests would only add load to a slow node.
     """
     gateway = ScriptedGateway(hedging_allowed=True)
     for n in range(12):
@@ -267,9 +258,9 @@
 
 
 def test_a_request_whose_attempts_both_fail_is_queued_once() -> None:
-    """A hedged request's attempts both fail after its node left the endpoint list.
+    """Both attempts of a hedged request fail after its node has left the endpoint list.
 
-    It must be queued once and get one final answer, not two.
+    The request is queued once and gets one final answer.
     """
     gateway = ScriptedGateway(entry(), entry("n2", 1), hedging_allowed=True)
     losing(gateway)
@@ -283,9 +274,9 @@
 
 
 def test_nothing_is_sent_to_a_node_that_has_just_rejected_work_before_the_next_round() -> None:
-    """A node rejects an attempt for want of capacity.
+    """The retry of a request that a node rejected for lack of capacity waits for the next round.
 
-    The retry must wait for the next round: sent at once it would only be rejected again.
+    If it were sent at once, it would be rejected again.
     """
     gateway = ScriptedGateway(max_attempts=4)
     gateway.request("r1")
@@ -296,16 +287,16 @@
 
 
 def reject_all(gateway: ScriptedGateway) -> None:
-    """Let the node reject all that is in flight."""
+    """Let the node reject all attempts in flight."""
     for name, attempt in list(gateway.scheduler.state.attempts):
         gateway.end_attempt(name, Outcome.FULL, attempt=attempt)
 
 
 def test_gateways_take_turns_at_a_node_that_warms_up_within_its_budget() -> None:
-    """Sixty gateways meet a node that has just started, and all of them have more work than it bears.
+    """Each of sixty gateways has more requests than a node supports that has just started.
 
-    None knows of the others, and an even part is less than one request. What all of them send in any window
-    must stay within the budget, and most of it must be used.
+    The gateways do not communicate, and an equal share of the budget is less than one request.  The units
+    that all of them send in any window stay within the budget, and use most of it.
     """
     count, budget, span, ramp = 60, 40.0, 3000.0, 12000.0
     sends: list[float] = []
@@ -315,7 +306,7 @@
         )
         for n in range(120):
             gateway.request(f"r{n}")
-            reject_all(gateway)  # nothing served: no gateway earns more
+            reject_all(gateway)  # no served units refill the budget of a gateway
             gateway.run_to(gateway.now + 100)
             reject_all(gateway)
         sends += [at for at, action in gateway.log if isinstance(action, SendAttempt)]
@@ -327,9 +318,10 @@
 
 
 def test_outcomes_found_after_the_process_stood_still_do_not_count_against_the_node() -> None:
-    """The process stands still for 900 ms and then finds a response that came long before.
+    """The process is suspended for 900 ms and then handles a response that arrived long before.
 
-    Its latency is the process's own: neither the node's latency nor its concurrency limit may suffer.
+    The measured latency is that of the process: it affects neither the latency estimate of the node nor its
+    concurrency limit.
     """
     gateway = ScriptedGateway()
     gateway.request("r1")
@@ -343,10 +335,9 @@
 
 
 def test_memory_does_not_grow_with_the_volumes_and_nodes_of_a_long_day() -> None:
-    """Clients, volumes, requests and nodes are always new, as on a long day.
+    """The state does not grow as volumes, requests and nodes come and go over a long time.
 
-    Whatever is kept of them must end with them: the second half of the day may not hold more than the
-    first.
+    In the second half of the run the state is at most slightly larger than in the first half.
     """
     gateway = ScriptedGateway()
     sizes = []
@@ -374,9 +365,9 @@
 
 
 def test_a_volume_that_used_its_rate_limit_is_remembered_until_its_bucket_is_full() -> None:
-    """A volume draws on a rate limit that takes longer to refill than idle volumes are remembered.
+    """A volume whose rate limit takes longer to refill than VOLUME_EXPIRY_MS is not removed.
 
-    Forgotten, it would find a full bucket again and exceed its limit.
+    Otherwise it would start with a full bucket again and exceed its limit.
     """
     gateway = ScriptedGateway(plans=(PlanSpec("basic", limit_rate=1, limit_burst=100),))
     gateway.request("r1")
@@ -385,18 +376,18 @@
 
 
 def test_a_rate_that_decays_takes_no_slot_and_no_memory() -> None:
-    """A class that is no longer requested leaves a rate that halves for ever.
+    """The decaying arrival rate of a class that is no longer requested is rounded to 0.
 
-    It must count as none: each new figure would be computed and cached for nothing.
+    Otherwise the result for each new value would be computed and cached.
     """
     assert {rounded_rate(0.04 * 0.5**n) for n in range(1000)} == {0.0}
     assert rounded_rate(5.0) > 4.0
 
 
 def test_no_timer_is_started_for_an_attempt_that_ends_before_it_is_overdue() -> None:
-    """The deadlines of these requests come before their attempts could be overdue.
+    """No timer is started for an attempt whose deadline comes before it is overdue.
 
-    No timer may be started for them: thousands a second would expire for nothing.
+    Otherwise thousands of timers would expire each second without effect.
     """
     gateway = ScriptedGateway()
     for n in range(20):
@@ -405,9 +396,9 @@
 
 
 def test_a_node_too_slow_for_reads_takes_no_exports_that_keep_it_slow() -> None:
-    """A node's responses are in time for exports, whose objective is two seconds, but not for reads.
+    """The responses of a node are in time for exports, with an objective of 2 s, but too late for reads.
 
-    Exports must yield: else they would keep the node too slow for reads for good.
+    Exports are not sent: they would keep the node too slow for reads permanently.
     """
     export = ClassSpec(
         "export", latency_objective_ms=2000, deadline_ms=4000, priority_weight=1, effect=Idempotency.SAFE
@@ -419,42 +410,43 @@
         gateway.end_attempt(name, latency_ms=240)  # in time for exports, not for reads
     upstream, before = gateway.upstream(), len(gateway.sent())
     assert upstream.on_time_balance < 0
-    gateway.request("pending", deadline_in_ms=4000.0)  # something is in flight, so that no trial is due
+    gateway.request("pending", deadline_in_ms=4000.0)  # in flight, so that no trial request is allowed
     gateway.request("more", request_class="export", deadline_in_ms=4000.0)
     assert "more" not in gateway.sent()
     assert len(gateway.sent()) <= before + 1
 
 
 def test_a_late_round_lowers_a_concurrency_limit_only_in_part() -> None:
-    """A node with a high limit pauses once, so that one round serves little and late.
+    """A node with a high limit pauses once, so that it serves few units in one round, and late.
 
-    Its limit may fall only in part: it will serve as much as before.
+    Its limit falls only partially, as the node will serve as much as before.
     """
     gateway = ScriptedGateway()
     upstream = gateway.upstream()
     upstream.concurrency_limit, upstream.served_units, upstream.on_time_balance = 40.0, 4.0, -1
     adjust_limit(upstream, 2.0)
-    assert 30.0 < upstream.concurrency_limit < 40.0  # a node that paused once serves as much as before
+    assert 30.0 < upstream.concurrency_limit < 40.0
 
 
 def test_queued_requests_are_given_up_by_the_latency_of_their_own_size() -> None:
-    """Requests of eight units are queued at a node whose mean request takes 110 ms.
+    """Requests of eight units are queued at a node whose latency for a mean request is 110 ms.
 
-    By that mean they would be in time; by their own size they can not, and must be rejected now.
+    With the latency of a mean request they would be in time; with that of their own size they would be late
+    and are rejected.
     """
     gateway = ScriptedGateway()
     fill(gateway, 12, units=8.0)
     gateway.upstream().latency_ms = 110.0
     gateway.run_to(130)
     waiting = [f"f{n}" for n in range(12) if not gateway.finals(f"f{n}") and f"f{n}" not in gateway.sent()]
-    assert not waiting  # eight units take two and a half times as long as the mean: not in 250 ms
+    assert not waiting  # eight units take 2.5 times as long as the mean request: more than 250 ms
 
 
 def test_a_request_that_would_wait_past_its_objective_is_rejected_at_once() -> None:
-    """Four requests are in flight and two queued.
+    """Four requests are in flight and two are queued.
 
-    While the node is slow a further one would wait past its objective: it is rejected on arrival, not after
-    its client has waited. Once the node is fast again the next one may wait.
+    While the node is slow, another request would miss its objective in the queue: it is rejected on arrival,
+    so that its client does not wait in vain.  Once the node is fast again the next one is queued.
     """
     gateway = ScriptedGateway()
     upstream = gateway.upstream()
@@ -462,8 +454,8 @@
     for queue in upstream.queues.values():
         queue.slots = 4
     fill(gateway, 6)
-    assert not [n for n in range(6) if gateway.finals(f"f{n}")]  # four are out, two wait: there is room
-    upstream.latency_ms = 200.0  # half of it for the two, and one for itself, is more than 250
+    assert not [n for n in range(6) if gateway.finals(f"f{n}")]  # four in flight, two queued
+    upstream.latency_ms = 200.0  # 100 ms for the two queued requests plus 200 ms are more than 250 ms
     gateway.request("late")
     assert gateway.finals("late")
     upstream.latency_ms = 10.0
@@ -474,8 +466,8 @@
 def test_a_node_that_returns_gets_no_slots_back_for_earlier_attempts() -> None:
     """A node drains and is ready again while attempts are in flight.
 
-    Their outcomes must give back no slots, as their slots were cleared: the counts stood at nothing and at
-    -2, and the node got too much work.
+    Their slots were cleared by the drain, so that their outcomes release no slots.  When they did, 0 units
+    and -2 slots were counted in flight, and the node was sent too many requests.
     """
     gateway = ScriptedGateway()
     fill(gateway, 3)
@@ -489,20 +481,20 @@
     assert (upstream.in_flight_units, in_flight(upstream)) == (
         2.0,
         1,
-    )  # the new one alone; it stood at nothing and at -2
+    )  # only the new request
 
 
 def test_a_request_that_no_node_received_is_given_up_before_half_of_its_time() -> None:
     """Connections to a node fail.
 
-    A request that no node received must be rejected early enough for its client to try again elsewhere; one
-    that a node has received is worth the rest of its time.
+    A request that no node has received is rejected early enough for its client to retry elsewhere.  A request
+    that a node has received is retried until its deadline.
     """
     gateway = ScriptedGateway()
     gateway.request("far")
     gateway.run_to(400)
     gateway.end_attempt("far", Outcome.CONNECT_FAILED, latency_ms=250)
-    assert gateway.finals("far")  # the next try would not be known before 600
+    assert gateway.finals("far")  # the outcome of a retry would not be known before 600 ms
     gateway.request("near")
     gateway.run_to(500)
     gateway.end_attempt("near", Outcome.CONNECT_FAILED, latency_ms=1)
@@ -510,22 +502,23 @@
     assert gateway.sent().count("near") == 2
     gateway.end_attempt("near", Outcome.ERROR, attempt=1)
     gateway.run_to(1300)
-    assert gateway.sent().count("near") == 3  # a node has received it: the rest of its time may be used
+    assert gateway.sent().count("near") == 3  # retried until its deadline, as a node has received it
 
 
 def test_a_request_that_waits_for_a_node_is_given_up_before_half_of_a_short_time() -> None:
-    """No node holds the shard, and the client waits for 300 ms only.
+    """No node holds the shard, and the client waits for only 300 ms.
 
-    The request must be rejected in the round before half of that, as the next round comes too late.
+    The request is rejected in the last round before half of that time.
     """
     gateway = ScriptedGateway()
     gateway.handle(EndpointListUpdate(UpdateKind.FULL, ()))
     gateway.request("short", deadline_in_ms=300.0)
     gateway.run_to(126)
-    assert gateway.finals("short")  # the next round comes at 250
+    assert gateway.finals("short")  # the next round is at 250 ms
 
 
 def test_a_node_that_fails_at_once_attracts_no_new_objects() -> None:
+    """A node that fails its requests within 1 ms is always idle, but is sent only few of the new objects."""
     gateway = ScriptedGateway(entry(), entry("n2", 1))
     for n in range(20):
         gateway.request(f"o{n}", shard=-1)
@@ -543,10 +536,10 @@
 
 
 def test_what_a_warming_node_serves_lets_gateways_send_more_but_never_past_half_the_multiple() -> None:
-    """Forty gateways with little traffic each meet one node that warms up and serves 30 units a window.
+    """Forty gateways with little traffic send to one node in slow start, which serves 30 units in a window.
 
-    What it serves lets each send more than its turns allow, but all together never more than the budget and
-    half of the overload multiple.
+    The units that it serves let each gateway send more than in its turns, but all together never more than
+    the budget plus half of the overload multiple of the units that the node can serve.
     """
     count, budget, span, can = 40, 8.0, 3000.0, 30.0
     fleet = [
@@ -568,20 +561,20 @@
         inside = sum(first <= each < first + span for each in sent)
         assert 2.0 * inside <= budget * (0.25 + 0.75 * (first + span) / 12000.0) / 0.25 + 4.0 / 2 * can
     most = max(sum(first <= each < first + span for each in sent) for first in sent)
-    assert 2.0 * most > budget * (0.25 + 0.75 * 6000.0 / 12000.0) / 0.25  # past what the turns alone allow
+    assert 2.0 * most > budget * (0.25 + 0.75 * 6000.0 / 12000.0) / 0.25  # more than the turns alone allow
 
 
 def test_a_concurrency_limit_does_not_grow_beyond_what_its_node_has_shown() -> None:
-    """A node serves little, but always in time.
+    """The concurrency limit of a node that serves few units, always in time, stays near what it has served.
 
-    Growing by a request a round, a limit stood at 25 units at nodes that serve a dozen within the objective:
-    the next surge went out complete, all of it late. A limit must stay near what its node has served, and
-    follow where a larger node serves more.
+    When the limit grew by one request in each round, it reached 25 units at nodes that serve a dozen within
+    the objective: the next surge was sent completely, and all of it was late.  The limit grows when a larger
+    node serves more.
     """
     gateway = ScriptedGateway()
     upstream, one = gateway.upstream(), 2.0
     for _ in range(40):
-        upstream.served_units, upstream.on_time_balance = 4.0, 1  # so little, in time each round
+        upstream.served_units, upstream.on_time_balance = 4.0, 1  # few units, in time, in each round
         upstream.in_flight_units = upstream.concurrency_limit
         adjust_limit(upstream, 2.0)
     assert upstream.concurrency_limit <= 9 * one
@@ -589,21 +582,21 @@
         upstream.served_units, upstream.on_time_balance = (
             30.0,
             1,
-        )  # a larger node shows what it can do, and gets it
+        )  # a larger node serves more units in time
         adjust_limit(upstream, 2.0)
     assert upstream.concurrency_limit > 25 * one
 
 
 def test_excess_work_does_not_wait_for_a_node_that_is_too_slow_for_it() -> None:
-    """Excess work waited behind all other work at a slow node, and was rejected after its objective.
+    """Excess work is not queued at a node that is too slow for it; work within the fair share is.
 
-    It must be rejected at once; work within its fair share may wait.
+    Excess work used to wait behind all other work, and was rejected after its objective.
     """
     plan = PlanSpec("basic", base_rate=4, reserved_rate=0.001)
     gateway = ScriptedGateway(plans=(plan,))
     fill(gateway, 3)
     upstream = gateway.upstream()
-    upstream.latency_ms = 60.0  # with that alone it would be in time
+    upstream.latency_ms = 60.0  # by this latency alone the request would be in time
     pending = gateway.scheduler.state.pending["f2"]
     for tier, waits in ((Tier.FAIR_SHARE, True), (Tier.EXCESS, False)):
         pending.queue = upstream.queues[QueueKey("read", tier)]
@@ -611,33 +604,33 @@
 
 
 def test_the_wait_for_a_slow_node_counts_the_time_to_its_next_trial() -> None:
-    """A node is too slow, and something is in flight.
+    """A node is too slow, and has requests in flight, so that a request has to wait for a trial.
 
-    A request would be in time on its own, but not behind half of what is in flight on average: it must not
-    wait.
+    On average the next trial is half a node latency away.  With this time the request would miss its
+    objective: it is not queued.
     """
     gateway = ScriptedGateway()
     fill(gateway, 3)
     upstream, pending = gateway.upstream(), gateway.scheduler.state.pending["f2"]
-    upstream.latency_ms = 180.0  # on its own it is in time, after half of what is out before it it is not
+    upstream.latency_ms = 180.0  # in time by itself, but not with half of it in addition
     assert gateway.now + upstream.latency_ms < pending.latency_objective_due_ms
     assert not gateway.scheduler.admission.may_queue(pending, upstream)
 
 
 def test_tests_of_a_slow_node_are_counted_by_the_hosts_that_meet_it() -> None:
-    """Of 200 gateways each uses one node in twenty, and waited as if all of them tried every node:
+    """The pause between trial requests to a slow node depends on the number of gateways that use the node.
 
-    work that can wait was given up before its turn. The pause between trials must go by the gateways that
-    use the node.
+    Each of 200 gateways used one node in twenty, but paused as if all of them used every node: work with
+    loose objectives was given up before its trial.
     """
-    assert trials_of_a_slow_node(gateways=200, shards=1) <= 1  # all 200 meet the one node there is
-    assert trials_of_a_slow_node(gateways=200, shards=20) >= 4  # ten meet it
+    assert trials_of_a_slow_node(gateways=200, shards=1) <= 1  # all 200 gateways use the only node
+    assert trials_of_a_slow_node(gateways=200, shards=20) >= 4  # ten gateways use the node
 
 
 def test_a_drain_announced_while_the_watch_was_interrupted_leaves_less_of_its_time() -> None:
-    """A drain may have been announced 400 ms before its update came, as the watch was interrupted.
+    """A drain may have been announced up to 400 ms before its update arrived, as the watch was interrupted.
 
-    Its grace time counts from then: the request at 150 ms must not be sent.
+    The grace period is counted from then, so that the request at 150 ms is not sent.
     """
     for staleness_ms, sends in ((0.0, True), (400.0, False)):
         gateway = ScriptedGateway(drain_grace_ms=1000.0)
@@ -648,15 +641,16 @@
         )
         gateway.run_to(
             150.0
-        )  # 1,000 less 250 for a connection and 250 for two rounds: 500 after the announcement
+        )  # sending ends 1000 - 250 (connect timeout) - 250 (two rounds) = 500 ms after the announcement
         gateway.request("r1")
         assert ("r1" in gateway.sent()) is sends
 
 
 def test_the_retry_of_a_keyed_request_has_to_start_within_its_key_ttl() -> None:
-    """A keyed request is reset 100 ms after its first attempt, and its key is known for 300 ms.
+    """A keyed request is reset 100 ms after its first attempt, and nodes remember its key for 300 ms.
 
-    The retry has 200 ms to start: on a connection that comes up later its work might be done twice.
+    The retry has to start within 200 ms: on a connection that is established later, the request might be
+    executed twice.
     """
     keyed = replace(
         SAFE, effect=Idempotency.KEYED, deduplication_scope=DeduplicationScope.ALL, key_ttl_ms=300.0
@@ -670,10 +664,9 @@
 
 
 def test_new_settings_leave_nothing_of_the_old_ones_but_what_is_held() -> None:
-    """Settings change under load:
+    """New settings remove a class with a request in flight, add another, and give a plan a rate limit.
 
-    a class is removed while one of its requests is in flight, another is added, and a plan gets a rate
-    limit. Figures must be those of the new settings; the removed class is known as long as its request is;
+    Derived values are those of the new settings, the removed class is kept until its request has ended, and
     the new limit starts with an empty bucket.
     """
     quick = replace(SAFE, name="quick", latency_objective_ms=20.0, deadline_ms=100.0, priority_weight=50.0)
@@ -689,14 +682,14 @@
     site = scheduler.state.site
     assert site.round_ms > round_ms
     assert site.highest_value == SAFE.priority_weight * limited.value_factor
-    assert set(site.class_specs) == {"other", "read", "quick"}  # the last for its pending request
+    assert set(site.class_specs) == {"other", "read", "quick"}  # "quick" for its pending request
     upstream = gateway.upstream()
     assert len(upstream.queues) == len(upstream.by_priority) == 9
     assert len(upstream.reserved_queues) == 3
     assert in_flight(upstream) == 1
     assert scheduler.state.pending["pending"].queue.in_flight == 1
     scheduler.validate_state()
-    gateway.request("limited", volume="v9", units=4.0)  # its store is empty: what went before is not known
+    gateway.request("limited", volume="v9", units=4.0)  # the bucket of the new limit is empty
     assert gateway.finals("limited")
     assert "limited" not in gateway.sent()
     gateway.end_attempt("pending")
--- a/tests/policy/test_guarantee.py
+++ b/tests/policy/test_guarantee.py
@@ -1,8 +1,8 @@
-"""Each class with demand gets its guaranteed part, whatever the settings and the mix.
+"""Property tests of the scheduler with random settings, classes and load.
 
-The node of this test does the work: it serves requests in order of arrival, `workers` at a time, each for as
-long as the drawn classes say.  No rate limit is exceeded, no node in slow start overloaded and no unsafe
-request sent twice on the way.
+Each class with demand gets its guaranteed share, no rate limit is exceeded, no node in slow start is
+overloaded, and no unsafe request is sent twice.  The simulated node serves requests in order of arrival with
+a fixed number of workers, for a service time that depends on the class and the units.
 """
 
 from __future__ import annotations
@@ -32,14 +32,20 @@
 
 @dataclass
 class Customer:
-    """Drawn classes, each with its work (milliseconds a request) and its part of the requests."""
+    """A random site: its classes, plan, settings and load.
+
+    :param works_ms: service time of a request of mean units, by class.
+    :param parts: relative frequency of requests, by class.
+    :param changes: settings that differ from their defaults.
+    :param load: ratio of the load to the capacity of the node.
+    """
 
     classes: tuple[ClassSpec, ...]
     works_ms: tuple[float, ...]
     parts: tuple[float, ...]
     plan: PlanSpec
     changes: dict[str, Any]
-    load: float  # of what the node can do
+    load: float
     seed: int
 
 
@@ -89,19 +95,20 @@
 
 @dataclass
 class Day:
-    """One gateway before one node; what came, what went out and what was given up."""
+    """A simulated run of one gateway and one node, with a record of its requests and attempts."""
 
     customer: Customer
     workers: int = 4
     cold: bool = False
     sent: list[tuple[float, str, float]] = field(default_factory=list)  # time, class, units
     asked: list[tuple[float, str, float]] = field(default_factory=list)
-    denied: list[str] = field(default_factory=list)  # on arrival, while their class was owed the most
+    # Requests given up on arrival while the deficit of their class was at its maximum.
+    denied: list[str] = field(default_factory=list)
     served: list[tuple[float, float]] = field(default_factory=list)  # time, units
-    repeated: set[str] = field(default_factory=set)
+    repeated: set[str] = field(default_factory=set)  # requests with more than one attempt
 
     def __post_init__(self) -> None:
-        """Prepare the scheduler, the node's workers and the queue of events."""
+        """Create the scheduler, the node's workers and the queue of events."""
         known = self.customer
         self._random = random.Random(known.seed)
         self._scheduler = Scheduler(
@@ -135,7 +142,7 @@
         heapq.heappush(self._queue, (at, self._count, event))
 
     def play(self) -> Day:
-        """Play the day to its end."""
+        """Run the simulation to its end."""
         started = 1.0 if self.cold else 0.0
         node = EndpointEntry("n", "a", 0, EndpointState.READY, 1.0, started)
         self._put(1.0, EndpointListUpdate(UpdateKind.FULL, (node,)))
@@ -183,7 +190,7 @@
                 self._serve(now, action)
 
     def _serve(self, now: float, action: SendAttempt) -> None:
-        """Let the first free worker serve an attempt; a few of them fail."""
+        """Let the first free worker serve an attempt; about 2 % of the attempts fail."""
         name, units = action.request.split()[0], self._units[action.request]
         number = self._attempts.get(action.request, 0)
         self._attempts[action.request] = number + 1
@@ -208,8 +215,8 @@
     return {name: part / max(sum(asked.values()), 1e-9) for name, part in asked.items()}
 
 
-# The examples are drawn by a digest of the test's own text (`derandomize`): an edit of one of the three tests
-# below, of its name or docstring too, draws others.  Comments do not count.
+# With `derandomize` the examples are derived from a digest of the source of each test.  Any edit of one of
+# the three tests below, including its name and docstring, changes its examples; edits of comments do not.
 FEW = settings(
     max_examples=15,
     deadline=None,
@@ -219,8 +226,8 @@
 )
 
 
-# Whatever the classes, their weights and the load: of all units that are sent each class with demand gets its
-# guaranteed share, but for what its deficit counter may be off by.
+# For any classes, weights and load, each class with demand gets its guaranteed share of all units that are
+# sent, within the bound of its deficit counter.
 @FEW
 @given(customers())
 def test_each_class_with_demand_gets_its_part_of_what_is_released(customer: Customer) -> None:
@@ -229,14 +236,15 @@
     for name, share in worth_shares(day).items():
         asked = sum(units for _, each, units in day.asked if each == name)
         got = sum(units for _, each, units in day.sent if each == name)
-        # What the account may be off by, and what the mix of the last hundred requests is beside the day's.
+        # Tolerance for the bound of the deficit counter, and for the difference between the mix of the last
+        # hundred requests and the mix of the whole run.
         spare = 2 * CREDIT_REQUESTS * MEAN_UNITS + 0.1 * asked
         assert got >= min(asked, GUARANTEED * share * released) - spare, (name, share, asked, got, released)
     assert customer.plan.limit_rate or not day.denied
 
 
-# Whatever the classes and the load: in any span of time no volume sends more than its burst and rate allow,
-# and no unsafe request whose attempt failed is sent again.
+# For any classes and load, no volume sends more in any interval than its burst and rate allow, and no unsafe
+# request is sent again after its attempt has failed.
 @FEW
 @given(customers())
 def test_no_limit_is_passed_and_no_write_runs_twice(customer: Customer) -> None:
@@ -250,12 +258,12 @@
         total = 0.0
         for now, _, units in day.sent[at : at + 400]:
             total += units
-            # Three volumes, each with a limit of its own.
+            # Three volumes, each with its own limit.
             assert total <= 3 * (plan.limit_burst + plan.limit_rate * (now - from_ms) / 1000) + 1e-6
 
 
-# Whatever the classes and the load: within the overload window a node that warms up gets its safe budget and
-# half the overload multiple of what it served, and no more.
+# For any classes and load, a node in slow start is sent at most its warm-up budget plus half the overload
+# multiple of what it served, within the overload window.
 @FEW
 @given(customers())
 def test_a_cold_node_gets_no_more_than_it_bears(customer: Customer) -> None:
@@ -266,7 +274,7 @@
             break
         sent = sum(units for at, _, units in day.sent if now - span_ms < at <= now)
         served = sum(units for at, units in day.served if now - span_ms < at <= now)
-        # What it surely bears now, and half the rule's multiple of what it has shown that it can do.
+        # The current warm-up budget, and half the overload multiple of the units served.
         assert (
             sent <= 30.0 * (start + (1 - start) * now / slow_start_ms) / start + multiple / 2 * served + 1e-6
         )
@@ -282,10 +290,10 @@
 
 @pytest.mark.parametrize(("load", "least"), [(1.5, 0.8), (3.0, 0.6)])
 def test_light_work_of_high_priority_is_not_crowded_out_by_heavy_work(load: float, least: float) -> None:
-    """Half of all requests weigh most and take 5 ms of work due in 60 ms, beside 90 ms due in 3 s.
+    """Half of the requests have priority, take 5 ms and are due in 60 ms; the others take 90 ms, due in 3 s.
 
-    The node's latency is that of the heavy work, and every request of the light class was taken for late.
-    Most of the light class must be sent.
+    Most of the light requests are sent.  The latency of the node is dominated by the heavy requests, and all
+    light requests used to be considered late.
     """
     plan = PlanSpec("p", base_rate=20, reserved_rate=10)
     customer = Customer((DEAR, CHEAP), (5.0, 90.0), (0.5, 0.5), plan, {"max_attempts": 2}, load, 7)
@@ -299,7 +307,7 @@
 
 
 def request_both(gateway: ScriptedGateway, until_ms: float, dear_every_ms: float = 250.0) -> None:
-    """A volume whose classes ask for more together than its limit lets through."""
+    """Send requests of both classes, whose demand together exceeds the rate limit of their volume."""
     while gateway.now < until_ms:
         for request_class in ("cheap", "dear") if gateway.now % dear_every_ms == 0 else ("cheap",):
             name = f"{request_class} {gateway.now}"
@@ -310,38 +318,39 @@
 
 
 def test_a_rate_limit_goes_to_the_higher_class_and_not_to_whoever_comes_first() -> None:
-    """The classes of a volume request more together than its rate limit lets through.
+    """The demand of the classes of a volume exceeds its rate limit.
 
-    Whoever came first spent it: the highest class got no more of it than any other. It must get most; the
-    lower one has its guaranteed part.
+    The higher class gets most of the tokens, the lower class its guaranteed share.  When tokens were spent in
+    order of arrival, the higher class got no more than the other.
     """
     gateway = ScriptedGateway(classes=(CHEAP, DEAR), plans=(TIGHT,))
     request_both(gateway, 60_000.0)
     sent = [name.split()[0] for name in gateway.sent()]
-    assert sent.count("dear") > 3 * sent.count("cheap") > 0  # the cheap one has its guaranteed part
+    assert sent.count("dear") > 3 * sent.count("cheap") > 0
 
 
 def test_a_bucket_that_has_just_started_is_not_kept_as_headroom() -> None:
-    """With a full burst kept as headroom, a process a minute old let nothing of lower classes through.
+    """Requests of the lower class are sent within seconds after the start of the gateway.
 
-    Some of them must be sent within seconds.
+    When headroom was computed from the full burst, none were sent within the first minute.
     """
     gateway = ScriptedGateway(classes=(CHEAP, DEAR), plans=(TIGHT,))
     request_both(gateway, 4_000.0, dear_every_ms=1000.0)
     sent = [name.split()[0] for name in gateway.sent()]
-    assert sent.count("cheap") >= 3  # of sixteen units that have come in the other class had at most eight
+    assert sent.count("cheap") >= 3  # 16 units were added to the bucket; "dear" used at most 8 of them
 
 
 def test_a_rejected_request_returns_the_tokens_of_its_reservation() -> None:
-    """A node is too slow and full, so that reserved requests are rejected on arrival.
+    """Requests that are rejected on arrival return the tokens that they drew from the reservation.
 
-    They drew tokens of their volume's reservation, which must be there for the next request.
+    Otherwise the next request of the volume would not find its reserved tokens.
     """
     gateway = ScriptedGateway(plans=(PlanSpec("basic", base_rate=4, reserved_rate=1.0),))
     gateway.request("first")
     gateway.end_attempt("first")
     upstream, volume = gateway.upstream(), gateway.scheduler.state.volumes["v1"]
-    upstream.latency_ms, upstream.in_flight_units = 900.0, upstream.concurrency_limit  # too slow for anything
+    # The node is too slow and has no free capacity.
+    upstream.latency_ms, upstream.in_flight_units = 900.0, upstream.concurrency_limit
     before = volume.reservation.level
     for number in range(3):
         gateway.request(f"refused {number}")
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of the scheduler's state hold after every event of a random day."""
+"""Tests that the invariants of the scheduler's state hold after every event of a random sequence."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RandomDay:
-    """Random requests, outcomes, disconnections, list updates and new settings at one gateway."""
+    """Random requests, outcomes, disconnections, endpoint list updates and new settings at one gateway."""
 
     def __init__(self, seed: int, **changes: bool) -> None:
         self.random = random.Random(seed)
@@ -103,10 +103,10 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("hedging_allowed", [False, True])
 def test_queues_slots_and_attempts_agree_after_every_event(seed: int, hedging_allowed: bool) -> None:
-    """Requests of all classes come while nodes drain, leave and return, and settings change.
+    """Invariants hold while requests of all classes arrive, nodes come and go, and settings change.
 
-    Were a slot given back twice, or a request left in a queue after its answer, a node would get more work
-    than its concurrency limit or none at all, and only after hours would anybody notice.
+    If a slot were released twice, or a request stayed in a queue after its final answer, a node would be sent
+    more than its concurrency limit or nothing at all, which would only be noticed after hours.
     """
     day = RandomDay(seed, hedging_allowed=hedging_allowed, cancellation_allowed=not hedging_allowed)
     for _ in range(700):
@@ -117,4 +117,4 @@
     assert len(day.gateway.sent()) > 100
     day.gateway.run_to(day.gateway.now + 2_000.0)
     waiting = [each for each in day.gateway.scheduler.state.pending.values() if not each.attempts_in_flight]
-    assert all(each.response_started for each in waiting)  # nothing else passes its deadline unanswered
+    assert all(each.response_started for each in waiting)  # all others are answered by their deadline
--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -1,7 +1,7 @@
-"""The same day of two customers, whose classes, plans and tenants differ in name and order.
+"""Tests that decisions do not depend on the names and the order of a customer's classes, plans and tenants.
 
-Each request gets the same response over sockets, and each decision of the scheduler is the same; no name of
-one site occurs in the program.
+The same requests of two customers with different names and orders get the same responses over sockets and the
+same decisions of the scheduler.  The names of one site do not occur in the program.
 """
 
 from __future__ import annotations
@@ -48,10 +48,10 @@
 PLANS = [
     {"name": "one", "base-rate": 50.0, "reserve": 20.0, "proportion": 1.0, "value-factor": 0.7},
     {"name": "two", "base-rate": 50.0, "reserve": 20.0, "proportion": 3.0, "value-factor": 0.9},
-    # Its burst is less than a request: each is rejected.
+    # Its burst is smaller than a request, so that each request is rejected.
     {"name": "three", "base-rate": 50.0, "proportion": 4.0, "ceiling-rate": 0.001, "burst": 1.0},
 ]
-# Two customers: the names of the second, and the order in which its settings hold them.
+# The second customer: its names of the classes and plans above, and their order in its settings.
 NAMES = {
     "reads": "Zaehler",
     "writes": "a.b c",
@@ -65,7 +65,11 @@
 
 
 def customer(renamed: bool, moved: bool | None = None) -> dict[str, Any]:
-    """The settings of either customer; `moved`: whether in another order, where not as they are named."""
+    """Return the settings of a customer.
+
+    :param renamed: whether to use the names of the second customer.
+    :param moved: whether to use the order of the second customer; None for the same as `renamed`.
+    """
     moved = renamed if moved is None else moved
     order, plans = (CLASS_ORDER, PLAN_ORDER) if moved else (range(4), range(3))
     return {
@@ -84,26 +88,26 @@
     return f"{(0xF00D - tenant * 7) if renamed else tenant + 1:016x}"
 
 
-# The gateway's time passes in such steps while its requests wait for it, and once between two waves.
+# The gateway's clock advances in steps of this length while all requests wait for it, and between two waves.
 STEP_MS = 5.0
-# A guard against a day that hangs, and no bound on its speed.
+# Guards against a run that hangs; it is not a limit of the speed.
 WAVE_TIMEOUT_S = 60.0
 
-# How the first attempt of a request ends; the later ones are served.
+# How the first attempt of a request ends; later attempts are served.
 FATES = ("ok", "reset", "error", "not started", "cut", "no node", "silent")
 
 
 class OverSockets(RaceScenario):
-    """A day of requests of each class, plan and fate, in waves; what each gets, and how often it goes out.
+    """Sends waves of requests of each class, plan and fate; records their responses and numbers of attempts.
 
-    The gateway's time passes only while all requests of a wave wait for it: what is decided then does not
-    depend on how long the machine takes.
+    The gateway's clock advances only while all requests of a wave wait for it, so that decisions do not
+    depend on the speed of the machine.
     """
 
     async def day(self, renamed: bool) -> list[tuple[int, bytes, int]]:
         rng = random.Random(18)
         self.renamed = renamed
-        self.sent: dict[int, int] = {}  # how often each request has reached a node
+        self.sent: dict[int, int] = {}  # attempts received by a node, by request
         self.plan = [
             (rng.randrange(4), rng.choice((0, 0, 1, 1, 2)), rng.choice(FATES[:6]), rng.randrange(5))
             for _ in range(150)
@@ -119,7 +123,7 @@
         return found
 
     async def respond(self, party: Any, found: Any) -> None:
-        """Respond as the node to an attempt, by its request's fate."""
+        """Respond to an attempt as the node, according to the fate of its request."""
         _, headers, _, writer, _ = found
         number = int(headers["request-id"].split("-")[1])
         self.sent[number] = self.sent.get(number, 0) + 1
@@ -142,7 +146,7 @@
             )
 
     async def request(self, number: int) -> tuple[int, bytes, int]:
-        """Send a request as its client; return its answer, and how often it has reached a node."""
+        """Send a request as its client; return the response and the number of attempts received by a node."""
         kind, tier, fate, tenant = self.plan[number]
         wire = await RawClient.open(self.gateway.http_server.address)
         wire.timeout_s = WAVE_TIMEOUT_S
@@ -166,7 +170,7 @@
         return status, body if status == 200 else b"", self.sent.get(number, 0)
 
     def waits_for_time(self, number: int) -> bool:
-        """Whether nothing happens to a request before the gateway's time passes."""
+        """Return whether a request makes no progress until the gateway's clock advances."""
         exchange = self.gateway.engine.exchanges.get(f"r-{number}")
         if exchange is None:
             return False
@@ -174,7 +178,7 @@
         return is_silent or all(attempt.outcome is not None for attempt in exchange.attempts)
 
     async def play_wave(self, numbers: range) -> list[tuple[int, bytes, int]]:
-        """Send requests at the same time; let time pass while all without an answer wait for it."""
+        """Send requests at the same time; advance the clock while all unanswered requests wait for it."""
         answers = {number: asyncio.ensure_future(self.request(number)) for number in numbers}
         while not all(answer.done() for answer in answers.values()):
             while not all(answer.done() or self.waits_for_time(number) for number, answer in answers.items()):
@@ -184,9 +188,9 @@
 
     @on_settable_clock
     async def test_the_same_day_gets_the_same_answers(self) -> None:
-        """A day with faults is played for two customers, whose names and order of settings differ.
+        """Requests with faults are played for two customers with different names and order of settings.
 
-        Each request must get the same answer, from as many attempts.
+        Each request gets the same response, with the same number of attempts.
         """
         found = {}
         for renamed in (False, True):
@@ -197,12 +201,12 @@
             found[renamed] = await self.day(renamed)
         self.assertEqual(found[False], found[True])
         statuses = [status for status, *_ in found[False]]
-        self.assertEqual(set(statuses), {200, 502, 503})  # each final result occurs
+        self.assertEqual(set(statuses), {200, 502, 503})  # all final results occur
         self.assertGreater(min(statuses.count(status) for status in (200, 502, 503)), 10)
 
 
 class LongDeadlines(RaceScenario):
-    """Classes to which a site gives minutes, or days, are served as any other."""
+    """Classes with deadlines of minutes or days are served like any other."""
 
     settings: ClassVar[dict[str, Any]] = {
         **SETTINGS,
@@ -210,10 +214,7 @@
     }
 
     async def test_a_request_with_minutes_left_is_served(self) -> None:
-        """Clients send timeouts of a minute to two days, which their classes allow.
-
-        Each request is served as any other.
-        """
+        """Requests with timeouts from one minute to two days, which their classes allow, are served."""
         for number, timeout_ms in enumerate(("60001", "88719", "228552", "86400000", "172800000")):
             with self.subTest(timeout_ms=timeout_ms):
                 await asyncio.wait_for(
@@ -222,7 +223,10 @@
 
 
 def module_day(renamed: bool, moved: bool, busy: float) -> list[tuple[float, str, str]]:
-    """Play a day on a virtual clock with one node of two workers; return the actions for each request."""
+    """Simulate requests on a virtual clock with one node of two workers; return the actions for each request.
+
+    :param busy: ratio of the load to the load at which a request arrives every 10 ms.
+    """
     rng = random.Random(31)
     settings = read_settings({**customer(renamed, moved), "balancers": 3})
     scheduler, now = Scheduler(settings, 5), 0.0
@@ -273,11 +277,11 @@
 
 
 def test_decisions_do_not_depend_on_names_or_on_the_order_of_settings() -> None:
-    """A day is played with the names and orders of two customers, with capacity to spare and overloaded.
+    """Requests of two customers with different names and orders result in the same decisions.
 
-    All decisions must be the same.
+    They are simulated with spare capacity and with overload.
     """
-    for busy, most_sent in ((0.8, 600), (1.5, 480)):  # with 1.5 it is overloaded: classes are weighed
+    for busy, most_sent in ((0.8, 600), (1.5, 480)):  # with 1.5 the node is overloaded
         first = module_day(False, False, busy)
         for renamed, moved in ((True, False), (False, True), (True, True)):
             assert module_day(renamed, moved, busy) == first
@@ -300,9 +304,9 @@
 
 
 def test_no_name_of_one_site_occurs_in_the_program() -> None:
-    """The names of one site's classes, plans and zones must not occur in the program or its deploy files:
+    """The names of a site's classes, plans and zones do not occur in the program or its deploy files.
 
-    another site has others.
+    Other sites have other names.
     """
     names: set[str] = set()
     for path in (ROOT / "deploy" / "sites").glob("*.toml"):
--- a/tests/policy/test_payoff.py
+++ b/tests/policy/test_payoff.py
@@ -1,4 +1,4 @@
-"""The payoff against the paper's closed forms, an independent solution, and exhaustive search."""
+"""Tests of the payoff against the paper's closed forms, an independent solution and exhaustive search."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def solved(lam: int, mu: int, n: int, rounds: int) -> list[Fraction]:
-    """Global balance, state by state, by exact elimination."""
+    """Return the state probabilities, by exact elimination of the global balance equations."""
     size = n * rounds + 1
     rows = [[Fraction(0)] * (size + 1) for _ in range(size)]
     for j in range(size):
@@ -55,27 +55,28 @@
 
 @pytest.mark.parametrize(("lam", "mu", "n"), CASES)
 def test_one_round_is_appendix_a(lam: float, mu: float, n: int) -> None:
-    """With one round the queue equals the closed form of the paper's appendix A."""
+    """With one round, the result equals the closed form of appendix A of the paper."""
     assert batch_queue(lam, mu, n, 1) == pytest.approx(rates(appendix_a(lam, mu, n), mu, n))
 
 
 @pytest.mark.parametrize(("lam", "mu", "n"), CASES)
 def test_two_rounds_are_appendix_b(lam: float, mu: float, n: int) -> None:
-    """With two rounds the queue equals the closed form of the paper's appendix B."""
+    """With two rounds, the result equals the closed form of appendix B of the paper."""
     assert batch_queue(lam, mu, n, 2) == pytest.approx(rates(appendix_b(lam, mu, n), mu, n))
 
 
 @pytest.mark.parametrize(("lam", "mu", "n", "rounds"), [(5, 2, 2, 4), (9, 8, 3, 3), (2, 7, 1, 5)])
 def test_more_rounds_are_the_solved_chain(lam: int, mu: int, n: int, rounds: int) -> None:
-    """With more rounds the queue equals the solution of its balance equations by exact elimination."""
+    """With more rounds, the result equals the exact solution of the balance equations."""
     states = [float(each) for each in solved(lam, mu, n, rounds)]
     assert batch_queue(lam, mu, n, rounds) == pytest.approx(rates(states, mu, n))
 
 
 def test_very_light_arrivals_do_not_overflow() -> None:
-    """With very few arrivals the probabilities of the queue differ by more than a float holds.
+    """Very low arrival rates do not overflow.
 
-    They must be scaled, not overflow.
+    The unnormalized probabilities of the states then differ by more than the range of a float, and are
+    scaled.
     """
     served, full = batch_queue(1e-3, 20.0, 32, 16)
     assert served == pytest.approx(1e-3, rel=1e-6)
@@ -83,7 +84,7 @@
 
 
 def test_the_cost_of_a_rejection_is_charged_for_the_full_queue(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With a cost of rejections the payoff falls by it for each arrival at a full queue."""
+    """A cost of rejections lowers the payoff for each arrival at a full queue."""
     served, full = batch_queue(20.0, 8.0, 1, 2)
     monkeypatch.setattr("shaletiller.policy.payoff.REJECTION_COST", 0.5)
     assert payoff_rate(20.0, 8.0, 1, 2, 3.0) == pytest.approx(3 * served - 0.5 * 20 * full)
@@ -105,7 +106,7 @@
     ],
 )
 def test_the_split_equals_exhaustive_search(demands: list[Demand]) -> None:
-    """The greedy split must earn as much as the best of all splits."""
+    """The payoff of the greedy division equals the maximum over all divisions."""
     capacity, batch = 9, 8.0
     found = best_split(demands, capacity, batch)
     every = (
@@ -119,8 +120,5 @@
 
 
 def test_the_split_gives_an_idle_queue_nothing() -> None:
-    """A queue without arrivals has the highest weight.
-
-    It must get no slots.
-    """
+    """A queue without arrivals gets no slots, even if it has the highest weight."""
     assert best_split([Demand(0, 9, 1, 2), Demand(3, 1, 1, 2)], 6, 8.0)[0] == 0
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule of the operators, by scripted events to the scheduler alone."""
+"""Tests of the operators' rules, with scripted events to the scheduler."""
 
 from __future__ import annotations
 
@@ -24,10 +24,7 @@
 
 
 def test_a_pending_request_is_answered_by_its_deadline() -> None:
-    """The only node is draining and takes no work.
-
-    A pending request gets one final answer by its deadline, and none after.
-    """
+    """A request whose node drains and accepts no requests gets exactly one final answer by its deadline."""
     gateway = ScriptedGateway(entry(state=EndpointState.DRAINING))
     gateway.request("r1")
     gateway.run_to(1200)
@@ -38,10 +35,7 @@
 
 
 def test_a_timeout_at_the_deadline_brings_the_final_answer() -> None:
-    """An attempt times out at its client's deadline.
-
-    That outcome must bring the one final answer.
-    """
+    """The timeout of an attempt at the client's deadline results in exactly one final answer."""
     gateway = ScriptedGateway()
     gateway.request("r1")
     gateway.run_to(1200)
@@ -49,10 +43,7 @@
 
 
 def test_an_unsafe_request_that_may_have_run_is_failed_and_not_sent_again() -> None:
-    """The attempt of an unsafe request is reset:
-
-    its work may have been done. It must be failed, not rejected, and not sent again.
-    """
+    """An unsafe request whose attempt was reset may have been executed: it fails, and is not sent again."""
     gateway = ScriptedGateway(classes=(UNSAFE,))
     gateway.request("r1")
     gateway.end_attempt("r1", O.RESET)
@@ -62,10 +53,7 @@
 
 
 def test_an_unsafe_request_that_never_ran_is_sent_again() -> None:
-    """A node rejects an unsafe request, which proves that it did none of the work:
-
-    a retry does no harm.
-    """
+    """An unsafe request that its node rejected was not executed: it is retried."""
     gateway = ScriptedGateway(classes=(UNSAFE,))
     gateway.request("r1")
     gateway.end_attempt("r1", O.FULL)
@@ -74,9 +62,9 @@
 
 
 def test_a_keyed_request_is_not_sent_again_after_its_key_has_expired() -> None:
-    """A keyed request is reset after its idempotency key has expired at the nodes.
+    """A keyed request that is reset after its idempotency key has expired fails.
 
-    A retry could do its work twice: it must be failed.
+    A retry might execute it twice.
     """
     gateway = ScriptedGateway(classes=(replace(KEYED, key_ttl_ms=100),))
     gateway.request("r1")
@@ -88,10 +76,7 @@
 
 
 def test_nothing_goes_to_a_draining_node_and_queued_work_migrates_to_its_successor() -> None:
-    """A node drains without grace time.
-
-    A request must wait for the node that takes over its shard, and be sent there.
-    """
+    """While a node drains without grace period, a request waits for its successor and is sent there."""
     gateway = ScriptedGateway(drain_grace_ms=0.0)
     gateway.handle(EndpointListUpdate(UpdateKind.CHANGES, (entry(state=EndpointState.DRAINING),)))
     assert gateway.request("r1") == []
@@ -102,7 +87,10 @@
 
 
 def draining(*answers: Outcome) -> tuple[ScriptedGateway, list[float]]:
-    """Return when a node that drains from 0 on got work; its successor is ready at 3000."""
+    """Return the times at which a node that drains from 0 ms is sent requests.
+
+    Its successor is ready at 3000 ms.
+    """
     gateway = ScriptedGateway(drain_grace_ms=2000.0)
     gateway.handle(EndpointListUpdate(UpdateKind.CHANGES, (entry(state=EndpointState.DRAINING),)))
     outcomes = list(answers)
@@ -118,35 +106,33 @@
 
 
 def test_a_draining_node_gets_work_until_shortly_before_its_grace_time_is_up() -> None:
-    """A node drains with two seconds of grace, and no other holds its data.
+    """A node that drains with a grace period of two seconds is sent requests.
 
-    It gets work until a send might no longer get its connection in time.
+    No other node holds its data.  Sending stops when a connection might no longer be established within the
+    grace period.
     """
-    assert 1400 <= max(draining()[1]) <= 2000 - 250  # a connection may take so long
+    assert 1400 <= max(draining()[1]) <= 2000 - 250  # connect timeout
 
 
 def test_a_draining_node_that_rejects_work_gets_no_more() -> None:
-    """A draining node rejects its second request, long before its grace time is up.
-
-    It must get no third.
-    """
+    """A draining node that rejects its second request is sent no third, though its grace period continues."""
     _, at = draining(Outcome.OK, Outcome.FULL)
     assert len(at) == 2
 
 
 def test_a_node_that_was_draining_before_this_gateway_started_gets_nothing() -> None:
-    """The first endpoint list has a node as draining already.
+    """A node that is draining in the first endpoint list gets no requests.
 
-    Nobody knows since when: it must get no work.
+    The end of its grace period is unknown.
     """
     gateway = ScriptedGateway(entry(state=EndpointState.DRAINING), drain_grace_ms=2000.0)
     assert gateway.request("r1") == []
 
 
 def test_a_node_in_slow_start_gets_no_more_than_this_gateways_part() -> None:
-    """One of two gateways meets a node that has just started and rejects most of its work.
+    """One of two gateways sends to a node that has just started, and that rejects most of its requests.
 
-    What it sends must stay within its half of the warm-up budget, rejected work included.
+    The units sent, including those rejected, stay within this gateway's half of the warm-up budget.
     """
     gateway = ScriptedGateway(entry(started_ms=1.0))
     for n in range(40):
@@ -160,10 +146,10 @@
 
 
 def test_a_rate_limit_holds_from_an_empty_start_for_this_gateways_part() -> None:
-    """One of two gateways of a volume starts and gets more than the rate limit at once.
+    """One of two gateways of a volume receives more requests than the rate limit right after its start.
 
-    It does not know what was sent before its start: it must send no more than flows into its half of the
-    limit.
+    It sends only the units that have been added to its half of the limit since its start, as it does not know
+    what was sent before.
     """
     plan = replace(PLAN, limit_rate=10, limit_burst=20, limit_slack=8)
     gateway = ScriptedGateway(plans=(plan,))
@@ -176,9 +162,9 @@
 
 
 def test_ordered_requests_of_one_key_wait_for_the_quiet_period_after_a_reset() -> None:
-    """The first of two ordered requests of a key is reset:
+    """After the reset of the first of two ordered requests, the second waits for the quiet period.
 
-    it may still run at its node. The second must wait for the quiet period, or could overtake it.
+    The first may still be running at its node, and the second could overtake it.
     """
     gateway = ScriptedGateway(classes=(replace(SAFE, ordered=True),), ordering_gap_ms=300.0, max_attempts=1)
     gateway.request("r1", object_key="k")
@@ -193,10 +179,10 @@
 
 
 def test_ordered_requests_of_one_key_follow_each_other_at_once() -> None:
-    """Two ordered requests of one key and one of another come together.
+    """Two ordered requests for one key and one for another key arrive at the same time.
 
-    The other key's is sent at once; the second of the first key as soon as its predecessor has its
-    response.
+    The request for the other key is sent at once, the second one for the first key after its predecessor has
+    its response.
     """
     gateway = ScriptedGateway(classes=(replace(SAFE, ordered=True),))
     gateway.request("r1", object_key="k")
@@ -208,9 +194,9 @@
 
 
 def test_retries_keep_to_the_budget() -> None:
-    """Every attempt fails, at a site with a budget of two retries in five seconds.
+    """While every attempt fails, retries stay within the budget of two in five seconds.
 
-    All gateways would multiply the load of a failing node: no more than two retries may go out.
+    Without a budget all gateways would multiply the load of a failing node.
     """
     gateway = ScriptedGateway(retry_budget_free=2.0, retry_budget_share=0.0, retry_budget_window_ms=5000.0)
     for n in range(12):
@@ -225,10 +211,7 @@
 
 
 def test_the_watch_on_the_endpoint_list_is_opened_and_opened_again_after_a_failure() -> None:
-    """The site wants the endpoint list watched.
-
-    The watch is opened with the first event, and again some time after it failed.
-    """
+    """The watch on the endpoint list is started with the first event, and restarted after it has failed."""
     gateway = ScriptedGateway(subscribed=True, poll_within_ms=4000.0)
     assert any(isinstance(a, WatchEndpoints) for _, a in gateway.log)
     gateway.handle(EndpointListUpdate(UpdateKind.FAILED))
@@ -236,10 +219,7 @@
 
 
 def test_a_response_that_has_started_is_left_to_the_client() -> None:
-    """A streamed response has begun to reach its client.
-
-    The scheduler must not answer the request any more.
-    """
+    """A request gets no final answer from the scheduler once its client has received part of a response."""
     gateway = ScriptedGateway(classes=(replace(SAFE, streaming=True),))
     gateway.request("r1")
     gateway.handle(ResponseStarted("r1", 0, "n1", 15))
@@ -248,19 +228,13 @@
 
 
 def test_a_new_object_goes_to_some_ready_node() -> None:
-    """A request for a new object names no shard.
-
-    It is sent to one of the ready nodes.
-    """
+    """A request for a new object, which has no shard, is sent to one of the ready nodes."""
     gateway = ScriptedGateway(entry("n1", 0), entry("n2", 1))
     assert actions_of_type(gateway.request("r1", shard=-1), SendAttempt)
 
 
 def test_unknown_requests_and_nodes_are_ignored() -> None:
-    """Outcomes, disconnections and health checks of unknown requests and nodes arrive late.
-
-    They change nothing and raise nothing.
-    """
+    """Outcomes, disconnections and health checks of unknown requests and nodes have no effect."""
     gateway = ScriptedGateway()
     assert actions_of_type(gateway.end_attempt("never", O.OK), SendAttempt, Reject, Fail) == []
     assert gateway.handle(ClientDisconnected("never")) == []
@@ -268,10 +242,7 @@
 
 
 def test_same_events_same_actions() -> None:
-    """The same events and the same seed are played twice.
-
-    The actions must be equal, or no trace of a fault could be replayed.
-    """
+    """Equal events with an equal seed result in equal actions, so that a trace of a fault can be replayed."""
 
     def play() -> list[tuple[float, Action]]:
         gateway = ScriptedGateway(entry("n1", 0), entry("n2", 1), seed=7)
@@ -289,18 +260,15 @@
     ("name", "value"), [("mean_units", 0), ("initial_capacity_share", 0), ("gateways", 0)]
 )
 def test_an_invalid_setting_is_named(name: str, value: float) -> None:
-    """A setting has a value that is not allowed.
-
-    The error names its field.
-    """
+    """The error for a setting with an invalid value names its field."""
     with pytest.raises(ValueError, match=name):
         settings(**{name: value})
 
 
 def test_a_request_with_little_time_left_is_answered_before_its_deadline() -> None:
-    """No node takes work, and the client has less time left than the class's latency objective.
+    """No node accepts requests, and a client has less time left than the latency objective of its class.
 
-    The answer must come by its deadline, not by the objective.
+    The final answer comes by the deadline, not by the latency objective.
     """
     gateway = ScriptedGateway(entry(state=EndpointState.DRAINING))
     gateway.request("r1", deadline_in_ms=200.0)
@@ -309,10 +277,7 @@
 
 
 def test_a_key_stays_taken_while_an_attempt_is_in_flight_after_its_client_left() -> None:
-    """The client of an ordered request disconnects while its attempt is in flight.
-
-    The next request of the key must wait for that attempt's outcome.
-    """
+    """The next ordered request of a key waits for the attempt of a request whose client has disconnected."""
     gateway = ScriptedGateway(classes=(replace(SAFE, ordered=True),), ordering_gap_ms=0.0)
     gateway.request("r1", object_key="k")
     gateway.request("r2", object_key="k")
@@ -323,9 +288,9 @@
 
 
 def test_a_fast_node_in_slow_start_gets_this_gateways_part_and_twice_what_it_served() -> None:
-    """A node that has just started serves half of its attempts at once and rejects the rest.
+    """A node that has just started serves half of its attempts immediately and rejects the others.
 
-    It must get more than this gateway's part of the budget, but no more than that and twice what it served.
+    It is sent more than this gateway's share of the budget, but at most the share plus twice what it served.
     """
     gateway = ScriptedGateway(entry(started_ms=1.0))
     sent: list[tuple[float, bool]] = []
@@ -343,10 +308,10 @@
 
 
 def test_a_rejected_request_gets_a_retry_after_of_the_next_round_where_allowed() -> None:
-    """A request is rejected 40 ms into a round of 125 ms.
+    """A request is rejected 40 ms after the start of a round of 125 ms.
 
-    Where the site allows Retry-After it names the next round and a tick, within the site's maximum; else
-    nothing.
+    If the site allows it, Retry-After is the time to the next round plus one tick, limited to the maximum of
+    the site; else it is 0.
     """
     for allowed, most_ms, wait_ms in ((True, 1000.0, 87.0), (True, 0.0, 87.0), (False, 1000.0, 0.0)):
         gateway = ScriptedGateway(
--- a/tests/support/scheduler_host.py
+++ b/tests/support/scheduler_host.py
@@ -1,4 +1,4 @@
-"""A scripted gateway: it passes events to a Scheduler and records the actions that it returns."""
+"""A scripted gateway, which passes events to a Scheduler and records the returned actions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings of a small site, with changes."""
+    """Return the settings of a small site, with changes."""
     known: dict[str, Any] = {
         "classes": (SAFE,),
         "plans": (PLAN,),
@@ -49,14 +49,14 @@
 
 
 def entry(node: str = "n1", shard: int = 0, **changes: Any) -> EndpointEntry:
-    """An entry of the endpoint list."""
+    """Return an entry of the endpoint list."""
     known: dict[str, Any] = {"zone": "a", "state": EndpointState.READY}
     known.update(changes)
     return EndpointEntry(node, shard=shard, **known)
 
 
 class ScriptedGateway:
-    """One scheduler, its clock and its timers; the test gives the outcomes of attempts."""
+    """A scheduler with a clock and timers; the test provides the outcomes of attempts."""
 
     def __init__(self, *entries: EndpointEntry, seed: int = 1, **changes: Any) -> None:
         self.now = 0.0
@@ -67,7 +67,7 @@
         self.handle(EndpointListUpdate(UpdateKind.FULL, entries or (entry(),)))
 
     def handle(self, event: Event) -> list[Action]:
-        """Handle one event now, and start its timers."""
+        """Pass an event to the scheduler at the current time, and start the timers that it requests."""
         actions = self.scheduler.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
@@ -77,7 +77,7 @@
         return actions
 
     def run_to(self, until: float) -> list[Action]:
-        """Advance the clock; timers expire on the way."""
+        """Advance the clock to a time, with the timers that expire until then; return all actions."""
         seen: list[Action] = []
         while self.timers and min(self.timers)[0] <= until:
             due = min(self.timers)
@@ -88,7 +88,7 @@
         return seen
 
     def request(self, name: str, **changes: Any) -> list[Action]:
-        """A request arrives."""
+        """Pass a new request to the scheduler."""
         known: dict[str, Any] = {
             "shard": 0,
             "object_key": f"x{name}",
@@ -111,23 +111,23 @@
         latency_ms: float = 20,
         **changes: Any,
     ) -> list[Action]:
-        """An attempt ends."""
+        """Pass the outcome of an attempt to the scheduler."""
         finished = changes.pop("request_finished", outcome is Outcome.OK)
         return self.handle(AttemptEnded(name, attempt, node, outcome, latency_ms, finished, **changes))
 
     def upstream(self, shard: int = 0) -> Upstream:
-        """What the scheduler knows of a shard's node."""
+        """Return the scheduler's upstream of a shard."""
         return self.scheduler.endpoints.upstream_for(shard)
 
     def sent(self) -> list[str]:
-        """The requests sent so far, in order."""
+        """Return the ids of the requests sent so far, one for each attempt, in order."""
         return [action.request for _, action in self.log if isinstance(action, SendAttempt)]
 
     def finals(self, name: str) -> list[Action]:
-        """The final answers that the scheduler gave to a request."""
+        """Return the final answers of the scheduler to a request."""
         return [a for _, a in self.log if isinstance(a, Reject | Fail) and a.request == name]
 
 
 def actions_of_type(actions: list[Action], *types: type) -> list[Action]:
-    """The actions of these types."""
+    """Return the actions of these types."""
     return [action for action in actions if isinstance(action, types)]
--- a/tests/wire/test_adapter.py
+++ b/tests/wire/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: events in, actions out, and an error line for malformed input."""
+"""Tests of the simulator's adapter: events are mapped to actions, and malformed input to an error line."""
 
 from __future__ import annotations
 
@@ -38,10 +38,7 @@
 
 
 def test_a_request_is_forwarded() -> None:
-    """A gateway starts, gets an endpoint list and a request:
-
-    the request is forwarded to the node of its shard.
-    """
+    """A request after the start and the endpoint list is sent to the node of its shard."""
     code, replies, err = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))
     assert (code, err) == (0, "")
     output = [["CallOut", "t/1", "10.0.0.1:7000", 0.0]]
@@ -50,14 +47,14 @@
 
 
 def test_an_empty_line_of_events_gets_an_empty_reply() -> None:
-    """Each line gets one reply, also where it has no events."""
+    """A line without events gets one empty reply."""
     assert play('{"time-ms":1,"groups":[]}') == (0, [{"groups": []}], "")
 
 
 def test_unknown_events_and_instances_are_skipped() -> None:
-    """A newer simulator may send events of other names, or events of an instance that is not running.
+    """Events with unknown names and events of unknown instances are skipped.
 
-    They are skipped.
+    A newer simulator may send events with other names.
     """
     code, replies, _ = play(
         batch(0, ["Up", 7, INFO], PEERS_KNOWN, ["Novelty", 1, 2]), batch(1, SUBMIT, host="host-9")
@@ -67,10 +64,7 @@
 
 
 def test_a_stopped_instance_has_no_state() -> None:
-    """An instance stops and is sent a request:
-
-    nothing of its state is left, and nothing is replied.
-    """
+    """A request to an instance that has stopped gets no reply, as its state has been removed."""
     code, replies, _ = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(1, ["Down"]), batch(2, SUBMIT))
     assert code == 0
     assert replies[1:] == [{"groups": []}, {"groups": []}]
@@ -81,17 +75,14 @@
     [
         ("{", "JSON"),
         ('{"groups":[]}', "time-ms"),
-        (batch(0, ["Up", 7, INFO], PEERS_KNOWN, ["Submit", "t/1"]), "out of place"),
-        (batch(0, ["Up", 7, INFO], ["PeersKnown", 9, 1, []]), "out of place"),
+        (batch(0, ["Up", 7, INFO], PEERS_KNOWN, ["Submit", "t/1"]), "malformed value"),
+        (batch(0, ["Up", 7, INFO], ["PeersKnown", 9, 1, []]), "malformed value"),
         (batch(0, ["Up", 7, {**INFO, "classes": []}]), "classes"),
-        ("[1]", "out of place"),
+        ("[1]", "malformed value"),
     ],
 )
 def test_malformed_input_ends_with_one_line_of_error(line: str, reason: str) -> None:
-    """A line is malformed, in one of several ways.
-
-    The process ends with one line that names the place, and no traceback.
-    """
+    """After a malformed line the process exits with one error line that names the fault, and no traceback."""
     code, _, err = play(line)
     assert code != 0
     assert len(err.splitlines()) == 1
@@ -100,10 +91,7 @@
 
 
 def test_instances_in_one_process_act_as_if_alone() -> None:
-    """Two instances run in one process.
-
-    What one replies must not depend on the other.
-    """
+    """The replies of an instance do not depend on other instances in the same process."""
     alone = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))[1]
     both = json.dumps(
         {
