--- a/shaletiller/adapter.py
+++ b/shaletiller/adapter.py
@@ -64,7 +64,7 @@
     """A line does not conform to the simulator's protocol."""
 
 
-def _load_report(value: Any) -> tuple[tuple[str, float], ...]:
+def _read_load_report(value: Any) -> tuple[tuple[str, float], ...]:
     """Read a load report, which is an object or a list of pairs."""
     if not value:
         return ()
@@ -72,57 +72,57 @@
     return tuple((str(name), float(figure)) for name, figure in pairs)
 
 
-def _at(values: list[Any], index: int, default: Any) -> Any:
+def _value_at(values: list[Any], index: int, default: Any) -> Any:
     """Return the value at an index, or a default if it is missing or null."""
     return values[index] if index < len(values) and values[index] is not None else default
 
 
-def _entry(row: list[Any]) -> EndpointEntry:
+def _read_entry(row: list[Any]) -> EndpointEntry:
     return EndpointEntry(
         node=row[0],
-        zone=_at(row, 1, ""),
-        kind=_at(row, 2, ""),
-        shard=int(_at(row, 3, 0)),
-        state=EndpointState(_at(row, 4, EndpointState.READY.value)),
-        weight=float(_at(row, 5, 1)),
-        started_ms=float(_at(row, 6, 0)),
+        zone=_value_at(row, 1, ""),
+        kind=_value_at(row, 2, ""),
+        shard=int(_value_at(row, 3, 0)),
+        state=EndpointState(_value_at(row, 4, EndpointState.READY.value)),
+        weight=float(_value_at(row, 5, 1)),
+        started_ms=float(_value_at(row, 6, 0)),
     )
 
 
-def _endpoint_list(v: list[Any]) -> Event:
+def _read_endpoint_list(values: list[Any]) -> Event:
     return EndpointListUpdate(
-        UpdateKind(v[0]), tuple(_entry(row) for row in _at(v, 2, [])), int(_at(v, 1, 0))
+        UpdateKind(values[0]), tuple(_read_entry(row) for row in _value_at(values, 2, [])), int(_value_at(values, 1, 0))
     )
 
 
-def _request(v: list[Any]) -> Event:
-    bits = int(_at(v, 4, 0))
+def _read_request(values: list[Any]) -> Event:
+    flags = int(_value_at(values, 4, 0))
     return Request(
-        request=v[0],
-        shard=int(_at(v, 1, 0)),
-        object_key=_at(v, 2, ""),
-        plan=_at(v, 3, ""),
-        is_retry=bool(bits & RETRY_BIT),
-        write=bool(bits & WRITE_BIT),
-        deadline_in_ms=float(v[5]),
-        volume=_at(v, 6, ""),
-        volume_gateways=int(_at(v, 7, 1)),
-        request_class=v[8],
-        units=float(_at(v, 9, 1)),
+        request=values[0],
+        shard=int(_value_at(values, 1, 0)),
+        object_key=_value_at(values, 2, ""),
+        plan=_value_at(values, 3, ""),
+        is_retry=bool(flags & RETRY_BIT),
+        write=bool(flags & WRITE_BIT),
+        deadline_in_ms=float(values[5]),
+        volume=_value_at(values, 6, ""),
+        volume_gateways=int(_value_at(values, 7, 1)),
+        request_class=values[8],
+        units=float(_value_at(values, 9, 1)),
     )
 
 
-def _attempt_ended(v: list[Any]) -> Event:
+def _read_attempt_ended(values: list[Any]) -> Event:
     return AttemptEnded(
-        request=v[0],
-        attempt=int(v[1]),
-        node=v[2],
-        outcome=OUTCOMES[v[3]],
-        latency_ms=float(_at(v, 4, 0)),
-        request_finished=bool(_at(v, 5, False)),
-        usage_percent_plus_one=float(_at(v, 6, 0)),
-        other_gateways_units=float(_at(v, 7, 0)),
-        load_report=_load_report(_at(v, 8, None)),
+        request=values[0],
+        attempt=int(values[1]),
+        node=values[2],
+        outcome=OUTCOMES[values[3]],
+        latency_ms=float(_value_at(values, 4, 0)),
+        request_finished=bool(_value_at(values, 5, False)),
+        usage_percent_plus_one=float(_value_at(values, 6, 0)),
+        other_gateways_units=float(_value_at(values, 7, 0)),
+        load_report=_read_load_report(_value_at(values, 8, None)),
     )
 
 
@@ -152,36 +152,36 @@
     return WatchRetryTimer() if name == "ask" else None
 
 
-def _timer_expired(v: list[Any]) -> Event | None:
-    timer = read_timer(v[0])
+def _read_timer_expired(values: list[Any]) -> Event | None:
+    timer = read_timer(values[0])
     return TimerExpired(timer) if timer is not None else None
 
 
 EVENTS: dict[str, Callable[[list[Any]], Event | None]] = {
-    "PeersKnown": _endpoint_list,
-    "Submit": _request,
-    "Alarm": _timer_expired,
-    "Done": _attempt_ended,
-    "Headers": lambda v: ResponseStarted(v[0], int(v[1]), v[2], float(_at(v, 3, 0))),
-    "NeighbourSays": lambda v: PeerMessageReceived(int(v[0]), _at(v, 1, "")),
-    "Abandoned": lambda v: ClientDisconnected(v[0]),
-    "ProbeResult": lambda v: HealthCheckEnded(
-        v[0], OUTCOMES[v[1]], float(_at(v, 2, 0)), _load_report(_at(v, 3, None))
+    "PeersKnown": _read_endpoint_list,
+    "Submit": _read_request,
+    "Alarm": _read_timer_expired,
+    "Done": _read_attempt_ended,
+    "Headers": lambda values: ResponseStarted(values[0], int(values[1]), values[2], float(_value_at(values, 3, 0))),
+    "NeighbourSays": lambda values: PeerMessageReceived(int(values[0]), _value_at(values, 1, "")),
+    "Abandoned": lambda values: ClientDisconnected(values[0]),
+    "ProbeResult": lambda values: HealthCheckEnded(
+        values[0], OUTCOMES[values[1]], float(_value_at(values, 2, 0)), _read_load_report(_value_at(values, 3, None))
     ),
 }
 
 ACTIONS: dict[type, Callable[[Any], list[Any]]] = {
-    SendAttempt: lambda a: ["CallOut", a.request, a.node, a.timeout_ms],
-    Reject: lambda a: ["TurnAway", a.request, a.retry_after_ms],
-    Fail: lambda a: ["Surrender", a.request],
-    CancelAttempt: lambda a: ["Revoke", a.request, a.attempt],
-    StartTimer: lambda a: ["Defer", a.wait_ms, write_timer(a.timer)],
-    SendHealthCheck: lambda a: ["AskLoad", a.node],
-    SendPeerMessage: lambda a: ["BroadcastTo", a.peer, a.data],
-    WatchEndpoints: lambda a: ["KeepInformed", a.active],
-    FetchEndpointList: lambda a: ["QueryAll"],
-    CloseIdleConnections: lambda a: ["FreeLinks", a.node],
-    WriteLog: lambda a: ["Emit", a.line],
+    SendAttempt: lambda action: ["CallOut", action.request, action.node, action.timeout_ms],
+    Reject: lambda action: ["TurnAway", action.request, action.retry_after_ms],
+    Fail: lambda action: ["Surrender", action.request],
+    CancelAttempt: lambda action: ["Revoke", action.request, action.attempt],
+    StartTimer: lambda action: ["Defer", action.wait_ms, write_timer(action.timer)],
+    SendHealthCheck: lambda action: ["AskLoad", action.node],
+    SendPeerMessage: lambda action: ["BroadcastTo", action.peer, action.data],
+    WatchEndpoints: lambda action: ["KeepInformed", action.active],
+    FetchEndpointList: lambda action: ["QueryAll"],
+    CloseIdleConnections: lambda action: ["FreeLinks", action.node],
+    WriteLog: lambda action: ["Emit", action.line],
 }
 
 
@@ -199,7 +199,7 @@
         now_ms = float(batch["time-ms"])
         groups = []
         for group in batch.get("groups") or []:
-            groups.append((group["host"], [_read_event(each) for each in group.get("happened") or []]))
+            groups.append((group["host"], [_read_event(values) for values in group.get("happened") or []]))
         return now_ms, groups
     except json.JSONDecodeError as error:
         raise WireError(f"not valid JSON: {error}") from error
@@ -225,9 +225,9 @@
         """Create an empty set of instances."""
         self._schedulers: dict[str, Scheduler] = {}
 
-    def _handle(self, now_ms: float, host: str, happened: list[WireEvent]) -> list[list[Any]]:
+    def _handle(self, now_ms: float, host: str, events: list[WireEvent]) -> list[list[Any]]:
         output: list[list[Any]] = []
-        for kind, value in happened:
+        for kind, value in events:
             if kind == "Up":
                 seed, settings = value
                 self._schedulers[host] = Scheduler(settings, seed)
@@ -235,8 +235,8 @@
                 self._schedulers.pop(host, None)
                 output.clear()
             elif value is not None and host in self._schedulers:
-                acts = self._schedulers[host].handle(now_ms, value)
-                output.extend(ACTIONS[type(act)](act) for act in acts)
+                actions = self._schedulers[host].handle(now_ms, value)
+                output.extend(ACTIONS[type(action)](action) for action in actions)
         return output
 
     def reply(self, line: str) -> str:
@@ -245,10 +245,10 @@
         :returns: the line of the reply.
         :raises WireError: if the line is malformed.
         """
-        now_ms, read = read_batch(line)
+        now_ms, batch = read_batch(line)
         groups = []
-        for host, happened in read:
-            output = self._handle(now_ms, host, happened)
+        for host, events in batch:
+            output = self._handle(now_ms, host, events)
             if output:
                 groups.append({"host": host, "output": output})
         return json.dumps({"groups": groups}, separators=(",", ":"), ensure_ascii=False)
--- a/shaletiller/policy/admission.py
+++ b/shaletiller/policy/admission.py
@@ -20,7 +20,7 @@
 
 # Ratio of a request's time to its deadline after which it is given up if no node has received it.  The client
 # has the remaining time to retry.
-UNREACHED_PART = 0.5
+UNREACHED_RATIO = 0.5
 
 
 @dataclass(slots=True, eq=False)
@@ -37,13 +37,13 @@
     ordering: KeyOrdering
     completion: RequestCompletion
 
-    def accept(self, request: Request) -> None:
+    def handle_request(self, request: Request) -> None:
         """Handle a new request from a client."""
         self.retries.record_request()
         state, spec = self.state, self.state.site.class_specs[request.request_class]
         volume = state.volumes.for_request(request, state.now_ms, state.started_ms)
         upstream = self.endpoints.upstream_for(request.shard)
-        pending = PendingRequest.create(request, spec, volume, upstream, state.now_ms, UNREACHED_PART)
+        pending = PendingRequest.create(request, spec, volume, upstream, state.now_ms, UNREACHED_RATIO)
         state.pending[pending.id] = pending
         if not self.limits.check_rate_limit(pending):
             self.completion.give_up(pending, GiveUpReason.RATE_LIMIT)
@@ -114,6 +114,6 @@
         in_flight, priority_weight = upstream.in_flight_units, pending.queue.spec.priority_weight
         if in_flight <= 0:
             return 0.0
-        queues = [each for each in upstream.queues.values() if each.spec.priority_weight >= priority_weight]
-        ahead_units = sum(each.units for queue in queues for each in queue.requests)
+        queues = [entry for entry in upstream.queues.values() if entry.spec.priority_weight >= priority_weight]
+        ahead_units = sum(entry.units for queue in queues for entry in queue.requests)
         return ahead_units / in_flight * upstream.latency_ms
--- a/shaletiller/policy/capacity_check.py
+++ b/shaletiller/policy/capacity_check.py
@@ -15,7 +15,7 @@
 TRIALS_IN_FLIGHT = 8
 # A gateway counts as using a node if the node has responded to it within this time.  A longer time includes
 # gateways that no longer send to the node; a shorter time misses gateways with little traffic.
-IN_USE_MS = 15_000.0
+NODE_IN_USE_MS = 15_000.0
 
 
 class CapacityCheck:
@@ -39,9 +39,9 @@
         gateway uses.
         """
         settings, now_ms = self._state.site.settings, self._state.now_ms
-        in_use = sum(now_ms - each.last_response_ms < IN_USE_MS for each in self._endpoints.upstreams())
-        part = min(1.0, in_use / (settings.shards or in_use or 1))
-        self._gateways_per_node = settings.gateways * part
+        in_use = sum(now_ms - upstream.last_response_ms < NODE_IN_USE_MS for upstream in self._endpoints.upstreams())
+        fraction = min(1.0, in_use / (settings.shards or in_use or 1))
+        self._gateways_per_node = settings.gateways * fraction
 
     def allows(self, pending: PendingRequest, upstream: Upstream, ignore_latency: bool = False) -> bool:
         """Return whether a request may be sent to the upstream's node now.
@@ -49,7 +49,7 @@
         :param ignore_latency: skip the latency threshold, for a hedged request and for a request for the same
             object as one that is sent at the same time.
         """
-        if not self._endpoints.takes_work(upstream):
+        if not self._endpoints.accepts_requests(upstream):
             return False
         if self._fairness.is_owed_work(pending) and not pending.queue.in_flight:
             return self._slow_start_allows(upstream, pending.units)
--- a/shaletiller/policy/completion.py
+++ b/shaletiller/policy/completion.py
@@ -49,18 +49,18 @@
             pending.queued = False
         self.ordering.remove(pending)
 
-    def client_disconnected(self, request_id: str) -> None:
+    def handle_client_disconnected(self, request_id: str) -> None:
         """Remove the request of a client that disconnected."""
         if pending := self.state.pending.get(request_id):
             self.finish(pending)
 
-    def answer_expiring(self) -> None:
+    def give_up_expiring(self) -> None:
         """Give up requests that would exceed their deadline before the next round.
 
         The round's timer may expire up to one tick late.
         """
-        last_ms = self.state.next_round_ms + self.state.site.settings.tick_ms
+        next_round_latest_ms = self.state.next_round_ms + self.state.site.settings.tick_ms
         for pending in list(self.state.pending.values()):
-            waits = not pending.attempts_in_flight and not pending.response_started
-            if waits and pending.deadline_ms <= last_ms:
+            is_waiting = not pending.attempts_in_flight and not pending.response_started
+            if is_waiting and pending.deadline_ms <= next_round_latest_ms:
                 self.give_up(pending, GiveUpReason.DEADLINE)
--- a/shaletiller/policy/dispatch.py
+++ b/shaletiller/policy/dispatch.py
@@ -12,7 +12,7 @@
 from shaletiller.policy.completion import RequestCompletion
 from shaletiller.policy.endpoint_table import EndpointTable
 from shaletiller.policy.key_ordering import KeyOrdering
-from shaletiller.policy.latency_threshold import overdue_after_ms
+from shaletiller.policy.latency_threshold import attempt_timeout_ms
 from shaletiller.policy.retries import RetryPolicy
 from shaletiller.policy.volume_limits import VolumeLimits
 from shaletiller.state.records import AttemptInFlight, PendingRequest, RequestQueue, Upstream
@@ -33,7 +33,7 @@
     completion: RequestCompletion
     random: Random
 
-    def release(self, upstream: Upstream) -> None:
+    def send_queued(self, upstream: Upstream) -> None:
         """Send queued requests of an upstream.
 
         Queues fill their free slots in order of priority; remaining capacity is then distributed among them.
@@ -42,17 +42,17 @@
         self._give_up_late(upstream)
         for queue in upstream.by_priority:
             while queue.requests and queue.in_flight < queue.slots:
-                if not self._take_head(upstream, queue, batch):
+                if not self._move_head_to_batch(upstream, queue, batch):
                     break
-        self._share_leftover(upstream, batch)
+        self._distribute_remaining(upstream, batch)
         self._give_up_unreached(upstream)
-        self._send(batch)
+        self._send_batch(batch)
 
     def send_now(self, pending: PendingRequest) -> None:
         """Send one request without waiting for a round; the caller has checked the capacity."""
         batch: list[PendingRequest] = []
-        self._take_slot(pending, batch)
-        self._send(batch)
+        self._add_to_batch(pending, batch)
+        self._send_batch(batch)
 
     def _give_up_late(self, upstream: Upstream) -> None:
         """Give up queued requests that would miss their latency objective.
@@ -71,22 +71,22 @@
         """Give up requests that no node has received, while their clients have time to retry elsewhere."""
         next_round_ms = self.state.next_round_ms
         for queue in upstream.by_priority:
-            for pending in [each for each in queue.requests if each.unreached_deadline_ms < next_round_ms]:
+            for pending in [candidate for candidate in queue.requests if candidate.unreached_deadline_ms < next_round_ms]:
                 self.completion.give_up(pending, GiveUpReason.UNREACHED)
 
-    def _share_leftover(self, upstream: Upstream, batch: list[PendingRequest]) -> None:
+    def _distribute_remaining(self, upstream: Upstream, batch: list[PendingRequest]) -> None:
         """Distribute remaining capacity to queues at random, weighted by their slots."""
         blocked: set[RequestQueue] = set()
         while True:
-            queues = [each for each in upstream.by_priority if each.requests and each not in blocked]
+            queues = [candidate for candidate in upstream.by_priority if candidate.requests and candidate not in blocked]
             if not queues:
                 return
             slots = [queue.slots for queue in queues]
             queue = self.random.choices(queues, slots)[0] if any(slots) else queues[0]
-            if not self._take_head(upstream, queue, batch):
+            if not self._move_head_to_batch(upstream, queue, batch):
                 blocked.add(queue)
 
-    def _take_head(self, upstream: Upstream, queue: RequestQueue, batch: list[PendingRequest]) -> bool:
+    def _move_head_to_batch(self, upstream: Upstream, queue: RequestQueue, batch: list[PendingRequest]) -> bool:
         """Move the head of a queue, and the requests queued there for the same object, into the batch.
 
         :returns: whether there was capacity for the head.
@@ -95,14 +95,14 @@
         if not self.capacity.allows(head, upstream):
             return False
         key = head.request.object_key
-        run = [each for each in queue.requests if each is head or each.request.object_key == key != ""]
-        for each in run:
-            if each is head or self.capacity.allows(each, upstream, ignore_latency=True):
-                queue.requests.remove(each)
-                self._take_slot(each, batch)
+        same_object = [pending for pending in queue.requests if pending is head or pending.request.object_key == key != ""]
+        for pending in same_object:
+            if pending is head or self.capacity.allows(pending, upstream, ignore_latency=True):
+                queue.requests.remove(pending)
+                self._add_to_batch(pending, batch)
         return True
 
-    def _take_slot(self, pending: PendingRequest, batch: list[PendingRequest]) -> None:
+    def _add_to_batch(self, pending: PendingRequest, batch: list[PendingRequest]) -> None:
         """Add a request to the batch and take a slot, or give it up if it is a retry that is not allowed."""
         upstream = pending.upstream
         pending.queued = False
@@ -120,9 +120,9 @@
             upstream.warm_up_sends.add(self.state.now_ms, pending.units)
         batch.append(pending)
 
-    def _send(self, batch: list[PendingRequest]) -> None:
+    def _send_batch(self, batch: list[PendingRequest]) -> None:
         """Start an attempt of each request in the batch, grouped by object key."""
-        for pending in sorted(batch, key=lambda each: each.request.object_key):
+        for pending in sorted(batch, key=lambda entry: entry.request.object_key):
             self._start_attempt(pending)
 
     def _start_attempt(self, pending: PendingRequest) -> None:
@@ -134,6 +134,6 @@
         self.ordering.record_sent(pending)
         window_ms = self.retries.start_window_ms(pending)
         state.actions.append(SendAttempt(pending.id, node, start_within_ms=window_ms))
-        timeout_ms = overdue_after_ms(pending, state.latency)
+        timeout_ms = attempt_timeout_ms(pending, state.latency)
         if state.now_ms + timeout_ms < pending.deadline_ms:  # an attempt ends at its deadline in any case
             state.actions.append(StartTimer(timeout_ms, AttemptOverdueTimer(pending.id, number)))
--- a/shaletiller/policy/endpoint_table.py
+++ b/shaletiller/policy/endpoint_table.py
@@ -41,15 +41,17 @@
         """Return the upstreams of all shards that have received requests."""
         return self._upstreams.values()
 
-    def update(self, event: EndpointListUpdate) -> None:
-        """Apply an update of the endpoint list; the caller must call `place` for each upstream afterwards."""
-        before = self._endpoints
+    def handle_list_update(self, event: EndpointListUpdate) -> None:
+        """Apply an update of the endpoint list; the caller must call `assign_node` for each upstream then."""
+        previous = self._endpoints
         updated = {entry.node: entry for entry in event.entries}
-        listed = before | updated if event.kind is UpdateKind.CHANGES else updated
-        self._endpoints = {node: at for node, at in listed.items() if at.state is not EndpointState.GONE}
-        self._learn_draining(before, self._state.now_ms - event.staleness_ms)
+        listed = previous | updated if event.kind is UpdateKind.CHANGES else updated
+        self._endpoints = {
+            node: endpoint for node, endpoint in listed.items() if endpoint.state is not EndpointState.GONE
+        }
+        self._update_draining(previous, self._state.now_ms - event.staleness_ms)
 
-    def _learn_draining(self, before: Mapping[str, EndpointEntry], notified_ms: float) -> None:
+    def _update_draining(self, previous: Mapping[str, EndpointEntry], notified_ms: float) -> None:
         """Set the time until which each draining node is sent requests.
 
         A draining node serves requests during its grace period, and no other node holds its data.  It is sent
@@ -64,7 +66,7 @@
         until_ms = notified_ms + settings.drain_grace_ms - margin_ms
         draining = {node for node, entry in self._endpoints.items() if entry.state is EndpointState.DRAINING}
         for node in draining - self._draining_until_ms.keys():
-            seen_ready = node in before and before[node].state is EndpointState.READY
+            seen_ready = node in previous and previous[node].state is EndpointState.READY
             self._draining_until_ms[node] = until_ms if seen_ready else self._state.now_ms
         for node in self._draining_until_ms.keys() - draining:
             del self._draining_until_ms[node]
@@ -74,17 +76,17 @@
         if node in self._draining_until_ms:
             self._draining_until_ms[node] = self._state.now_ms
 
-    def report_down(self, event: EndpointReportedDown) -> None:
+    def handle_reported_down(self, event: EndpointReportedDown) -> None:
         """Stop sending to a node that other gateways report down, until it responds to this gateway."""
         self._down_until_ms[event.node] = event.down_until_ms
-        known, now_ms = self._down_until_ms.items(), self._state.now_ms
-        self._down_until_ms = {node: until_ms for node, until_ms in known if until_ms > now_ms}
+        reports, now_ms = self._down_until_ms.items(), self._state.now_ms
+        self._down_until_ms = {node: until_ms for node, until_ms in reports if until_ms > now_ms}
 
     def record_response(self, node: str) -> None:
         """Consider a node up that responded to this gateway, overriding the reports of other gateways."""
         self._down_until_ms.pop(node, None)
 
-    def takes_work(self, upstream: Upstream) -> bool:
+    def accepts_requests(self, upstream: Upstream) -> bool:
         """Return whether an upstream has a node that may be sent requests.
 
         The node must not be reported down, nor be at the end of its draining period.
@@ -94,13 +96,13 @@
             return False
         return now_ms >= self._down_until_ms.get(node, 0.0)
 
-    def place(self, upstream: Upstream) -> None:
+    def assign_node(self, upstream: Upstream) -> None:
         """Assign a node to a shard: its ready node, else a draining one that accepts requests."""
         holders = [entry for entry in self._endpoints.values() if entry.shard == upstream.shard]
         candidates = [entry for entry in holders if entry.state is EndpointState.READY] or [
             entry for entry in holders if self._draining_until_ms.get(entry.node, 0.0) > self._state.now_ms
         ]
-        entry = max(candidates, key=lambda each: (each.started_ms, each.node)) if candidates else None
+        entry = max(candidates, key=lambda candidate: (candidate.started_ms, candidate.node)) if candidates else None
         node = entry.node if entry else None
         if node != upstream.node:
             line = f"shard {upstream.shard}: node {upstream.node} -> {node}"
@@ -120,7 +122,7 @@
             limit = INITIAL_REQUESTS * len(settings.classes) * settings.mean_units
             upstream = self._upstreams[shard] = Upstream(shard, limit)
             upstream.arrange_queues(self._state.site.queue_specs, INITIAL_REQUESTS)
-            self.place(upstream)
+            self.assign_node(upstream)
         return upstream
 
     def _least_loaded(self) -> Upstream:
@@ -132,7 +134,7 @@
         ready = {entry.shard for entry in self._endpoints.values() if entry.state is EndpointState.READY}
         shards = sorted(ready) or sorted(self._upstreams) or [0]
         upstreams = [self.upstream_for(shard) for shard in shards]
-        return max(upstreams, key=lambda each: (self._free_units(each), -each.shard))
+        return max(upstreams, key=lambda upstream: (self._free_units(upstream), -upstream.shard))
 
     def _free_units(self, upstream: Upstream) -> float:
         failed = upstream.failed_units.rate(self._state.now_ms)
--- a/shaletiller/policy/key_ordering.py
+++ b/shaletiller/policy/key_ordering.py
@@ -31,9 +31,9 @@
         queue = self._queues.setdefault(object_key, KeyQueue())
         queue.requests.append(pending)
         if len(queue.requests) == 1:
-            self.advance(object_key)
+            self.admit_next(object_key)
 
-    def advance(self, object_key: str) -> None:
+    def admit_next(self, object_key: str) -> None:
         """Admit the head of a key's queue if the key is free; remove the queue if it is no longer needed."""
         queue = self._queues.get(object_key)
         if queue is None or queue.in_flight:
@@ -65,14 +65,14 @@
             gap_ms = self._state.site.settings.ordering_gap_ms
             queue.quiet_until_ms = max(queue.quiet_until_ms, self._state.now_ms + gap_ms)
         if pending.id not in self._state.pending:
-            self.advance(pending.request.object_key)
+            self.admit_next(pending.request.object_key)
 
     def remove(self, pending: PendingRequest) -> None:
         """Remove a request that has its final answer from its key's queue."""
         queue = self._queue_of(pending)
         if queue is not None and pending in queue.requests:
             queue.requests.remove(pending)
-            self.advance(pending.request.object_key)
+            self.admit_next(pending.request.object_key)
 
     def _queue_of(self, pending: PendingRequest) -> KeyQueue | None:
         return self._queues.get(pending.request.object_key) if pending.spec.ordered else None
--- a/shaletiller/policy/latency_threshold.py
+++ b/shaletiller/policy/latency_threshold.py
@@ -10,15 +10,15 @@
 # Ratios of the latency threshold to the tightest latency objective, for requests of the lowest and of the
 # highest value.  A wider range favors requests of high value; a narrower range uses more of a node's
 # capacity.
-LOWEST_VALUE_PART, HIGHEST_VALUE_PART = 0.1, 0.4
+LOWEST_VALUE_RATIO, HIGHEST_VALUE_RATIO = 0.1, 0.4
 # Minimum share of the demand with which a class affects the threshold.  A smaller share improves the latency
 # of rare classes; a larger share lets the other classes use more capacity.
 MIN_DEMAND_SHARE = 0.05
 # The attempt timeout is the larger of this multiple of the expected latency of the request's class and the
 # multiple below of the node's latency.  A smaller multiple hedges sooner; a larger multiple hedges fewer
 # requests that are only slow.
-EXPECTED_LATENCIES = 4.0
-NODE_LATENCIES = 2.0
+TIMEOUT_EXPECTED_LATENCIES = 4.0
+TIMEOUT_NODE_LATENCIES = 2.0
 # Maximum number of doublings of the attempt timeout while a node does not respond.  After that many doublings
 # it exceeds any deadline.
 MAX_DOUBLINGS = 10
@@ -51,16 +51,16 @@
     def for_request(self, pending: PendingRequest) -> float:
         """Return the threshold in milliseconds for a request; it grows with the value of the request."""
         value = self._state.site.relative_value(pending)
-        return self._tightest_ms * (LOWEST_VALUE_PART + (HIGHEST_VALUE_PART - LOWEST_VALUE_PART) * value)
+        return self._tightest_ms * (LOWEST_VALUE_RATIO + (HIGHEST_VALUE_RATIO - LOWEST_VALUE_RATIO) * value)
 
 
-def overdue_after_ms(pending: PendingRequest, latency: LatencyEstimates) -> float:
+def attempt_timeout_ms(pending: PendingRequest, latency: LatencyEstimates) -> float:
     """Return the attempt timeout in milliseconds, after which an attempt is overdue.
 
     It is based on the expected latency of the class and the node, and doubles with each overdue attempt since
     the node's last response.
     """
     upstream = pending.upstream
-    usual_ms = max(EXPECTED_LATENCIES * latency.expected_ms(pending), NODE_LATENCIES * upstream.latency_ms)
+    base_timeout_ms = max(TIMEOUT_EXPECTED_LATENCIES * latency.expected_ms(pending), TIMEOUT_NODE_LATENCIES * upstream.latency_ms)
     doublings = min(upstream.overdue_streak, MAX_DOUBLINGS)
-    return float((usual_ms or pending.spec.latency_objective_ms) * 2**doublings)
+    return float((base_timeout_ms or pending.spec.latency_objective_ms) * 2**doublings)
--- a/shaletiller/policy/payoff.py
+++ b/shaletiller/policy/payoff.py
@@ -35,17 +35,19 @@
     """
     if slots == 0 or arrival_rate <= 0:
         return 0.0, 1.0 if slots == 0 else 0.0
-    top, ratio = slots * rounds, batch_rate / arrival_rate
-    chance, window = [0.0] * top + [1.0], 1.0
-    for j in range(top - 1, -1, -1):
-        chance[j] = ratio * window
-        window += chance[j] - (chance[j + slots] if j + slots <= top else 0.0)
-        if window > OVERFLOW_GUARD:
-            chance = [each * SCALE_DOWN for each in chance]
-            window *= SCALE_DOWN
-    total = math.fsum(chance)
-    served = batch_rate * sum(min(j, slots) * each for j, each in enumerate(chance)) / total
-    return served, chance[top] / total
+    capacity, ratio = slots * rounds, batch_rate / arrival_rate
+    probabilities, window_sum = [0.0] * capacity + [1.0], 1.0
+    for state in range(capacity - 1, -1, -1):
+        probabilities[state] = ratio * window_sum
+        window_sum += probabilities[state] - (
+            probabilities[state + slots] if state + slots <= capacity else 0.0
+        )
+        if window_sum > OVERFLOW_GUARD:
+            probabilities = [probability * SCALE_DOWN for probability in probabilities]
+            window_sum *= SCALE_DOWN
+    total = math.fsum(probabilities)
+    served = batch_rate * sum(min(state, slots) * probability for state, probability in enumerate(probabilities)) / total
+    return served, probabilities[capacity] / total
 
 
 def payoff_rate(arrival_rate: float, batch_rate: float, slots: int, rounds: int, weight: float) -> float:
@@ -79,26 +81,26 @@
 
     :returns: the number of slots of each demand, in the same order.
     """
-    slots, payoffs, free = [0] * len(demands), [0.0] * len(demands), capacity
+    slots, payoffs, free_units = [0] * len(demands), [0.0] * len(demands), capacity
 
-    def next_slot(at: int) -> tuple[float, float]:
+    def next_slot(index: int) -> tuple[float, float]:
         """Return the payoff of a demand with one more slot, and the gain per unit."""
-        of = demands[at]
-        rate = payoff_rate(of.arrival_rate, batch_rate, slots[at] + 1, of.rounds, of.priority_weight)
-        return rate, (rate - payoffs[at]) / of.units
+        queue = demands[index]
+        rate = payoff_rate(queue.arrival_rate, batch_rate, slots[index] + 1, queue.rounds, queue.priority_weight)
+        return rate, (rate - payoffs[index]) / queue.units
 
-    candidates = {at: next_slot(at) for at, demand in enumerate(demands) if demand.arrival_rate > 0}
+    candidates = {index: next_slot(index) for index, demand in enumerate(demands) if demand.arrival_rate > 0}
     while True:
-        best, best_gain = -1, MIN_GAIN
-        for at, (_, gain) in candidates.items():
-            if gain > best_gain and demands[at].units <= free:
-                best, best_gain = at, gain
-        if best < 0:
+        best_index, best_gain = -1, MIN_GAIN
+        for index, (_, gain) in candidates.items():
+            if gain > best_gain and demands[index].units <= free_units:
+                best_index, best_gain = index, gain
+        if best_index < 0:
             return slots
-        slots[best] += 1
-        payoffs[best] = candidates[best][0]
-        free -= demands[best].units
-        candidates[best] = next_slot(best)  # no other demand's next slot has changed
+        slots[best_index] += 1
+        payoffs[best_index] = candidates[best_index][0]
+        free_units -= demands[best_index].units
+        candidates[best_index] = next_slot(best_index)  # no other demand's next slot has changed
 
 
 def rounded_rate(rate: float) -> float:
--- a/shaletiller/policy/retries.py
+++ b/shaletiller/policy/retries.py
@@ -21,17 +21,17 @@
 
     def record_request(self) -> None:
         """Count a request towards the budget."""
-        self._count(self._requests)
+        self._record(self._requests)
 
     def record_retry(self) -> None:
         """Count a retry or a hedged request against the budget."""
-        self._count(self._retries)
+        self._record(self._retries)
 
-    def _count(self, counted: SlidingWindowSum) -> None:
+    def _record(self, counter: SlidingWindowSum) -> None:
         settings = self._state.site.settings
         if settings.retry_budget_free is not None:  # without a budget the counts would never be dropped
-            counted.add(self._state.now_ms)
-            counted.forget(self._state.now_ms, settings.retry_budget_window_ms)
+            counter.add(self._state.now_ms)
+            counter.drop_older(self._state.now_ms, settings.retry_budget_window_ms)
 
     def idempotency_allows(self, pending: PendingRequest) -> bool:
         """Return whether a retry cannot execute the request twice.
--- a/shaletiller/policy/scheduler.py
+++ b/shaletiller/policy/scheduler.py
@@ -31,7 +31,7 @@
 
 # Delay before a failed watch is retried, as a ratio of the site's poll interval: three more retries fit into
 # the interval.  Only used with the simulator; the gateway's watch is retried by `net/discovery.py`.
-WATCH_RETRY_PART = 0.25
+WATCH_RETRY_RATIO = 0.25
 
 
 class Scheduler:
@@ -84,38 +84,38 @@
             state.resumed_ms = now_ms
         if state.next_round_ms == math.inf:
             self._start()
-        self._dispatch(event)
+        self._handle_event(event)
         return state.actions
 
-    def _dispatch(self, event: events.Event) -> None:
+    def _handle_event(self, event: events.Event) -> None:
         match event:
             case events.Request():
-                self.admission.accept(event)
+                self.admission.handle_request(event)
             case events.AttemptEnded():
-                self.outcomes.attempt_ended(event)
+                self.outcomes.handle_attempt_ended(event)
             case events.TimerExpired(timer=timer):
-                self._timer_expired(timer)
+                self._handle_timer_expired(timer)
             case events.ResponseStarted():
-                self.outcomes.response_started(event)
+                self.outcomes.handle_response_started(event)
             case events.ClientDisconnected():
-                self.completion.client_disconnected(event.request)
+                self.completion.handle_client_disconnected(event.request)
             case events.EndpointListUpdate():
-                self._endpoint_list_updated(event)
+                self._handle_endpoint_list_update(event)
             case events.QuotaUpdated():
-                self.state.volumes.set_quota(event)
+                self.state.volumes.handle_quota_updated(event)
             case events.EndpointReportedDown():
-                self.endpoints.report_down(event)
+                self.endpoints.handle_reported_down(event)
             case events.HealthCheckEnded() | events.PeerMessageReceived():
                 pass  # these events do not affect any decision
 
-    def _timer_expired(self, timer: timers.Timer) -> None:
+    def _handle_timer_expired(self, timer: timers.Timer) -> None:
         match timer:
             case timers.RoundTimer():
                 self._run_round()
             case timers.AttemptOverdueTimer():
-                self.outcomes.attempt_overdue(timer)
+                self.outcomes.handle_attempt_overdue(timer)
             case timers.OrderingTimer():
-                self.ordering.advance(timer.object_key)
+                self.ordering.admit_next(timer.object_key)
             case timers.WatchRetryTimer():
                 self.state.actions.append(WatchEndpoints())
 
@@ -133,25 +133,25 @@
     def _run_round(self) -> None:
         """Run a scheduling round: adjust limits and thresholds, then send queued requests."""
         self._start_round_timer()
-        self.completion.answer_expiring()
+        self.completion.give_up_expiring()
         self.state.volumes.expire(self.endpoints.upstreams(), self.state.now_ms)
         self.threshold.update()
         self.capacity.update()
         for upstream in self.endpoints.upstreams():
             adjust_limit(upstream, self.settings.mean_units)
             allocate_slots(upstream, self.state.site, self.state.now_ms)
-            self.dispatcher.release(upstream)
+            self.dispatcher.send_queued(upstream)
 
-    def _endpoint_list_updated(self, event: events.EndpointListUpdate) -> None:
+    def _handle_endpoint_list_update(self, event: events.EndpointListUpdate) -> None:
         if event.kind is UpdateKind.FAILED:
             if self.settings.subscribed:
-                wait_ms = max(self.state.site.round_ms, self.settings.poll_within_ms * WATCH_RETRY_PART)
+                wait_ms = max(self.state.site.round_ms, self.settings.poll_within_ms * WATCH_RETRY_RATIO)
                 self.state.actions.append(StartTimer(wait_ms, timers.WatchRetryTimer()))
             return
-        self.endpoints.update(event)
+        self.endpoints.handle_list_update(event)
         for upstream in self.endpoints.upstreams():
-            self.endpoints.place(upstream)
-            self.dispatcher.release(upstream)
+            self.endpoints.assign_node(upstream)
+            self.dispatcher.send_queued(upstream)
 
     def validate_state(self) -> None:
         """Check the invariants of the state (see `shaletiller.state.invariants`); used by tests."""
--- a/shaletiller/policy/slow_start.py
+++ b/shaletiller/policy/slow_start.py
@@ -37,13 +37,13 @@
     start = settings.initial_capacity_share
     budget = settings.warm_up_units * (start + (1 - start) * age_ms / settings.slow_start_ms) / start
     if quota is not None:
-        part = quota.at(now_ms).burst * budget / settings.warm_up_units
+        gateway_budget = quota.at(now_ms).burst * budget / settings.warm_up_units
     else:
-        part = _even_part(upstream, settings, budget, age_ms)
-    return upstream.warm_up_sends.within(now_ms, settings.overload_window_ms) + units <= part
+        gateway_budget = _equal_share(upstream, settings, budget, age_ms)
+    return upstream.warm_up_sends.within(now_ms, settings.overload_window_ms) + units <= gateway_budget
 
 
-def _even_part(upstream: Upstream, settings: Settings, budget: float, age_ms: float) -> float:
+def _equal_share(upstream: Upstream, settings: Settings, budget: float, age_ms: float) -> float:
     """Return an equal share of the budget for this gateway, in units.
 
     If an equal share is less than one request, gateways take turns by their index.  A turn lasts one overload
--- a/shaletiller/policy/volume_limits.py
+++ b/shaletiller/policy/volume_limits.py
@@ -14,11 +14,11 @@
 
 # Ratio of a bucket that is reserved as headroom for classes of higher priority if they have all of the
 # demand.  A larger ratio admits larger bursts of these classes; a smaller ratio leaves fewer tokens unused.
-HEADROOM_PART = 0.8
+HEADROOM_RATIO = 0.8
 # Headroom is computed for a bucket of at most this ratio of the tokens added since the bucket was created
 # empty.  Headroom of the full burst would withhold all tokens of a gateway that has just started.  A larger
 # ratio provides headroom sooner; a smaller ratio rejects fewer requests after a start.
-HEADROOM_OF_INFLOW = 0.15
+HEADROOM_INFLOW_RATIO = 0.15
 MIN_WEIGHT = 1e-9  # lower bound of a divisor; all plans may have a weight of 0
 
 
@@ -44,12 +44,12 @@
             self.fairness.record_demand(pending)
             return True
         age_s = (self.state.now_ms - volume.rate_limit_since_ms) / 1000
-        cap = min(plan.limit_burst, plan.limit_rate * age_s * HEADROOM_OF_INFLOW) / volume.gateways
-        left = self._rate_limit_level(pending) - unsent_units(pending, self.state.pending.values())
-        if left < 0:
+        capacity = min(plan.limit_burst, plan.limit_rate * age_s * HEADROOM_INFLOW_RATIO) / volume.gateways
+        remaining = self._rate_limit_level(pending) - unsent_units(pending, self.state.pending.values())
+        if remaining < 0:
             return False
         self.fairness.record_demand(pending)
-        return left >= self._headroom(pending, cap) or self.fairness.is_owed_units(pending)
+        return remaining >= self._headroom(pending, capacity) or self.fairness.is_owed_units(pending)
 
     def draw_rate_limit(self, pending: PendingRequest) -> None:
         """Draw a request's tokens from its volume's rate limit; called for its first attempt."""
@@ -61,35 +61,35 @@
 
         The bucket fills by the quota that the fleet assigns, which may have expired, else by an equal share.
         """
-        plan, part = pending.volume.plan, 1 / pending.volume.gateways
-        even = Quota(Allowance(plan.limit_rate * part, plan.limit_burst * part))
-        quota = self.state.volumes.quota(pending.request.volume) or even
+        plan, fraction = pending.volume.plan, 1 / pending.volume.gateways
+        equal_share = Quota(Allowance(plan.limit_rate * fraction, plan.limit_burst * fraction))
+        quota = self.state.volumes.quota(pending.request.volume) or equal_share
         return pending.volume.rate_limit.fill_by_quota(self.state.now_ms, quota)
 
-    def _headroom(self, pending: PendingRequest, cap: float) -> float:
-        """Return the tokens that a request must leave in a bucket for classes of higher priority.
+    def _headroom(self, pending: PendingRequest, capacity: float) -> float:
+        """Return the tokens that a request must leave in a bucket, for classes of higher priority.
 
         Without headroom a volume's tokens would be spent in order of arrival.  Headroom is proportional to
         the share of higher classes in the volume's demand; a full bucket always admits one request of this
         size.
 
-        :param cap: capacity of the bucket, in units.
+        :param capacity: capacity of the bucket, in units.
         """
         higher_classes = self.state.site.higher_priority_classes[pending.spec.name]
-        higher = pending.volume.demand.share_of(higher_classes)
-        return max(0.0, min(HEADROOM_PART * cap * higher, cap - pending.units))
+        higher_share = pending.volume.demand.share_of(higher_classes)
+        return max(0.0, min(HEADROOM_RATIO * capacity * higher_share, capacity - pending.units))
 
     def assign_tier(self, pending: PendingRequest, upstream: Upstream) -> Tier:
         """Return the best tier for which the volume has tokens, and draw them."""
         volume, volume_name, now_ms = pending.volume, pending.request.volume, self.state.now_ms
         reserved = volume.plan.reserved_rate > 0
-        if reserved and self._draw(pending, volume.reservation, self._reserved_rate(volume)):
+        if reserved and self._draw_tokens(pending, volume.reservation, self._reserved_rate(volume)):
             return Tier.RESERVED
         upstream.excess_demand.setdefault(volume_name, DecayingRate()).add(now_ms, pending.units)
         rate = self._fair_share_rate(upstream, volume)
-        full = TokenBucket(rate + self.state.site.settings.max_units, now_ms)
-        bucket = volume.fair_shares.setdefault(upstream.shard, full)
-        return Tier.FAIR_SHARE if self._draw(pending, bucket, rate) else Tier.EXCESS
+        full_bucket = TokenBucket(rate + self.state.site.settings.max_units, now_ms)
+        bucket = volume.fair_shares.setdefault(upstream.shard, full_bucket)
+        return Tier.FAIR_SHARE if self._draw_tokens(pending, bucket, rate) else Tier.EXCESS
 
     @staticmethod
     def _reserved_rate(volume: VolumeState) -> float:
@@ -112,19 +112,19 @@
         reserved = sum(queue.arrivals.rate(now_ms) for queue in upstream.reserved_queues) * mean_units
         # A volume participates while it requests at least half a request of mean units a second.
         demands = upstream.excess_demand.items()
-        taking_part = [name for name, demand in demands if demand.rate(now_ms) >= mean_units / 2]
-        weight = sum(self.state.volumes[name].plan.weight for name in taking_part)
+        participants = [name for name, demand in demands if demand.rate(now_ms) >= mean_units / 2]
+        weight = sum(self.state.volumes[name].plan.weight for name in participants)
         return (
             max(0.0, node_rate - reserved) * volume.plan.weight / max(weight, volume.plan.weight, MIN_WEIGHT)
         )
 
-    def _draw(self, pending: PendingRequest, bucket: TokenBucket, rate: float) -> bool:
+    def _draw_tokens(self, pending: PendingRequest, bucket: TokenBucket, rate: float) -> bool:
         """Draw a request's tokens from a bucket; return whether it has enough.
 
         The capacity of the bucket is one second at its rate plus one request of maximum units.
         """
-        cap = rate + self.state.site.settings.max_units
-        if bucket.fill(self.state.now_ms, rate, cap) < pending.units + self._headroom(pending, cap):
+        capacity = rate + self.state.site.settings.max_units
+        if bucket.fill(self.state.now_ms, rate, capacity) < pending.units + self._headroom(pending, capacity):
             return False
         bucket.level -= pending.units
         pending.drawn_from = bucket
--- a/shaletiller/rate_counters.py
+++ b/shaletiller/rate_counters.py
@@ -11,7 +11,7 @@
 
 # Default time constant of a decaying rate.  A shorter time follows a change of load sooner; a longer time is
 # less affected by single requests.
-RATE_MEMORY_MS = 1000.0
+RATE_TIME_CONSTANT_MS = 1000.0
 
 
 @dataclass(slots=True)
@@ -21,25 +21,25 @@
     level: float
     at_ms: float
 
-    def fill(self, now_ms: float, rate: float, cap: float) -> float:
+    def fill(self, now_ms: float, rate: float, capacity: float) -> float:
         """Add the tokens since the last call.
 
         :param rate: tokens a second.
-        :param cap: capacity of the bucket, in tokens.
+        :param capacity: maximum number of tokens in the bucket.
         :returns: the new level.
         """
-        self.level = min(cap, self.level + rate * (now_ms - self.at_ms) / 1000)
+        self.level = min(capacity, self.level + rate * (now_ms - self.at_ms) / 1000)
         self.at_ms = now_ms
         return self.level
 
 
 @dataclass(slots=True)
 class DecayingRate:
-    """An exponentially decaying rate, as in Unix load averages: counts decay by e^(-t/memory)."""
+    """An exponentially decaying rate, as in Unix load averages: counts decay by e^(-t/time constant)."""
 
     total: float = 0.0
     at_ms: float = 0.0
-    memory_ms: float = RATE_MEMORY_MS
+    memory_ms: float = RATE_TIME_CONSTANT_MS
 
     def add(self, now_ms: float, amount: float = 0.0) -> float:
         """Add an amount.
@@ -60,22 +60,22 @@
 
     def __init__(self) -> None:
         """Create an empty window."""
-        self._counted: deque[tuple[float, float]] = deque()  # time in milliseconds, amount
+        self._entries: deque[tuple[float, float]] = deque()  # time in milliseconds, amount
 
     def add(self, now_ms: float, amount: float = 1.0) -> None:
         """Add an amount."""
-        self._counted.append((now_ms, amount))
+        self._entries.append((now_ms, amount))
 
     def within(self, now_ms: float, window_ms: float) -> float:
         """Return the sum of the amounts of the last `window_ms`; older amounts are dropped."""
-        self.forget(now_ms, window_ms)
-        return sum(amount for _, amount in self._counted)
+        self.drop_older(now_ms, window_ms)
+        return sum(amount for _, amount in self._entries)
 
-    def forget(self, now_ms: float, window_ms: float) -> None:
+    def drop_older(self, now_ms: float, window_ms: float) -> None:
         """Drop amounts that are older than the window."""
-        while self._counted and self._counted[0][0] <= now_ms - window_ms:
-            self._counted.popleft()
+        while self._entries and self._entries[0][0] <= now_ms - window_ms:
+            self._entries.popleft()
 
     def clear(self) -> None:
         """Drop all amounts."""
-        self._counted.clear()
+        self._entries.clear()
--- a/shaletiller/settings/decoder.py
+++ b/shaletiller/settings/decoder.py
@@ -16,7 +16,7 @@
 from shaletiller.settings.model import Settings
 
 # Class and plan names are sent in HTTP header fields.
-NAME = re.compile(r"[!-~](?:[ -~]{0,62}[!-~])?", re.ASCII)
+NAME_PATTERN = re.compile(r"[!-~](?:[ -~]{0,62}[!-~])?", re.ASCII)
 EFFECTS = {"read_like": "safe", "idempotency_key": "keyed", "non_idempotent": "unsafe"}
 CLASS_KEYS = {
     "name": "name",
@@ -81,58 +81,58 @@
     "load-info": {"columns": "load_report_fields"},
 }
 # The settings key of each field, for error messages.
-SITE_NAMES = {
-    ours: f"{section}.{theirs}" if section else theirs
+KEYS_BY_FIELD = {
+    field: f"{section}.{key}" if section else key
     for section, keys in SETTING_KEYS.items()
-    for theirs, ours in keys.items()
+    for key, field in keys.items()
 }
-LIST_NAMES = {
-    "classes": ("classes", {ours: theirs for theirs, ours in CLASS_KEYS.items()}),
-    "plans": ("contracts", {ours: theirs for theirs, ours in PLAN_KEYS.items()}),
+LIST_KEYS = {
+    "classes": ("classes", {field: key for key, field in CLASS_KEYS.items()}),
+    "plans": ("contracts", {field: key for key, field in PLAN_KEYS.items()}),
 }
 
 
-def _known_keys(source: Any, keys: Mapping[str, str], where: str) -> dict[str, Any]:
+def _read_known_keys(source: Any, keys: Mapping[str, str], path: str) -> dict[str, Any]:
     """Return the values of the known keys that are present, by field name.
 
     :raises SettingsError: if the source is not an object.
     """
     if not isinstance(source, Mapping):
-        raise SettingsError(f"{where}: expected an object")
-    return {ours: source[theirs] for theirs, ours in keys.items() if source.get(theirs) is not None}
+        raise SettingsError(f"{path}: expected an object")
+    return {field: source[key] for key, field in keys.items() if source.get(key) is not None}
 
 
-def _list(info: Mapping[str, Any], name: str) -> list[Any]:
+def _read_list(info: Mapping[str, Any], name: str) -> list[Any]:
     rows = info.get(name) or []
     if not isinstance(rows, list):
         raise SettingsError(f"{name}: expected a list")
     return rows
 
 
-def _class(source: Any, at: int, writes: list[Any]) -> dict[str, Any]:
-    known = _known_keys(source, CLASS_KEYS, f"classes[{at}]")
+def _read_class(source: Any, index: int, writes: list[Any]) -> dict[str, Any]:
+    known = _read_known_keys(source, CLASS_KEYS, f"classes[{index}]")
     if "effect" not in known:  # it has no default: with "unsafe", reads would never be retried
-        raise SettingsError(f"classes[{at}].effect: is missing")
+        raise SettingsError(f"classes[{index}].effect: is missing")
     if not isinstance(known["effect"], str) or known["effect"] not in EFFECTS:
-        raise SettingsError(f"classes[{at}].effect: unknown value {known['effect']!r}")
+        raise SettingsError(f"classes[{index}].effect: unknown value {known['effect']!r}")
     known["effect"] = EFFECTS[known["effect"]]
-    return {**known, "writes": bool(writes[at]) if at < len(writes) else False}
+    return {**known, "writes": bool(writes[index]) if index < len(writes) else False}
 
 
-def _check_names(names: list[Any], where: str) -> None:
+def _check_names(names: list[Any], list_key: str) -> None:
     """Check that names are valid in a header field and unique.
 
     Requests specify their class and plan in header fields.
 
     :raises SettingsError: if a name is invalid or not unique.
     """
-    for at, name in enumerate(names):
+    for index, name in enumerate(names):
         if not isinstance(name, str):
             continue
-        key = f"{where}[{at}].name"
-        if name in names[:at]:
+        key = f"{list_key}[{index}].name"
+        if name in names[:index]:
             raise SettingsError(f"{key}: {name!r} occurs twice")
-        if not NAME.fullmatch(name):
+        if not NAME_PATTERN.fullmatch(name):
             raise SettingsError(f"{key}: expected 1 to 64 printable ASCII characters, got {name!r}")
 
 
@@ -143,39 +143,39 @@
     """
     known: dict[str, Any] = {}
     for section, keys in SETTING_KEYS.items():
-        known.update(_known_keys(info.get(section) or {} if section else info, keys, section or "settings"))
+        known.update(_read_known_keys(info.get(section) or {} if section else info, keys, section or "settings"))
     domain: Mapping[str, Any] = info.get("domain") or {}
-    writes = _list(domain, "writes")
-    known["classes"] = [_class(each, at, writes) for at, each in enumerate(_list(info, "classes"))]
+    writes = _read_list(domain, "writes")
+    known["classes"] = [_read_class(row, index, writes) for index, row in enumerate(_read_list(info, "classes"))]
     known["plans"] = [
-        _known_keys(each, PLAN_KEYS, f"contracts[{at}]") for at, each in enumerate(_list(info, "contracts"))
+        _read_known_keys(row, PLAN_KEYS, f"contracts[{index}]") for index, row in enumerate(_read_list(info, "contracts"))
     ]
     for section in ("classes", "plans"):
-        _check_names([each.get("name") for each in known[section]], LIST_NAMES[section][0])
+        _check_names([row.get("name") for row in known[section]], LIST_KEYS[section][0])
     known["subscribed"] = info.get("discovery") == "subscribe"
     try:
         return msgspec.convert(known, Settings)
     except msgspec.ValidationError as error:
-        raise SettingsError(_with_site_key(str(error))) from error
+        raise SettingsError(_with_settings_key(str(error))) from error
 
 
-def _with_site_key(text: str) -> str:
+def _with_settings_key(text: str) -> str:
     """Rewrite an error message of msgspec so that it begins with the settings key of the invalid value."""
     message, _, path = text.partition(" - at `$")
-    found = re.fullmatch(r"\.?(\w*)(\[(?:\d+|\.\.\.)\])?(?:\.(\w+))?`", path)
-    if found is None:
+    match = re.fullmatch(r"\.?(\w*)(\[(?:\d+|\.\.\.)\])?(?:\.(\w+))?`", path)
+    if match is None:
         return next(
             (
-                f"{SITE_NAMES[name]}{text.removeprefix(name)}"
-                for name in SITE_NAMES
+                f"{KEYS_BY_FIELD[name]}{text.removeprefix(name)}"
+                for name in KEYS_BY_FIELD
                 if text.startswith(name + ":")
             ),
             text,
         )
-    top, index, key = found.groups()
-    if top in LIST_NAMES:
-        shown, keys = LIST_NAMES[top]
+    field, index, key = match.groups()
+    if field in LIST_KEYS:
+        list_key, keys = LIST_KEYS[field]
         name, _, rest = message.partition(":")
         key, message = (name, rest.strip()) if key is None and name in keys else (key, message)
-        return f"{shown}{index or ''}{'.' + keys.get(key, key) if key else ''}: {message}"
-    return f"{SITE_NAMES.get(top, top)}: {message}" if top else message
+        return f"{list_key}{index or ''}{'.' + keys.get(key, key) if key else ''}: {message}"
+    return f"{KEYS_BY_FIELD.get(field, field)}: {message}" if field else message
--- a/shaletiller/state/invariants.py
+++ b/shaletiller/state/invariants.py
@@ -19,7 +19,7 @@
     _validate_slots(state, upstreams)
     for object_key, queue in state.key_queues.items():
         assert queue.in_flight >= 0, object_key
-        assert all(each.id in state.pending for each in queue.requests), object_key
+        assert all(request.id in state.pending for request in queue.requests), object_key
     in_flight = Counter(attempt.pending.id for attempt in state.attempts.values())
     for pending in state.pending.values():
         assert pending.attempts_in_flight == in_flight[pending.id], pending.id
@@ -32,8 +32,8 @@
     for upstream in upstreams:
         assert list(upstream.queues) == [spec.key for spec in state.site.queue_specs]
         for queue in upstream.queues.values():
-            assert all(each.upstream is upstream and each.queue is queue for each in queue.requests)
-            waiting += [each.id for each in queue.requests]
+            assert all(request.upstream is upstream and request.queue is queue for request in queue.requests)
+            waiting += [request.id for request in queue.requests]
     queued = [pending.id for pending in state.pending.values() if pending.queued]
     assert sorted(waiting) == sorted(queued)
 
--- a/shaletiller/state/latency.py
+++ b/shaletiller/state/latency.py
@@ -15,7 +15,7 @@
 LOST_SMOOTHING = 0.2  # factor for the share of overdue attempts that are never answered
 # Time constant with which a node's estimate ages while no response arrives.  After a pause the first response
 # replaces the estimate, as a gateway with little traffic receives too few responses of a node to average.
-NODE_MEMORY_MS = 2000.0
+NODE_TIME_CONSTANT_MS = 2000.0
 
 
 class LatencyEstimates:
@@ -64,13 +64,15 @@
     def record_response(self, pending: PendingRequest, latency_ms: float, now_ms: float) -> None:
         """Update the estimates from a response; its weight grows with the time since the node's last one."""
         upstream, name = pending.upstream, pending.spec.name
-        aged = 1 - math.exp((upstream.last_response_ms - now_ms) / NODE_MEMORY_MS)
+        age_factor = 1 - math.exp((upstream.last_response_ms - now_ms) / NODE_TIME_CONSTANT_MS)
         mean_request_ms = latency_ms / self.request_factor(pending)
-        upstream.latency_ms += (mean_request_ms - upstream.latency_ms) * max(NODE_SMOOTHING, aged)
+        upstream.latency_ms += (mean_request_ms - upstream.latency_ms) * max(NODE_SMOOTHING, age_factor)
         upstream.last_response_ms = now_ms
         latency_ms /= self.units_factor(pending)
-        known_ms = self._class_ms[name]
-        self._class_ms[name] = known_ms + (latency_ms - known_ms) * (CLASS_SMOOTHING if known_ms else 1.0)
+        previous_ms = self._class_ms[name]
+        self._class_ms[name] = previous_ms + (latency_ms - previous_ms) * (
+            CLASS_SMOOTHING if previous_ms else 1.0
+        )
         self._all_classes_ms += (latency_ms - self._all_classes_ms) * (
             CLASS_SMOOTHING if self._all_classes_ms else 1.0
         )
--- a/shaletiller/state/records.py
+++ b/shaletiller/state/records.py
@@ -17,11 +17,11 @@
 # Approximate number of recent requests from which the mix of classes in a volume's demand is estimated.  A
 # smaller number follows a change of the mix sooner; a larger number preserves the headroom of a class that is
 # requested rarely.
-VOLUME_DEMAND_REQUESTS = 64
+VOLUME_DEMAND_WINDOW_REQUESTS = 64
 
 
 def _volume_demand() -> DecayingShares:
-    return DecayingShares(VOLUME_DEMAND_REQUESTS)
+    return DecayingShares(VOLUME_DEMAND_WINDOW_REQUESTS)
 
 
 @dataclass(slots=True, eq=False)
@@ -88,9 +88,9 @@
 
     def arrange_queues(self, specs: Sequence[QueueSpec], initial_slots: int) -> None:
         """Create the queues of these specs; existing queues keep their requests and state."""
-        before, self.queues = self.queues, {}
+        previous, self.queues = self.queues, {}
         for spec in specs:
-            queue = before.get(spec.key) or RequestQueue(spec, initial_slots)
+            queue = previous.get(spec.key) or RequestQueue(spec, initial_slots)
             queue.spec = spec
             self.queues[spec.key] = queue
         # The order of the settings file must not determine which queue is served first.
@@ -153,11 +153,11 @@
         volume: VolumeState,
         upstream: Upstream,
         now_ms: float,
-        unreached_part: float,
+        unreached_ratio: float,
     ) -> PendingRequest:
         """Create the state of a request that arrives now.
 
-        :param unreached_part: ratio of its time to its deadline within which a node has to receive it.
+        :param unreached_ratio: ratio of its time to its deadline within which a node has to receive it.
         """
         time_left_ms = request.deadline_in_ms
         return cls(
@@ -170,7 +170,7 @@
             queue=upstream.queues[QueueKey(spec.name, Tier.RESERVED)],
             deadline_ms=now_ms + time_left_ms,
             latency_objective_due_ms=now_ms + min(spec.latency_objective_ms, time_left_ms),
-            unreached_deadline_ms=now_ms + time_left_ms * unreached_part,
+            unreached_deadline_ms=now_ms + time_left_ms * unreached_ratio,
         )
 
     def return_tokens(self) -> None:
--- a/shaletiller/state/shares.py
+++ b/shaletiller/state/shares.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Container
 
-FORGOTTEN_SHARE = 1e-3  # names with a smaller share are dropped, so that unused names take no memory
+MIN_SHARE = 1e-3  # names with a smaller share are dropped, so that unused names take no memory
 
 
 class DecayingShares:
@@ -12,23 +12,25 @@
 
     This is an exponentially weighted moving average (J. S. Hunter, 1986) over counts.  A gateway may receive
     a thousand requests a second or one in ten seconds; in both cases the mix is estimated from about the last
-    `memory` requests.
+    `window` requests.
     """
 
-    def __init__(self, memory: int) -> None:
-        """Create empty shares, which are determined by about the last `memory` counts."""
-        self._decay = 1 - 1 / memory
+    def __init__(self, window: int) -> None:
+        """Create empty shares, which are determined by about the last `window` counts."""
+        self._decay = 1 - 1 / window
         self._amounts: dict[str, float] = {}
         self._total = 0.0
 
     def count(self, name: str, amount: float = 1.0) -> None:
         """Add a non-negative amount to a name."""
-        for each in self._amounts:
-            self._amounts[each] *= self._decay
+        for key in self._amounts:
+            self._amounts[key] *= self._decay
         self._amounts[name] = self._amounts.get(name, 0.0) + amount
         self._total = sum(self._amounts.values())
-        least = FORGOTTEN_SHARE * self._total
-        self._amounts = {each: kept for each, kept in self._amounts.items() if kept >= least}
+        min_amount = MIN_SHARE * self._total
+        self._amounts = {
+            key: remaining for key, remaining in self._amounts.items() if remaining >= min_amount
+        }
 
     def share(self, name: str) -> float:
         """Return the share of a name, from 0 to 1."""
@@ -58,12 +60,12 @@
         """Return the amount that a name is owed, negative if it has received more than its share."""
         return self._deficits.get(name, 0.0)
 
-    def spend(self, name: str, amount: float, earns: list[tuple[str, float]], most: float) -> None:
+    def spend(self, name: str, amount: float, credit_ratios: list[tuple[str, float]], max_deficit: float) -> None:
         """Charge an amount to a name, and credit names with their shares of it.
 
-        :param earns: the names to credit, with the ratio of the amount that each receives.
-        :param most: maximum absolute value of each deficit.
+        :param credit_ratios: the names to credit, with the ratio of the amount that each receives.
+        :param max_deficit: maximum absolute value of each deficit.
         """
-        deficits = {each: self.deficit(each) + part * amount for each, part in earns}
+        deficits = {key: self.deficit(key) + fraction * amount for key, fraction in credit_ratios}
         deficits[name] = deficits.get(name, self.deficit(name)) - amount
-        self._deficits = {each: max(-most, min(most, owed)) for each, owed in deficits.items()}
+        self._deficits = {key: max(-max_deficit, min(max_deficit, owed)) for key, owed in deficits.items()}
--- a/shaletiller/state/site.py
+++ b/shaletiller/state/site.py
@@ -10,7 +10,7 @@
 
 # Duration of a scheduling round, as a ratio of the tightest latency objective.  A request that waits for the
 # next round still has half of its objective left for the node.
-ROUND_PART = 0.5
+ROUND_OBJECTIVE_RATIO = 0.5
 MIN_VALUE = 1e-9  # lower bound of the highest value, which is a divisor; all weights may be 0
 
 
@@ -36,7 +36,7 @@
             for spec in classes
         }
         self.tightest_objective_ms = min(spec.latency_objective_ms for spec in settings.classes)
-        self.round_ms = self.tightest_objective_ms * ROUND_PART
+        self.round_ms = self.tightest_objective_ms * ROUND_OBJECTIVE_RATIO
         tier_weights = {
             Tier.RESERVED: 1.0,
             Tier.FAIR_SHARE: settings.fair_share_tier_weight,
@@ -45,8 +45,8 @@
         self.queue_specs = tuple(
             self._queue_spec(spec, tier, weight) for spec in classes for tier, weight in tier_weights.items()
         )
-        top = max(spec.priority_weight for spec in settings.classes) * max(tier_weights.values())
-        self.highest_value = max(top * max(plan.value_factor for plan in settings.plans), MIN_VALUE)
+        max_weight = max(spec.priority_weight for spec in settings.classes) * max(tier_weights.values())
+        self.highest_value = max(max_weight * max(plan.value_factor for plan in settings.plans), MIN_VALUE)
 
     def _queue_spec(self, spec: ClassSpec, tier: Tier, tier_weight: float) -> QueueSpec:
         return QueueSpec(
--- a/shaletiller/state/volumes.py
+++ b/shaletiller/state/volumes.py
@@ -44,7 +44,7 @@
         """Return the quota of a volume's rate limit or a node's warm-up budget; None without a fleet."""
         return self._quotas.get(name)
 
-    def set_quota(self, event: QuotaUpdated) -> None:
+    def handle_quota_updated(self, event: QuotaUpdated) -> None:
         """Set a quota that the fleet assigns to this gateway."""
         self._quotas[event.name] = event.quota
 
@@ -94,8 +94,8 @@
 def unsent_units(pending: PendingRequest, requests: Iterable[PendingRequest]) -> float:
     """Return the units of a request and of all other requests of its volume that were not attempted yet."""
     others = (
-        each.units
-        for each in requests
-        if each.volume is pending.volume and not each.attempts_started and each is not pending
+        other.units
+        for other in requests
+        if other.volume is pending.volume and not other.attempts_started and other is not pending
     )
     return pending.units + sum(others)
--- a/tests/policy/test_guarantee.py
+++ b/tests/policy/test_guarantee.py
@@ -21,7 +21,8 @@
 from shaletiller.messages.events import AttemptEnded, EndpointListUpdate, Event, Request, TimerExpired
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.policy import Scheduler
-from shaletiller.policy.class_fairness import CREDIT_REQUESTS, GUARANTEED
+from shaletiller.policy.class_fairness import GUARANTEED_FRACTION as GUARANTEED
+from shaletiller.policy.class_fairness import MAX_DEFICIT_REQUESTS as CREDIT_REQUESTS
 from shaletiller.settings.model import ClassSpec, DeduplicationScope, Idempotency, PlanSpec, Settings
 from tests.support.scheduler_host import ScriptedGateway
 
@@ -177,7 +178,7 @@
         if isinstance(event, Request):
             self._units[event.request] = event.units
             self.asked.append((now, event.request_class, event.units))
-            owed = self._scheduler.fairness._work.deficit(event.request_class)
+            owed = self._scheduler.fairness._work_deficits.deficit(event.request_class)
             owed_most = owed >= CREDIT_REQUESTS * MEAN_UNITS
         elif isinstance(event, AttemptEnded) and event.outcome is Outcome.OK:
             self.served.append((now, self._units[event.request]))
@@ -217,6 +218,7 @@
 
 # With `derandomize` the examples are derived from a digest of the source of each test.  Any edit of one of
 # the three tests below, including its name and docstring, changes its examples; edits of comments do not.
+# The aliases GUARANTEED and CREDIT_REQUESTS keep their source as it is.
 FEW = settings(
     max_examples=15,
     deadline=None,
