--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -23,7 +23,7 @@
     return sum(queue.in_flight for queue in upstream.queues.values())
 
 
-def fill(gateway: ScriptedGateway, count: int, **changes: object) -> None:
+def send_requests(gateway: ScriptedGateway, count: int, **changes: object) -> None:
     """Pass several requests to the scheduler at the same time."""
     for n in range(count):
         gateway.request(f"f{n}", **changes)
@@ -35,7 +35,7 @@
     Queued requests can no longer meet the objective; they are rejected and not sent.
     """
     gateway = ScriptedGateway()
-    fill(gateway, 12)
+    send_requests(gateway, 12)
     waiting = [f"f{n}" for n in range(12) if f"f{n}" not in gateway.sent() and not gateway.finals(f"f{n}")]
     assert waiting
     gateway.run_to(260)
@@ -102,7 +102,7 @@
     assert gateway.finals("r2")
 
 
-def cut(gateway: ScriptedGateway) -> None:
+def time_out_for_a_while(gateway: ScriptedGateway) -> None:
     """Let attempts at a node time out for a while, until it responds again."""
     for n in range(5):
         gateway.request(f"c{n}")
@@ -119,7 +119,7 @@
     The endpoint list reports no restart, so that the node is sent requests as before.
     """
     gateway = ScriptedGateway(warm_up_units=8.0, slow_start_ms=60000.0, gateways=50)
-    cut(gateway)
+    time_out_for_a_while(gateway)
     gateway.run_to(gateway.now + 200)
     gateway.request("next")
     assert "next" in gateway.sent()
@@ -148,7 +148,7 @@
     assert lines == ["node n1: slow start finished", "shard 0: node n1 -> None"]
 
 
-def slow_node(gateway: ScriptedGateway) -> None:
+def respond_slowly(gateway: ScriptedGateway) -> None:
     """Let a node respond with a latency far above the threshold."""
     gateway.request("slow", volume="v0", plan="basic")
     gateway.end_attempt("slow", latency_ms=240)
@@ -157,7 +157,7 @@
 def trials_of_a_slow_node(**changes: int) -> int:
     """Return how many excess requests a slow node is sent in 3 s, of one request every 50 ms."""
     gateway = ScriptedGateway(plans=(PlanSpec("basic", base_rate=4, weight=0.0),), **changes)
-    slow_node(gateway)
+    respond_slowly(gateway)
     for n in range(60):
         gateway.request(f"b{n}", volume="v0")
         if f"b{n}" in gateway.sent():
@@ -177,7 +177,7 @@
 def test_a_slow_idle_node_still_gets_reserved_work() -> None:
     """A request within its volume's reservation is sent at once to an idle node, even if it was slow."""
     gateway = ScriptedGateway()
-    slow_node(gateway)
+    respond_slowly(gateway)
     gateway.request("paid", volume="v1")
     assert "paid" in gateway.sent()
 
@@ -188,14 +188,14 @@
     A gateway with little traffic receives too few responses to average.
     """
     gateway = ScriptedGateway()
-    slow_node(gateway)
+    respond_slowly(gateway)
     gateway.run_to(10_000)
     gateway.request("later", volume="v1")
     gateway.end_attempt("later", latency_ms=20)
     assert gateway.upstream().latency_ms < 30
 
 
-def losing(gateway: ScriptedGateway, count: int = 8) -> None:
+def lose_responses(gateway: ScriptedGateway, count: int = 8) -> None:
     """Let attempts be answered, then let as many be lost, each followed by one that is answered."""
     for n in range(count):
         gateway.request(f"u{n}")
@@ -219,7 +219,7 @@
     handled without a final answer by the scheduler.
     """
     gateway = ScriptedGateway(entry(), entry("n2", 1), hedging_allowed=True)
-    losing(gateway)
+    lose_responses(gateway)
     gateway.request("again")
     gateway.run_to(gateway.now + 200)
     assert gateway.sent().count("again") >= 2
@@ -235,7 +235,7 @@
     The overdue attempt is cancelled, and its request is only retried after the outcome of the cancellation.
     """
     gateway = ScriptedGateway(entry(), entry("n2", 1), cancellation_allowed=True)
-    losing(gateway)
+    lose_responses(gateway)
     gateway.request("again")
     gateway.run_to(gateway.now + 200)
     assert [a for _, a in gateway.log if isinstance(a, CancelAttempt)][-1:] == [CancelAttempt("again", 0)]
@@ -263,7 +263,7 @@
     The request is queued once and gets one final answer.
     """
     gateway = ScriptedGateway(entry(), entry("n2", 1), hedging_allowed=True)
-    losing(gateway)
+    lose_responses(gateway)
     gateway.request("again")
     gateway.run_to(gateway.now + 200)
     gateway.handle(EndpointListUpdate(UpdateKind.FULL, ()))
@@ -298,7 +298,7 @@
     The gateways do not communicate, and an equal share of the budget is less than one request.  The units
     that all of them send in any window stay within the budget, and use most of it.
     """
-    count, budget, span, ramp = 60, 40.0, 3000.0, 12000.0
+    count, budget, window_ms, slow_start_ms = 60, 40.0, 3000.0, 12000.0
     sends: list[float] = []
     for gateway_index in range(count):
         gateway = ScriptedGateway(
@@ -309,12 +309,12 @@
             reject_all(gateway)  # no served units refill the budget of a gateway
             gateway.run_to(gateway.now + 100)
             reject_all(gateway)
-        sends += [at for at, action in gateway.log if isinstance(action, SendAttempt)]
-    inside = sorted(at for at in sends if at < ramp)
-    for first in inside:
-        warm = (0.25 + 0.75 * min(first + span, ramp) / ramp) / 0.25
-        assert 2.0 * sum(first <= at < first + span for at in inside) <= budget * warm
-    assert len(inside) > count / 4
+        sends += [sent_ms for sent_ms, action in gateway.log if isinstance(action, SendAttempt)]
+    slow_start_sends = sorted(sent_ms for sent_ms in sends if sent_ms < slow_start_ms)
+    for start_ms in slow_start_sends:
+        budget_factor = (0.25 + 0.75 * min(start_ms + window_ms, slow_start_ms) / slow_start_ms) / 0.25
+        assert 2.0 * sum(start_ms <= sent_ms < start_ms + window_ms for sent_ms in slow_start_sends) <= budget * budget_factor
+    assert len(slow_start_sends) > count / 4
 
 
 def test_outcomes_found_after_the_process_stood_still_do_not_count_against_the_node() -> None:
@@ -334,7 +334,7 @@
     assert upstream.on_time_balance >= 0
 
 
-def test_memory_does_not_grow_with_the_volumes_and_nodes_of_a_long_day() -> None:
+def test_the_state_does_not_grow_with_volumes_and_nodes_over_time() -> None:
     """The state does not grow as volumes, requests and nodes come and go over a long time.
 
     In the second half of the run the state is at most slightly larger than in the first half.
@@ -395,7 +395,7 @@
     assert not [timer for _, _, timer in gateway.timers if isinstance(timer, AttemptOverdueTimer)]
 
 
-def test_a_node_too_slow_for_reads_takes_no_exports_that_keep_it_slow() -> None:
+def test_a_node_too_slow_for_reads_is_sent_no_exports_that_keep_it_slow() -> None:
     """The responses of a node are in time for exports, with an objective of 2 s, but too late for reads.
 
     Exports are not sent: they would keep the node too slow for reads permanently.
@@ -435,7 +435,7 @@
     and are rejected.
     """
     gateway = ScriptedGateway()
-    fill(gateway, 12, units=8.0)
+    send_requests(gateway, 12, units=8.0)
     gateway.upstream().latency_ms = 110.0
     gateway.run_to(130)
     waiting = [f"f{n}" for n in range(12) if not gateway.finals(f"f{n}") and f"f{n}" not in gateway.sent()]
@@ -453,7 +453,7 @@
     upstream.concurrency_limit = 8.0
     for queue in upstream.queues.values():
         queue.slots = 4
-    fill(gateway, 6)
+    send_requests(gateway, 6)
     assert not [n for n in range(6) if gateway.finals(f"f{n}")]  # four in flight, two queued
     upstream.latency_ms = 200.0  # 100 ms for the two queued requests plus 200 ms are more than 250 ms
     gateway.request("late")
@@ -470,12 +470,12 @@
     and -2 slots were counted in flight, and the node was sent too many requests.
     """
     gateway = ScriptedGateway()
-    fill(gateway, 3)
-    out = gateway.sent()
+    send_requests(gateway, 3)
+    in_flight_before = gateway.sent()
     for state in (EndpointState.DRAINING, EndpointState.READY):
         gateway.handle(EndpointListUpdate(UpdateKind.CHANGES, (entry(state=state),)))
     gateway.request("new")
-    for name in out:
+    for name in in_flight_before:
         gateway.end_attempt(name)
     upstream = gateway.upstream()
     assert (upstream.in_flight_units, in_flight(upstream)) == (
@@ -535,16 +535,16 @@
     assert nodes.count("n1") <= 4
 
 
-def test_what_a_warming_node_serves_lets_gateways_send_more_but_never_past_half_the_multiple() -> None:
+def test_units_served_in_slow_start_allow_gateways_to_send_at_most_half_the_multiple_more() -> None:
     """Forty gateways with little traffic send to one node in slow start, which serves 30 units in a window.
 
     The units that it serves let each gateway send more than in its turns, but all together never more than
     the budget plus half of the overload multiple of the units that the node can serve.
     """
-    count, budget, span, can = 40, 8.0, 3000.0, 30.0
+    count, budget, window_ms, capacity = 40, 8.0, 3000.0, 30.0
     fleet = [
-        ScriptedGateway(entry(started_ms=1.0), gateways=count, gateway_index=at, warm_up_units=budget)
-        for at in range(count)
+        ScriptedGateway(entry(started_ms=1.0), gateways=count, gateway_index=index, warm_up_units=budget)
+        for index in range(count)
     ]
     sent: list[float] = []
     served: list[float] = []
@@ -554,14 +554,14 @@
             gateway.request(f"r{step}")
             if f"r{step}" in gateway.sent():
                 sent.append(gateway.now)
-                room = 2.0 * sum(gateway.now - span < each <= gateway.now for each in served) + 2.0 <= can
-                served += [gateway.now] if room else []
-                gateway.end_attempt(f"r{step}", Outcome.OK if room else Outcome.FULL)
-    for first in sent:
-        inside = sum(first <= each < first + span for each in sent)
-        assert 2.0 * inside <= budget * (0.25 + 0.75 * (first + span) / 12000.0) / 0.25 + 4.0 / 2 * can
-    most = max(sum(first <= each < first + span for each in sent) for first in sent)
-    assert 2.0 * most > budget * (0.25 + 0.75 * 6000.0 / 12000.0) / 0.25  # more than the turns alone allow
+                has_capacity = 2.0 * sum(gateway.now - window_ms < time_ms <= gateway.now for time_ms in served) + 2.0 <= capacity
+                served += [gateway.now] if has_capacity else []
+                gateway.end_attempt(f"r{step}", Outcome.OK if has_capacity else Outcome.FULL)
+    for start_ms in sent:
+        sends = sum(start_ms <= time_ms < start_ms + window_ms for time_ms in sent)
+        assert 2.0 * sends <= budget * (0.25 + 0.75 * (start_ms + window_ms) / 12000.0) / 0.25 + 4.0 / 2 * capacity
+    max_sends = max(sum(start_ms <= time_ms < start_ms + window_ms for time_ms in sent) for start_ms in sent)
+    assert 2.0 * max_sends > budget * (0.25 + 0.75 * 6000.0 / 12000.0) / 0.25  # more than the turns alone allow
 
 
 def test_a_concurrency_limit_does_not_grow_beyond_what_its_node_has_shown() -> None:
@@ -572,19 +572,19 @@
     node serves more.
     """
     gateway = ScriptedGateway()
-    upstream, one = gateway.upstream(), 2.0
+    upstream, mean_units = gateway.upstream(), 2.0
     for _ in range(40):
         upstream.served_units, upstream.on_time_balance = 4.0, 1  # few units, in time, in each round
         upstream.in_flight_units = upstream.concurrency_limit
         adjust_limit(upstream, 2.0)
-    assert upstream.concurrency_limit <= 9 * one
+    assert upstream.concurrency_limit <= 9 * mean_units
     for _ in range(40):
         upstream.served_units, upstream.on_time_balance = (
             30.0,
             1,
         )  # a larger node serves more units in time
         adjust_limit(upstream, 2.0)
-    assert upstream.concurrency_limit > 25 * one
+    assert upstream.concurrency_limit > 25 * mean_units
 
 
 def test_excess_work_does_not_wait_for_a_node_that_is_too_slow_for_it() -> None:
@@ -594,7 +594,7 @@
     """
     plan = PlanSpec("basic", base_rate=4, reserved_rate=0.001)
     gateway = ScriptedGateway(plans=(plan,))
-    fill(gateway, 3)
+    send_requests(gateway, 3)
     upstream = gateway.upstream()
     upstream.latency_ms = 60.0  # by this latency alone the request would be in time
     pending = gateway.scheduler.state.pending["f2"]
@@ -610,14 +610,14 @@
     objective: it is not queued.
     """
     gateway = ScriptedGateway()
-    fill(gateway, 3)
+    send_requests(gateway, 3)
     upstream, pending = gateway.upstream(), gateway.scheduler.state.pending["f2"]
     upstream.latency_ms = 180.0  # in time by itself, but not with half of it in addition
     assert gateway.now + upstream.latency_ms < pending.latency_objective_due_ms
     assert not gateway.scheduler.admission.may_queue(pending, upstream)
 
 
-def test_tests_of_a_slow_node_are_counted_by_the_hosts_that_meet_it() -> None:
+def test_the_pause_between_trials_depends_on_the_gateways_that_use_the_node() -> None:
     """The pause between trial requests to a slow node depends on the number of gateways that use the node.
 
     Each of 200 gateways used one node in twenty, but paused as if all of them used every node: work with
@@ -659,29 +659,29 @@
     gateway.request("k1")
     gateway.run_to(100.0)
     gateway.end_attempt("k1", Outcome.RESET, request_finished=False)
-    sends = [(at, each.start_within_ms) for at, each in gateway.log if isinstance(each, SendAttempt)]
+    sends = [(sent_ms, action.start_within_ms) for sent_ms, action in gateway.log if isinstance(action, SendAttempt)]
     assert sends == [(0.0, math.inf), (100.0, 200.0)]
 
 
-def test_new_settings_leave_nothing_of_the_old_ones_but_what_is_held() -> None:
+def test_new_settings_replace_the_old_ones_except_for_requests_in_progress() -> None:
     """New settings remove a class with a request in flight, add another, and give a plan a rate limit.
 
     Derived values are those of the new settings, the removed class is kept until its request has ended, and
     the new limit starts with an empty bucket.
     """
-    quick = replace(SAFE, name="quick", latency_objective_ms=20.0, deadline_ms=100.0, priority_weight=50.0)
-    limited = PlanSpec("basic", base_rate=4, limit_rate=1.0, limit_burst=4.0)
-    gateway = ScriptedGateway(classes=(quick, SAFE), plans=(PLAN,))
+    tight = replace(SAFE, name="quick", latency_objective_ms=20.0, deadline_ms=100.0, priority_weight=50.0)
+    limited_plan = PlanSpec("basic", base_rate=4, limit_rate=1.0, limit_burst=4.0)
+    gateway = ScriptedGateway(classes=(tight, SAFE), plans=(PLAN,))
     gateway.request("pending", request_class="quick", deadline_in_ms=5000.0)
     gateway.request("known", volume="v9")
     gateway.end_attempt("known")
     scheduler = gateway.scheduler
     round_ms = scheduler.state.site.round_ms
-    new = settings(classes=(replace(SAFE, name="other"), SAFE), plans=(limited,))
+    new = settings(classes=(replace(SAFE, name="other"), SAFE), plans=(limited_plan,))
     scheduler.apply_settings(new)
     site = scheduler.state.site
     assert site.round_ms > round_ms
-    assert site.highest_value == SAFE.priority_weight * limited.value_factor
+    assert site.highest_value == SAFE.priority_weight * limited_plan.value_factor
     assert set(site.class_specs) == {"other", "read", "quick"}  # "quick" for its pending request
     upstream = gateway.upstream()
     assert len(upstream.queues) == len(upstream.by_priority) == 9
--- a/tests/policy/test_guarantee.py
+++ b/tests/policy/test_guarantee.py
@@ -26,24 +26,24 @@
 from shaletiller.settings.model import ClassSpec, DeduplicationScope, Idempotency, PlanSpec, Settings
 from tests.support.scheduler_host import ScriptedGateway
 
-DAY_MS = 6_000.0
+RUN_MS = 6_000.0
 UNITS = (1.0, 2.0, 3.0)
-MEAN_UNITS, MOST_UNITS = 2.0, 3.0
+MEAN_UNITS, MAX_UNITS = 2.0, 3.0
 
 
 @dataclass
 class Customer:
     """A random site: its classes, plan, settings and load.
 
-    :param works_ms: service time of a request of mean units, by class.
-    :param parts: relative frequency of requests, by class.
+    :param service_times_ms: service time of a request of mean units, by class.
+    :param frequencies: relative frequency of requests, by class.
     :param changes: settings that differ from their defaults.
     :param load: ratio of the load to the capacity of the node.
     """
 
     classes: tuple[ClassSpec, ...]
-    works_ms: tuple[float, ...]
-    parts: tuple[float, ...]
+    service_times_ms: tuple[float, ...]
+    frequencies: tuple[float, ...]
     plan: PlanSpec
     changes: dict[str, Any]
     load: float
@@ -53,13 +53,13 @@
 @st.composite
 def customers(draw: st.DrawFn) -> Customer:
     count = draw(st.integers(1, 6))
-    works = draw(st.lists(st.floats(8, 90), min_size=count, max_size=count))
+    service_times = draw(st.lists(st.floats(8, 90), min_size=count, max_size=count))
     classes = []
-    for at, work_ms in enumerate(works):
-        latency_objective_ms = max(40.0, work_ms * draw(st.floats(2, 40)))
+    for index, service_ms in enumerate(service_times):
+        latency_objective_ms = max(40.0, service_ms * draw(st.floats(2, 40)))
         classes.append(
             ClassSpec(
-                f"c{at}",
+                f"c{index}",
                 latency_objective_ms=latency_objective_ms,
                 deadline_ms=latency_objective_ms * draw(st.floats(1.2, 8)),
                 priority_weight=draw(st.floats(1, 20)),
@@ -68,7 +68,7 @@
                 key_ttl_ms=draw(st.floats(100, 5000)),
             )
         )
-    parts = draw(st.lists(st.floats(0.05, 1), min_size=count, max_size=count))
+    frequencies = draw(st.lists(st.floats(0.05, 1), min_size=count, max_size=count))
     rate = draw(st.sampled_from([0.0, 0.0, 20.0, 60.0]))
     plan = PlanSpec(
         "p",
@@ -76,7 +76,7 @@
         reserved_rate=draw(st.sampled_from([0, 10, 40])),
         weight=1,
         limit_rate=rate,
-        limit_burst=max(rate, 2 * MOST_UNITS),
+        limit_burst=max(rate, 2 * MAX_UNITS),
     )
     changes = {
         "max_attempts": draw(st.integers(1, 4)),
@@ -85,8 +85,8 @@
     }
     return Customer(
         tuple(classes),
-        tuple(works),
-        tuple(parts),
+        tuple(service_times),
+        tuple(frequencies),
         plan,
         changes,
         draw(st.floats(0.5, 2.5)),
@@ -110,14 +110,14 @@
 
     def __post_init__(self) -> None:
         """Create the scheduler, the node's workers and the queue of events."""
-        known = self.customer
-        self._random = random.Random(known.seed)
+        site = self.customer
+        self._random = random.Random(site.seed)
         self._scheduler = Scheduler(
             Settings(
-                known.classes,
-                (known.plan,),
+                site.classes,
+                (site.plan,),
                 mean_units=MEAN_UNITS,
-                max_units=MOST_UNITS,
+                max_units=MAX_UNITS,
                 tick_ms=2.0,
                 fair_share_tier_weight=0.4,
                 excess_tier_weight=0.05,
@@ -127,11 +127,11 @@
                 initial_capacity_share=0.25,
                 slow_start_ms=8000.0,
                 warm_up_units=30.0,
-                **known.changes,
+                **site.changes,
             ),
-            known.seed,
+            site.seed,
         )
-        self._works_ms = {spec.name: work for spec, work in zip(known.classes, known.works_ms, strict=True)}
+        self._service_times_ms = {spec.name: service_ms for spec, service_ms in zip(site.classes, site.service_times_ms, strict=True)}
         self._busy_until = [0.0] * self.workers
         self._queue: list[tuple[float, int, Event]] = []
         self._count = 0
@@ -148,18 +148,18 @@
         node = EndpointEntry("n", "a", 0, EndpointState.READY, 1.0, started)
         self._put(1.0, EndpointListUpdate(UpdateKind.FULL, (node,)))
         self._draw_requests()
-        while self._queue and self._queue[0][0] < DAY_MS:
+        while self._queue and self._queue[0][0] < RUN_MS:
             now, _, event = heapq.heappop(self._queue)
             self._play_event(now, event)
         return self
 
     def _draw_requests(self) -> None:
-        known, rng = self.customer, self._random
-        mean_ms = sum(w * p for w, p in zip(known.works_ms, known.parts, strict=True)) / sum(known.parts)
-        at, number = 2.0, 0
-        while at < DAY_MS:
-            at += rng.expovariate(known.load * self.workers / mean_ms)
-            spec = rng.choices(known.classes, known.parts)[0]
+        site, rng = self.customer, self._random
+        mean_ms = sum(w * p for w, p in zip(site.service_times_ms, site.frequencies, strict=True)) / sum(site.frequencies)
+        arrival_ms, number = 2.0, 0
+        while arrival_ms < RUN_MS:
+            arrival_ms += rng.expovariate(site.load * self.workers / mean_ms)
+            spec = rng.choices(site.classes, site.frequencies)[0]
             request = Request(
                 f"{spec.name} {number}",
                 0,
@@ -170,7 +170,7 @@
                 rng.choice(UNITS),
                 spec.deadline_ms,
             )
-            self._put(at, request)
+            self._put(arrival_ms, request)
             number += 1
 
     def _play_event(self, now: float, event: Event) -> None:
@@ -200,20 +200,20 @@
         else:
             self.sent.append((now, name, units))
         worker = self._busy_until.index(min(self._busy_until))
-        work_ms = self._works_ms[name] * (1 + units / MEAN_UNITS) / 2
-        done_ms = self._busy_until[worker] = max(self._busy_until[worker], now) + work_ms
-        over = self._random.random() > 0.02
-        outcome = Outcome.OK if over else Outcome.ERROR
-        self._put(done_ms, AttemptEnded(action.request, number, "n", outcome, done_ms - now, over))
+        service_ms = self._service_times_ms[name] * (1 + units / MEAN_UNITS) / 2
+        done_ms = self._busy_until[worker] = max(self._busy_until[worker], now) + service_ms
+        succeeded = self._random.random() > 0.02
+        outcome = Outcome.OK if succeeded else Outcome.ERROR
+        self._put(done_ms, AttemptEnded(action.request, number, "n", outcome, done_ms - now, succeeded))
 
 
 def worth_shares(day: Day) -> dict[str, float]:
     priority_weight = {spec.name: spec.priority_weight for spec in day.customer.classes}
     asked = {
-        name: sum(priority_weight[name] * units for _, each, units in day.asked if each == name)
+        name: sum(priority_weight[name] * units for _, request_class, units in day.asked if request_class == name)
         for name in priority_weight
     }
-    return {name: part / max(sum(asked.values()), 1e-9) for name, part in asked.items()}
+    return {name: amount / max(sum(asked.values()), 1e-9) for name, amount in asked.items()}
 
 
 # With `derandomize` the examples are derived from a digest of the source of each test.  Any edit of one of
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -31,7 +31,7 @@
 )
 
 
-class RandomDay:
+class RandomDriver:
     """Random requests, outcomes, disconnections, endpoint list updates and new settings at one gateway."""
 
     def __init__(self, seed: int, **changes: bool) -> None:
@@ -108,13 +108,13 @@
     If a slot were released twice, or a request stayed in a queue after its final answer, a node would be sent
     more than its concurrency limit or nothing at all, which would only be noticed after hours.
     """
-    day = RandomDay(seed, hedging_allowed=hedging_allowed, cancellation_allowed=not hedging_allowed)
+    driver = RandomDriver(seed, hedging_allowed=hedging_allowed, cancellation_allowed=not hedging_allowed)
     for _ in range(700):
-        day.step()
-        day.gateway.scheduler.validate_state()
-        day.gateway.run_to(day.gateway.now + day.random.expovariate(1 / 8.0))
-        day.gateway.scheduler.validate_state()
-    assert len(day.gateway.sent()) > 100
-    day.gateway.run_to(day.gateway.now + 2_000.0)
-    waiting = [each for each in day.gateway.scheduler.state.pending.values() if not each.attempts_in_flight]
-    assert all(each.response_started for each in waiting)  # all others are answered by their deadline
+        driver.step()
+        driver.gateway.scheduler.validate_state()
+        driver.gateway.run_to(driver.gateway.now + driver.random.expovariate(1 / 8.0))
+        driver.gateway.scheduler.validate_state()
+    assert len(driver.gateway.sent()) > 100
+    driver.gateway.run_to(driver.gateway.now + 2_000.0)
+    waiting = [request for request in driver.gateway.scheduler.state.request.values() if not request.attempts_in_flight]
+    assert all(request.response_started for request in waiting)  # all others are answered by their deadline
--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -64,23 +64,23 @@
 CLASS_ORDER, PLAN_ORDER = (2, 0, 3, 1), (1, 2, 0)
 
 
-def customer(renamed: bool, moved: bool | None = None) -> dict[str, Any]:
+def customer_settings(renamed: bool, reordered: bool | None = None) -> dict[str, Any]:
     """Return the settings of a customer.
 
     :param renamed: whether to use the names of the second customer.
-    :param moved: whether to use the order of the second customer; None for the same as `renamed`.
+    :param reordered: whether to use the order of the second customer; None for the same as `renamed`.
     """
-    moved = renamed if moved is None else moved
-    order, plans = (CLASS_ORDER, PLAN_ORDER) if moved else (range(4), range(3))
+    reordered = renamed if reordered is None else reordered
+    order, plans = (CLASS_ORDER, PLAN_ORDER) if reordered else (range(4), range(3))
     return {
         **SETTINGS,
-        "classes": [{**CLASSES[at], "name": named(str(CLASSES[at]["name"]), renamed)} for at in order],
-        "contracts": [{**PLANS[at], "name": named(str(PLANS[at]["name"]), renamed)} for at in plans],
+        "classes": [{**CLASSES[at], "name": name_for(str(CLASSES[at]["name"]), renamed)} for at in order],
+        "contracts": [{**PLANS[at], "name": name_for(str(PLANS[at]["name"]), renamed)} for at in plans],
         "domain": {**SETTINGS["domain"], "writes": [WRITES[at] for at in order]},
     }
 
 
-def named(name: str, renamed: bool) -> str:
+def name_for(name: str, renamed: bool) -> str:
     return NAMES[name] if renamed else name
 
 
@@ -148,25 +148,25 @@
     async def request(self, number: int) -> tuple[int, bytes, int]:
         """Send a request as its client; return the response and the number of attempts received by a node."""
         kind, tier, fate, tenant = self.plan[number]
-        wire = await RawClient.open(self.gateway.http_server.address)
-        wire.timeout_s = WAVE_TIMEOUT_S
+        client = await RawClient.open(self.gateway.http_server.address)
+        client.timeout_s = WAVE_TIMEOUT_S
         write, shard = WRITES[kind], 7 if fate == "no node" else 1
         key = {"Idempotency_Key": f"k{number}"} if EFFECTS[kind] == "idempotency_key" else {}
-        wire.send(
+        client.send(
             encode_request(
                 number,
                 "PUT" if write else "GET",
                 b"x" if write else b"",
                 **key,
                 Request_Id=f"r-{number}",
-                Tier=named(str(PLANS[tier]["name"]), self.renamed),
-                Request_Class=named(str(CLASSES[kind]["name"]), self.renamed),
+                Tier=name_for(str(PLANS[tier]["name"]), self.renamed),
+                Request_Class=name_for(str(CLASSES[kind]["name"]), self.renamed),
                 Request_Timeout_Ms="150" if fate in ("no node", "silent") else "900",
                 IO_Info=f"volume={volume(tenant, self.renamed)},units=2,shard={shard},hosts=1",
             )
         )
-        status, body = await wire.answer()
-        wire.close()
+        status, body = await client.answer()
+        client.close()
         return status, body if status == 200 else b"", self.sent.get(number, 0)
 
     def waits_for_time(self, number: int) -> bool:
@@ -195,8 +195,8 @@
         found = {}
         for renamed in (False, True):
             await self.asyncTearDown()
-            self.settings = customer(renamed)
-            self.namespace_names = (named("reads", renamed), named("writes", renamed), named("one", renamed))
+            self.settings = customer_settings(renamed)
+            self.namespace_names = (name_for("reads", renamed), name_for("writes", renamed), name_for("one", renamed))
             await self.asyncSetUp()
             found[renamed] = await self.day(renamed)
         self.assertEqual(found[False], found[True])
@@ -222,13 +222,13 @@
                 )
 
 
-def module_day(renamed: bool, moved: bool, busy: float) -> list[tuple[float, str, str]]:
+def simulate_scheduler(renamed: bool, reordered: bool, busy: float) -> list[tuple[float, str, str]]:
     """Simulate requests on a virtual clock with one node of two workers; return the actions for each request.
 
     :param busy: ratio of the load to the load at which a request arrives every 10 ms.
     """
     rng = random.Random(31)
-    settings = read_settings({**customer(renamed, moved), "balancers": 3})
+    settings = read_settings({**customer_settings(renamed, reordered), "balancers": 3})
     scheduler, now = Scheduler(settings, 5), 0.0
     queue: list[tuple[float, int, Event]] = []
     found, count, free = [], 0, [0.0, 0.0]
@@ -247,8 +247,8 @@
                 f"r{number}",
                 1,
                 f"x{number}",
-                named(str(PLANS[tier]["name"]), renamed),
-                named(str(CLASSES[kind]["name"]), renamed),
+                name_for(str(PLANS[tier]["name"]), renamed),
+                name_for(str(CLASSES[kind]["name"]), renamed),
                 volume(tenant, renamed),
                 2.0,
                 float(str(CLASSES[kind]["hard-limit-ms"])),
@@ -282,9 +282,9 @@
     They are simulated with spare capacity and with overload.
     """
     for busy, most_sent in ((0.8, 600), (1.5, 480)):  # with 1.5 the node is overloaded
-        first = module_day(False, False, busy)
-        for renamed, moved in ((True, False), (False, True), (True, True)):
-            assert module_day(renamed, moved, busy) == first
+        first = simulate_scheduler(False, False, busy)
+        for renamed, reordered in ((True, False), (False, True), (True, True)):
+            assert simulate_scheduler(renamed, reordered, busy) == first
         sent = {name for _, what, name in first if what == "SendAttempt"}
         assert 200 < len(sent) <= most_sent
 
--- a/tests/policy/test_payoff.py
+++ b/tests/policy/test_payoff.py
@@ -27,7 +27,7 @@
     return [*low, *(m * r ** (2 * n - 1 - j) * full for j in range(n, 2 * n)), full]
 
 
-def solved(lam: int, mu: int, n: int, rounds: int) -> list[Fraction]:
+def solve_chain(lam: int, mu: int, n: int, rounds: int) -> list[Fraction]:
     """Return the state probabilities, by exact elimination of the global balance equations."""
     size = n * rounds + 1
     rows = [[Fraction(0)] * (size + 1) for _ in range(size)]
@@ -39,13 +39,13 @@
             rows[j][j] -= mu
             rows[max(0, j - n)][j] += mu
     rows[-1] = [Fraction(1)] * (size + 1)
-    for at in range(size):
-        pivot = next(row for row in range(at, size) if rows[row][at] != 0)
-        rows[at], rows[pivot] = rows[pivot], rows[at]
-        rows[at] = [each / rows[at][at] for each in rows[at]]
+    for column in range(size):
+        pivot = next(row for row in range(column, size) if rows[row][column] != 0)
+        rows[column], rows[pivot] = rows[pivot], rows[column]
+        rows[column] = [value / rows[column][column] for value in rows[column]]
         for row in range(size):
-            if row != at and rows[row][at]:
-                rows[row] = [x - rows[row][at] * y for x, y in zip(rows[row], rows[at], strict=True)]
+            if row != column and rows[row][column]:
+                rows[row] = [x - rows[row][column] * y for x, y in zip(rows[row], rows[column], strict=True)]
     return [row[-1] for row in rows]
 
 
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize(("lam", "mu", "n", "rounds"), [(5, 2, 2, 4), (9, 8, 3, 3), (2, 7, 1, 5)])
 def test_more_rounds_are_the_solved_chain(lam: int, mu: int, n: int, rounds: int) -> None:
     """With more rounds, the result equals the exact solution of the balance equations."""
-    states = [float(each) for each in solved(lam, mu, n, rounds)]
+    states = [float(probability) for probability in solve_chain(lam, mu, n, rounds)]
     assert batch_queue(lam, mu, n, rounds) == pytest.approx(rates(states, mu, n))
 
 
@@ -108,15 +108,15 @@
 def test_the_split_equals_exhaustive_search(demands: list[Demand]) -> None:
     """The payoff of the greedy division equals the maximum over all divisions."""
     capacity, batch = 9, 8.0
-    found = best_split(demands, capacity, batch)
-    every = (
+    greedy = best_split(demands, capacity, batch)
+    divisions = (
         slots
         for slots in itertools.product(range(capacity + 1), repeat=len(demands))
         if sum(slots) <= capacity
     )
-    assert sum(found) <= capacity
-    best = max(total(demands, slots, batch) for slots in every)
-    assert total(demands, tuple(found), batch) == pytest.approx(best, rel=1e-6)
+    assert sum(greedy) <= capacity
+    best = max(total(demands, slots, batch) for slots in divisions)
+    assert total(demands, tuple(greedy), batch) == pytest.approx(best, rel=1e-6)
 
 
 def test_the_split_gives_an_idle_queue_nothing() -> None:
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -18,7 +18,7 @@
 from shaletiller.settings.model import DeduplicationScope, Idempotency
 from tests.support.scheduler_host import PLAN, SAFE, ScriptedGateway, actions_of_type, entry, settings
 
-O = Outcome  # noqa: E741
+
 UNSAFE = replace(SAFE, effect=Idempotency.UNSAFE)
 KEYED = replace(SAFE, effect=Idempotency.KEYED, deduplication_scope=DeduplicationScope.CELL, key_ttl_ms=5000)
 
@@ -39,24 +39,24 @@
     gateway = ScriptedGateway()
     gateway.request("r1")
     gateway.run_to(1200)
-    assert len(actions_of_type(gateway.end_attempt("r1", O.TIMEOUT), Reject, Fail)) == 1
+    assert len(actions_of_type(gateway.end_attempt("r1", Outcome.TIMEOUT), Reject, Fail)) == 1
 
 
 def test_an_unsafe_request_that_may_have_run_is_failed_and_not_sent_again() -> None:
     """An unsafe request whose attempt was reset may have been executed: it fails, and is not sent again."""
     gateway = ScriptedGateway(classes=(UNSAFE,))
     gateway.request("r1")
-    gateway.end_attempt("r1", O.RESET)
+    gateway.end_attempt("r1", Outcome.RESET)
     gateway.run_to(2000)
     assert gateway.sent() == ["r1"]
-    assert [type(each) for each in gateway.finals("r1")] == [Fail]
+    assert [type(answer) for answer in gateway.finals("r1")] == [Fail]
 
 
 def test_an_unsafe_request_that_never_ran_is_sent_again() -> None:
     """An unsafe request that its node rejected was not executed: it is retried."""
     gateway = ScriptedGateway(classes=(UNSAFE,))
     gateway.request("r1")
-    gateway.end_attempt("r1", O.FULL)
+    gateway.end_attempt("r1", Outcome.FULL)
     gateway.run_to(200)
     assert gateway.sent() == ["r1", "r1"]
 
@@ -69,10 +69,10 @@
     gateway = ScriptedGateway(classes=(replace(KEYED, key_ttl_ms=100),))
     gateway.request("r1")
     gateway.run_to(150)
-    gateway.end_attempt("r1", O.RESET)
+    gateway.end_attempt("r1", Outcome.RESET)
     gateway.run_to(2000)
     assert gateway.sent() == ["r1"]
-    assert [type(each) for each in gateway.finals("r1")] == [Fail]
+    assert [type(answer) for answer in gateway.finals("r1")] == [Fail]
 
 
 def test_nothing_goes_to_a_draining_node_and_queued_work_migrates_to_its_successor() -> None:
@@ -86,23 +86,23 @@
     assert [(a.request, a.node) for a in sends] == [("r1", "n2")]
 
 
-def draining(*answers: Outcome) -> tuple[ScriptedGateway, list[float]]:
+def send_while_draining(*given_outcomes: Outcome) -> tuple[ScriptedGateway, list[float]]:
     """Return the times at which a node that drains from 0 ms is sent requests.
 
     Its successor is ready at 3000 ms.
     """
     gateway = ScriptedGateway(drain_grace_ms=2000.0)
     gateway.handle(EndpointListUpdate(UpdateKind.CHANGES, (entry(state=EndpointState.DRAINING),)))
-    outcomes = list(answers)
-    for at in range(0, 3000, 50):
-        gateway.run_to(at)
-        gateway.request(f"r{at}")
-        if any(isinstance(a, SendAttempt) and a.request == f"r{at}" for _, a in gateway.log):
-            gateway.end_attempt(f"r{at}", outcomes.pop(0) if outcomes else Outcome.OK)
+    outcomes = list(given_outcomes)
+    for now_ms in range(0, 3000, 50):
+        gateway.run_to(now_ms)
+        gateway.request(f"r{now_ms}")
+        if any(isinstance(a, SendAttempt) and a.request == f"r{now_ms}" for _, a in gateway.log):
+            gateway.end_attempt(f"r{now_ms}", outcomes.pop(0) if outcomes else Outcome.OK)
     gateway.handle(EndpointListUpdate(UpdateKind.CHANGES, (entry("n2"),)))
     gateway.request("last")
     assert [a.node for _, a in gateway.log if isinstance(a, SendAttempt)][-1] == "n2"
-    return gateway, [at for at, a in gateway.log if isinstance(a, SendAttempt) and a.node == "n1"]
+    return gateway, [now_ms for now_ms, a in gateway.log if isinstance(a, SendAttempt) and a.node == "n1"]
 
 
 def test_a_draining_node_gets_work_until_shortly_before_its_grace_time_is_up() -> None:
@@ -111,13 +111,13 @@
     No other node holds its data.  Sending stops when a connection might no longer be established within the
     grace period.
     """
-    assert 1400 <= max(draining()[1]) <= 2000 - 250  # connect timeout
+    assert 1400 <= max(send_while_draining()[1]) <= 2000 - 250  # connect timeout
 
 
 def test_a_draining_node_that_rejects_work_gets_no_more() -> None:
     """A draining node that rejects its second request is sent no third, though its grace period continues."""
-    _, at = draining(Outcome.OK, Outcome.FULL)
-    assert len(at) == 2
+    _, sent_ms = send_while_draining(Outcome.OK, Outcome.FULL)
+    assert len(sent_ms) == 2
 
 
 def test_a_node_that_was_draining_before_this_gateway_started_gets_nothing() -> None:
@@ -139,10 +139,10 @@
         gateway.request(f"r{n}")
         gateway.run_to(gateway.now + 20)
         if f"r{n}" in gateway.sent():
-            gateway.end_attempt(f"r{n}", O.FULL if n % 3 else O.OK)
-    start, ramp = 0.25, 12000.0
-    most = 40.0 * (start + (1 - start) * gateway.now / ramp) / start / 2
-    assert 0 < len(gateway.sent()) * 2.0 <= most
+            gateway.end_attempt(f"r{n}", Outcome.FULL if n % 3 else Outcome.OK)
+    initial_share, slow_start_ms = 0.25, 12000.0
+    max_units = 40.0 * (initial_share + (1 - initial_share) * gateway.now / slow_start_ms) / initial_share / 2
+    assert 0 < len(gateway.sent()) * 2.0 <= max_units
 
 
 def test_a_rate_limit_holds_from_an_empty_start_for_this_gateways_part() -> None:
@@ -171,7 +171,7 @@
     gateway.request("r2", object_key="k")
     assert gateway.sent() == ["r1"]
     gateway.run_to(100)
-    gateway.end_attempt("r1", O.RESET)
+    gateway.end_attempt("r1", Outcome.RESET)
     gateway.run_to(390)
     assert gateway.sent() == ["r1"]
     gateway.run_to(420)
@@ -203,11 +203,11 @@
         gateway.request(f"r{n}")
         gateway.run_to(gateway.now + 130)
         for name in list(gateway.scheduler.state.pending):
-            tries = gateway.sent().count(name)
-            if tries:
-                gateway.end_attempt(name, O.ERROR, attempt=tries - 1)
-    extra = len(gateway.sent()) - len(set(gateway.sent()))
-    assert 0 < extra <= 2
+            attempts = gateway.sent().count(name)
+            if attempts:
+                gateway.end_attempt(name, Outcome.ERROR, attempt=attempts - 1)
+    retries = len(gateway.sent()) - len(set(gateway.sent()))
+    assert 0 < retries <= 2
 
 
 def test_the_watch_on_the_endpoint_list_is_opened_and_opened_again_after_a_failure() -> None:
@@ -236,9 +236,9 @@
 def test_unknown_requests_and_nodes_are_ignored() -> None:
     """Outcomes, disconnections and health checks of unknown requests and nodes have no effect."""
     gateway = ScriptedGateway()
-    assert actions_of_type(gateway.end_attempt("never", O.OK), SendAttempt, Reject, Fail) == []
+    assert actions_of_type(gateway.end_attempt("never", Outcome.OK), SendAttempt, Reject, Fail) == []
     assert gateway.handle(ClientDisconnected("never")) == []
-    assert actions_of_type(gateway.handle(HealthCheckEnded("nowhere", O.OK, 3.0)), SendAttempt) == []
+    assert actions_of_type(gateway.handle(HealthCheckEnded("nowhere", Outcome.OK, 3.0)), SendAttempt) == []
 
 
 def test_same_events_same_actions() -> None:
@@ -276,7 +276,7 @@
     assert len(gateway.finals("r1")) == 1
 
 
-def test_a_key_stays_taken_while_an_attempt_is_in_flight_after_its_client_left() -> None:
+def test_a_key_stays_blocked_while_an_attempt_is_in_flight_after_its_client_disconnected() -> None:
     """The next ordered request of a key waits for the attempt of a request whose client has disconnected."""
     gateway = ScriptedGateway(classes=(replace(SAFE, ordered=True),), ordering_gap_ms=0.0)
     gateway.request("r1", object_key="k")
@@ -298,12 +298,12 @@
         gateway.request(f"r{n}")
         for name, attempt in list(gateway.scheduler.state.attempts):
             sent.append((gateway.now, n % 2 == 0))
-            gateway.end_attempt(name, O.OK if n % 2 == 0 else O.FULL, attempt=attempt)
+            gateway.end_attempt(name, Outcome.OK if n % 2 == 0 else Outcome.FULL, attempt=attempt)
         gateway.run_to(gateway.now + 20)
-    for first, _ in sent:
-        inside = [ok for at, ok in sent if first - 3000.0 < at <= first]
-        part = 40.0 * (0.25 + 0.75 * first / 12000.0) / 0.25 / 2
-        assert 2.0 * len(inside) <= part + 4.0 / 2 * 2.0 * sum(inside) + 2.0
+    for end_ms, _ in sent:
+        served = [ok for at, ok in sent if end_ms - 3000.0 < at <= end_ms]
+        budget_units = 40.0 * (0.25 + 0.75 * end_ms / 12000.0) / 0.25 / 2
+        assert 2.0 * len(served) <= budget_units + 4.0 / 2 * 2.0 * sum(served) + 2.0
     assert len(sent) * 2.0 > 40.0 * (0.25 + 0.75 * gateway.now / 12000.0) / 0.25 / 2
 
 
@@ -313,9 +313,9 @@
     If the site allows it, Retry-After is the time to the next round plus one tick, limited to the maximum of
     the site; else it is 0.
     """
-    for allowed, most_ms, wait_ms in ((True, 1000.0, 87.0), (True, 0.0, 87.0), (False, 1000.0, 0.0)):
+    for allowed, max_ms, wait_ms in ((True, 1000.0, 87.0), (True, 0.0, 87.0), (False, 1000.0, 0.0)):
         gateway = ScriptedGateway(
-            entry(state=EndpointState.DRAINING), retry_after_allowed=allowed, max_retry_after_ms=most_ms
+            entry(state=EndpointState.DRAINING), retry_after_allowed=allowed, max_retry_after_ms=max_ms
         )
         gateway.run_to(40)
         gateway.request("r1", deadline_in_ms=50.0)
--- a/tests/support/scheduler_host.py
+++ b/tests/support/scheduler_host.py
@@ -63,7 +63,7 @@
         self.scheduler = Scheduler(settings(**changes), seed)
         self.timers: list[tuple[float, int, Timer]] = []
         self.log: list[tuple[float, Action]] = []
-        self.count = 0
+        self.timer_count = 0
         self.handle(EndpointListUpdate(UpdateKind.FULL, entries or (entry(),)))
 
     def handle(self, event: Event) -> list[Action]:
@@ -72,8 +72,8 @@
         for action in actions:
             self.log.append((self.now, action))
             if isinstance(action, StartTimer):
-                self.count += 1
-                self.timers.append((self.now + action.wait_ms, self.count, action.timer))
+                self.timer_count += 1
+                self.timers.append((self.now + action.wait_ms, self.timer_count, action.timer))
         return actions
 
     def run_to(self, until: float) -> list[Action]:
--- a/tests/wire/test_adapter.py
+++ b/tests/wire/test_adapter.py
@@ -27,11 +27,11 @@
 SUBMIT = ["Submit", "t/1", 4, "obj:a", "basic", 0, 1200.0, "pre-1", 1, "read", 2]
 
 
-def batch(at: float, *happened: list[Any], host: str = "host-0") -> str:
-    return json.dumps({"time-ms": at, "groups": [{"host": host, "happened": list(happened)}]})
+def batch(now_ms: float, *events: list[Any], host: str = "host-0") -> str:
+    return json.dumps({"time-ms": now_ms, "groups": [{"host": host, "happened": list(events)}]})
 
 
-def play(*lines: str) -> tuple[int, list[Any], str]:
+def run_adapter(*lines: str) -> tuple[int, list[Any], str]:
     out, err = io.StringIO(), io.StringIO()
     code = main(io.StringIO("".join(line + "\n" for line in lines)), out, err)
     return code, [json.loads(line) for line in out.getvalue().splitlines()], err.getvalue()
@@ -39,7 +39,7 @@
 
 def test_a_request_is_forwarded() -> None:
     """A request after the start and the endpoint list is sent to the node of its shard."""
-    code, replies, err = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))
+    code, replies, err = run_adapter(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))
     assert (code, err) == (0, "")
     output = [["CallOut", "t/1", "10.0.0.1:7000", 0.0]]
     assert replies[1]["groups"][0]["host"] == "host-0"
@@ -48,7 +48,7 @@
 
 def test_an_empty_line_of_events_gets_an_empty_reply() -> None:
     """A line without events gets one empty reply."""
-    assert play('{"time-ms":1,"groups":[]}') == (0, [{"groups": []}], "")
+    assert run_adapter('{"time-ms":1,"groups":[]}') == (0, [{"groups": []}], "")
 
 
 def test_unknown_events_and_instances_are_skipped() -> None:
@@ -56,7 +56,7 @@
 
     A newer simulator may send events with other names.
     """
-    code, replies, _ = play(
+    code, replies, _ = run_adapter(
         batch(0, ["Up", 7, INFO], PEERS_KNOWN, ["Novelty", 1, 2]), batch(1, SUBMIT, host="host-9")
     )
     assert code == 0
@@ -65,7 +65,7 @@
 
 def test_a_stopped_instance_has_no_state() -> None:
     """A request to an instance that has stopped gets no reply, as its state has been removed."""
-    code, replies, _ = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(1, ["Down"]), batch(2, SUBMIT))
+    code, replies, _ = run_adapter(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(1, ["Down"]), batch(2, SUBMIT))
     assert code == 0
     assert replies[1:] == [{"groups": []}, {"groups": []}]
 
@@ -83,7 +83,7 @@
 )
 def test_malformed_input_ends_with_one_line_of_error(line: str, reason: str) -> None:
     """After a malformed line the process exits with one error line that names the fault, and no traceback."""
-    code, _, err = play(line)
+    code, _, err = run_adapter(line)
     assert code != 0
     assert len(err.splitlines()) == 1
     assert reason in err
@@ -92,7 +92,7 @@
 
 def test_instances_in_one_process_act_as_if_alone() -> None:
     """The replies of an instance do not depend on other instances in the same process."""
-    alone = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))[1]
+    alone = run_adapter(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))[1]
     both = json.dumps(
         {
             "time-ms": 0,
@@ -102,4 +102,4 @@
             ],
         }
     )
-    assert play(both, batch(5, SUBMIT))[1][1] == alone[1]
+    assert run_adapter(both, batch(5, SUBMIT))[1][1] == alone[1]
