--- a/shaletiller/policy/latency_threshold.py
+++ b/shaletiller/policy/latency_threshold.py
@@ -27,10 +27,10 @@
 class LatencyThreshold:
     """The latency of a request of mean units above which a node is considered too slow.
 
-    Gateways do not coordinate; they only observe the same node latencies.  As the latency of a node grows,
-    the gateways whose requests have the lowest value stop sending to it first.  All classes use the tightest
-    objective of the classes in demand.  Otherwise requests with loose objectives would keep a node too slow
-    for requests with tight ones.
+    Gateways do not coordinate this decision; they only observe the same node latencies.  As the latency of a
+    node grows, the gateways whose requests have the lowest value stop sending to it first.  All classes use
+    the tightest objective of the classes in demand.  Otherwise requests with loose objectives would keep a
+    node too slow for requests with tight ones.
     """
 
     def __init__(self, state: PolicyState, fairness: ClassFairness) -> None:
--- a/shaletiller/policy/outcomes.py
+++ b/shaletiller/policy/outcomes.py
@@ -99,7 +99,8 @@
     def _retry_or_give_up(self, pending: PendingRequest) -> None:
         """Queue a retry at the head of its queue, or give up the request.
 
-        The retry is not sent before the node has capacity again, as no other node holds the shard.
+        A retry waits for capacity like any queued request: as no other node holds the shard, it could not be
+        sent elsewhere earlier.
         """
         if pending.attempts_in_flight or pending.queued:
             return  # another attempt of the request may still be answered
