--- a/shaletiller/fleet/quotas.py
+++ b/shaletiller/fleet/quotas.py
@@ -150,11 +150,11 @@
         :returns: the level, in units.
         """
         for expires_ms, allowance in quota.steps:
-            if self.at_ms < expires_ms:
-                self.fill(max(self.at_ms, min(now_ms, expires_ms)), *allowance)
+            if self.updated_ms < expires_ms:
+                self.fill(max(self.updated_ms, min(now_ms, expires_ms)), *allowance)
             if now_ms < expires_ms:
                 return self.level
-        return self.fill(max(self.at_ms, now_ms), *quota.base)
+        return self.fill(max(self.updated_ms, now_ms), *quota.base)
 
     def spend(self, now_ms: float, quota: Quota, units: float) -> bool:
         """Take units from the bucket.
--- a/shaletiller/rate_counters.py
+++ b/shaletiller/rate_counters.py
@@ -19,7 +19,7 @@
     """A token bucket (J. Turner, 1986): it fills at a rate up to its capacity; spending lowers its level."""
 
     level: float
-    at_ms: float
+    updated_ms: float
 
     def fill(self, now_ms: float, rate: float, capacity: float) -> float:
         """Add the tokens since the last call.
@@ -28,8 +28,8 @@
         :param capacity: maximum number of tokens in the bucket.
         :returns: the new level.
         """
-        self.level = min(capacity, self.level + rate * (now_ms - self.at_ms) / 1000)
-        self.at_ms = now_ms
+        self.level = min(capacity, self.level + rate * (now_ms - self.updated_ms) / 1000)
+        self.updated_ms = now_ms
         return self.level
 
 
@@ -38,7 +38,7 @@
     """An exponentially decaying rate, as in Unix load averages: counts decay by e^(-t/time constant)."""
 
     total: float = 0.0
-    at_ms: float = 0.0
+    updated_ms: float = 0.0
     memory_ms: float = RATE_TIME_CONSTANT_MS
 
     def add(self, now_ms: float, amount: float = 0.0) -> float:
@@ -46,8 +46,8 @@
 
         :returns: the rate a second, including the amount.
         """
-        self.total = self.total * math.exp((self.at_ms - now_ms) / self.memory_ms) + amount
-        self.at_ms = now_ms
+        self.total = self.total * math.exp((self.updated_ms - now_ms) / self.memory_ms) + amount
+        self.updated_ms = now_ms
         return self.total * 1000 / self.memory_ms
 
     def rate(self, now_ms: float) -> float:
