--- a/shaletiller/fleet/leases/accounts.py
+++ b/shaletiller/fleet/leases/accounts.py
@@ -126,7 +126,7 @@
             settle_ms=settle_ms,
             max_request_units=0.0,
             quiet_until_ms=quiet_until_ms,
-            demand=DecayingRate(memory_ms=DEMAND_MEMORY_MS),
+            demand=DecayingRate(time_constant_ms=DEMAND_MEMORY_MS),
             last_used_ms=now_ms,
         )
         if previous is not None:
--- a/shaletiller/rate_counters.py
+++ b/shaletiller/rate_counters.py
@@ -39,16 +39,16 @@
 
     total: float = 0.0
     updated_ms: float = 0.0
-    memory_ms: float = RATE_TIME_CONSTANT_MS
+    time_constant_ms: float = RATE_TIME_CONSTANT_MS
 
     def add(self, now_ms: float, amount: float = 0.0) -> float:
         """Add an amount.
 
         :returns: the rate a second, including the amount.
         """
-        self.total = self.total * math.exp((self.updated_ms - now_ms) / self.memory_ms) + amount
+        self.total = self.total * math.exp((self.updated_ms - now_ms) / self.time_constant_ms) + amount
         self.updated_ms = now_ms
-        return self.total * 1000 / self.memory_ms
+        return self.total * 1000 / self.time_constant_ms
 
     def rate(self, now_ms: float) -> float:
         """Return the rate a second."""
