--- a/shaletiller/adapter.py
+++ b/shaletiller/adapter.py
@@ -91,7 +91,9 @@
 
 def _read_endpoint_list(values: list[Any]) -> Event:
     return EndpointListUpdate(
-        UpdateKind(values[0]), tuple(_read_entry(row) for row in _value_at(values, 2, [])), int(_value_at(values, 1, 0))
+        UpdateKind(values[0]),
+        tuple(_read_entry(row) for row in _value_at(values, 2, [])),
+        int(_value_at(values, 1, 0)),
     )
 
 
@@ -162,11 +164,16 @@
     "Submit": _read_request,
     "Alarm": _read_timer_expired,
     "Done": _read_attempt_ended,
-    "Headers": lambda values: ResponseStarted(values[0], int(values[1]), values[2], float(_value_at(values, 3, 0))),
+    "Headers": lambda values: ResponseStarted(
+        values[0], int(values[1]), values[2], float(_value_at(values, 3, 0))
+    ),
     "NeighbourSays": lambda values: PeerMessageReceived(int(values[0]), _value_at(values, 1, "")),
     "Abandoned": lambda values: ClientDisconnected(values[0]),
     "ProbeResult": lambda values: HealthCheckEnded(
-        values[0], OUTCOMES[values[1]], float(_value_at(values, 2, 0)), _read_load_report(_value_at(values, 3, None))
+        values[0],
+        OUTCOMES[values[1]],
+        float(_value_at(values, 2, 0)),
+        _read_load_report(_value_at(values, 3, None)),
     ),
 }
 
--- a/shaletiller/policy/admission.py
+++ b/shaletiller/policy/admission.py
@@ -114,6 +114,8 @@
         in_flight, priority_weight = upstream.in_flight_units, pending.queue.spec.priority_weight
         if in_flight <= 0:
             return 0.0
-        queues = [entry for entry in upstream.queues.values() if entry.spec.priority_weight >= priority_weight]
+        queues = [
+            entry for entry in upstream.queues.values() if entry.spec.priority_weight >= priority_weight
+        ]
         ahead_units = sum(entry.units for queue in queues for entry in queue.requests)
         return ahead_units / in_flight * upstream.latency_ms
--- a/shaletiller/policy/capacity_check.py
+++ b/shaletiller/policy/capacity_check.py
@@ -39,7 +39,9 @@
         gateway uses.
         """
         settings, now_ms = self._state.site.settings, self._state.now_ms
-        in_use = sum(now_ms - upstream.last_response_ms < NODE_IN_USE_MS for upstream in self._endpoints.upstreams())
+        in_use = sum(
+            now_ms - upstream.last_response_ms < NODE_IN_USE_MS for upstream in self._endpoints.upstreams()
+        )
         fraction = min(1.0, in_use / (settings.shards or in_use or 1))
         self._gateways_per_node = settings.gateways * fraction
 
--- a/shaletiller/policy/dispatch.py
+++ b/shaletiller/policy/dispatch.py
@@ -71,14 +71,20 @@
         """Give up requests that no node has received, while their clients have time to retry elsewhere."""
         next_round_ms = self.state.next_round_ms
         for queue in upstream.by_priority:
-            for pending in [candidate for candidate in queue.requests if candidate.unreached_deadline_ms < next_round_ms]:
+            for pending in [
+                candidate for candidate in queue.requests if candidate.unreached_deadline_ms < next_round_ms
+            ]:
                 self.completion.give_up(pending, GiveUpReason.UNREACHED)
 
     def _distribute_remaining(self, upstream: Upstream, batch: list[PendingRequest]) -> None:
         """Distribute remaining capacity to queues at random, weighted by their slots."""
         blocked: set[RequestQueue] = set()
         while True:
-            queues = [candidate for candidate in upstream.by_priority if candidate.requests and candidate not in blocked]
+            queues = [
+                candidate
+                for candidate in upstream.by_priority
+                if candidate.requests and candidate not in blocked
+            ]
             if not queues:
                 return
             slots = [queue.slots for queue in queues]
@@ -86,7 +92,9 @@
             if not self._move_head_to_batch(upstream, queue, batch):
                 blocked.add(queue)
 
-    def _move_head_to_batch(self, upstream: Upstream, queue: RequestQueue, batch: list[PendingRequest]) -> bool:
+    def _move_head_to_batch(
+        self, upstream: Upstream, queue: RequestQueue, batch: list[PendingRequest]
+    ) -> bool:
         """Move the head of a queue, and the requests queued there for the same object, into the batch.
 
         :returns: whether there was capacity for the head.
@@ -95,7 +103,11 @@
         if not self.capacity.allows(head, upstream):
             return False
         key = head.request.object_key
-        same_object = [pending for pending in queue.requests if pending is head or pending.request.object_key == key != ""]
+        same_object = [
+            pending
+            for pending in queue.requests
+            if pending is head or pending.request.object_key == key != ""
+        ]
         for pending in same_object:
             if pending is head or self.capacity.allows(pending, upstream, ignore_latency=True):
                 queue.requests.remove(pending)
--- a/shaletiller/policy/endpoint_table.py
+++ b/shaletiller/policy/endpoint_table.py
@@ -102,7 +102,11 @@
         candidates = [entry for entry in holders if entry.state is EndpointState.READY] or [
             entry for entry in holders if self._draining_until_ms.get(entry.node, 0.0) > self._state.now_ms
         ]
-        entry = max(candidates, key=lambda candidate: (candidate.started_ms, candidate.node)) if candidates else None
+        entry = (
+            max(candidates, key=lambda candidate: (candidate.started_ms, candidate.node))
+            if candidates
+            else None
+        )
         node = entry.node if entry else None
         if node != upstream.node:
             line = f"shard {upstream.shard}: node {upstream.node} -> {node}"
--- a/shaletiller/policy/latency_threshold.py
+++ b/shaletiller/policy/latency_threshold.py
@@ -61,6 +61,9 @@
     the node's last response.
     """
     upstream = pending.upstream
-    base_timeout_ms = max(TIMEOUT_EXPECTED_LATENCIES * latency.expected_ms(pending), TIMEOUT_NODE_LATENCIES * upstream.latency_ms)
+    base_timeout_ms = max(
+        TIMEOUT_EXPECTED_LATENCIES * latency.expected_ms(pending),
+        TIMEOUT_NODE_LATENCIES * upstream.latency_ms,
+    )
     doublings = min(upstream.overdue_streak, MAX_DOUBLINGS)
     return float((base_timeout_ms or pending.spec.latency_objective_ms) * 2**doublings)
--- a/shaletiller/policy/payoff.py
+++ b/shaletiller/policy/payoff.py
@@ -46,7 +46,11 @@
             probabilities = [probability * SCALE_DOWN for probability in probabilities]
             window_sum *= SCALE_DOWN
     total = math.fsum(probabilities)
-    served = batch_rate * sum(min(state, slots) * probability for state, probability in enumerate(probabilities)) / total
+    served = (
+        batch_rate
+        * sum(min(state, slots) * probability for state, probability in enumerate(probabilities))
+        / total
+    )
     return served, probabilities[capacity] / total
 
 
@@ -86,7 +90,9 @@
     def next_slot(index: int) -> tuple[float, float]:
         """Return the payoff of a demand with one more slot, and the gain per unit."""
         queue = demands[index]
-        rate = payoff_rate(queue.arrival_rate, batch_rate, slots[index] + 1, queue.rounds, queue.priority_weight)
+        rate = payoff_rate(
+            queue.arrival_rate, batch_rate, slots[index] + 1, queue.rounds, queue.priority_weight
+        )
         return rate, (rate - payoffs[index]) / queue.units
 
     candidates = {index: next_slot(index) for index, demand in enumerate(demands) if demand.arrival_rate > 0}
--- a/shaletiller/settings/decoder.py
+++ b/shaletiller/settings/decoder.py
@@ -143,12 +143,17 @@
     """
     known: dict[str, Any] = {}
     for section, keys in SETTING_KEYS.items():
-        known.update(_read_known_keys(info.get(section) or {} if section else info, keys, section or "settings"))
+        known.update(
+            _read_known_keys(info.get(section) or {} if section else info, keys, section or "settings")
+        )
     domain: Mapping[str, Any] = info.get("domain") or {}
     writes = _read_list(domain, "writes")
-    known["classes"] = [_read_class(row, index, writes) for index, row in enumerate(_read_list(info, "classes"))]
+    known["classes"] = [
+        _read_class(row, index, writes) for index, row in enumerate(_read_list(info, "classes"))
+    ]
     known["plans"] = [
-        _read_known_keys(row, PLAN_KEYS, f"contracts[{index}]") for index, row in enumerate(_read_list(info, "contracts"))
+        _read_known_keys(row, PLAN_KEYS, f"contracts[{index}]")
+        for index, row in enumerate(_read_list(info, "contracts"))
     ]
     for section in ("classes", "plans"):
         _check_names([row.get("name") for row in known[section]], LIST_KEYS[section][0])
--- a/shaletiller/state/shares.py
+++ b/shaletiller/state/shares.py
@@ -60,7 +60,9 @@
         """Return the amount that a name is owed, negative if it has received more than its share."""
         return self._deficits.get(name, 0.0)
 
-    def spend(self, name: str, amount: float, credit_ratios: list[tuple[str, float]], max_deficit: float) -> None:
+    def spend(
+        self, name: str, amount: float, credit_ratios: list[tuple[str, float]], max_deficit: float
+    ) -> None:
         """Charge an amount to a name, and credit names with their shares of it.
 
         :param credit_ratios: the names to credit, with the ratio of the amount that each receives.
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -313,7 +313,10 @@
     slow_start_sends = sorted(sent_ms for sent_ms in sends if sent_ms < slow_start_ms)
     for start_ms in slow_start_sends:
         budget_factor = (0.25 + 0.75 * min(start_ms + window_ms, slow_start_ms) / slow_start_ms) / 0.25
-        assert 2.0 * sum(start_ms <= sent_ms < start_ms + window_ms for sent_ms in slow_start_sends) <= budget * budget_factor
+        assert (
+            2.0 * sum(start_ms <= sent_ms < start_ms + window_ms for sent_ms in slow_start_sends)
+            <= budget * budget_factor
+        )
     assert len(slow_start_sends) > count / 4
 
 
@@ -554,14 +557,22 @@
             gateway.request(f"r{step}")
             if f"r{step}" in gateway.sent():
                 sent.append(gateway.now)
-                has_capacity = 2.0 * sum(gateway.now - window_ms < time_ms <= gateway.now for time_ms in served) + 2.0 <= capacity
+                has_capacity = (
+                    2.0 * sum(gateway.now - window_ms < time_ms <= gateway.now for time_ms in served) + 2.0
+                    <= capacity
+                )
                 served += [gateway.now] if has_capacity else []
                 gateway.end_attempt(f"r{step}", Outcome.OK if has_capacity else Outcome.FULL)
     for start_ms in sent:
         sends = sum(start_ms <= time_ms < start_ms + window_ms for time_ms in sent)
-        assert 2.0 * sends <= budget * (0.25 + 0.75 * (start_ms + window_ms) / 12000.0) / 0.25 + 4.0 / 2 * capacity
+        assert (
+            2.0 * sends
+            <= budget * (0.25 + 0.75 * (start_ms + window_ms) / 12000.0) / 0.25 + 4.0 / 2 * capacity
+        )
     max_sends = max(sum(start_ms <= time_ms < start_ms + window_ms for time_ms in sent) for start_ms in sent)
-    assert 2.0 * max_sends > budget * (0.25 + 0.75 * 6000.0 / 12000.0) / 0.25  # more than the turns alone allow
+    assert (
+        2.0 * max_sends > budget * (0.25 + 0.75 * 6000.0 / 12000.0) / 0.25
+    )  # more than the turns alone allow
 
 
 def test_a_concurrency_limit_does_not_grow_beyond_what_its_node_has_shown() -> None:
@@ -659,7 +670,11 @@
     gateway.request("k1")
     gateway.run_to(100.0)
     gateway.end_attempt("k1", Outcome.RESET, request_finished=False)
-    sends = [(sent_ms, action.start_within_ms) for sent_ms, action in gateway.log if isinstance(action, SendAttempt)]
+    sends = [
+        (sent_ms, action.start_within_ms)
+        for sent_ms, action in gateway.log
+        if isinstance(action, SendAttempt)
+    ]
     assert sends == [(0.0, math.inf), (100.0, 200.0)]
 
 
--- a/tests/policy/test_guarantee.py
+++ b/tests/policy/test_guarantee.py
@@ -131,7 +131,10 @@
             ),
             site.seed,
         )
-        self._service_times_ms = {spec.name: service_ms for spec, service_ms in zip(site.classes, site.service_times_ms, strict=True)}
+        self._service_times_ms = {
+            spec.name: service_ms
+            for spec, service_ms in zip(site.classes, site.service_times_ms, strict=True)
+        }
         self._busy_until = [0.0] * self.workers
         self._queue: list[tuple[float, int, Event]] = []
         self._count = 0
@@ -155,7 +158,9 @@
 
     def _draw_requests(self) -> None:
         site, rng = self.customer, self._random
-        mean_ms = sum(w * p for w, p in zip(site.service_times_ms, site.frequencies, strict=True)) / sum(site.frequencies)
+        mean_ms = sum(w * p for w, p in zip(site.service_times_ms, site.frequencies, strict=True)) / sum(
+            site.frequencies
+        )
         arrival_ms, number = 2.0, 0
         while arrival_ms < RUN_MS:
             arrival_ms += rng.expovariate(site.load * self.workers / mean_ms)
@@ -210,7 +215,9 @@
 def worth_shares(day: Day) -> dict[str, float]:
     priority_weight = {spec.name: spec.priority_weight for spec in day.customer.classes}
     asked = {
-        name: sum(priority_weight[name] * units for _, request_class, units in day.asked if request_class == name)
+        name: sum(
+            priority_weight[name] * units for _, request_class, units in day.asked if request_class == name
+        )
         for name in priority_weight
     }
     return {name: amount / max(sum(asked.values()), 1e-9) for name, amount in asked.items()}
--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -196,7 +196,11 @@
         for renamed in (False, True):
             await self.asyncTearDown()
             self.settings = customer_settings(renamed)
-            self.namespace_names = (name_for("reads", renamed), name_for("writes", renamed), name_for("one", renamed))
+            self.namespace_names = (
+                name_for("reads", renamed),
+                name_for("writes", renamed),
+                name_for("one", renamed),
+            )
             await self.asyncSetUp()
             found[renamed] = await self.day(renamed)
         self.assertEqual(found[False], found[True])
--- a/tests/wire/test_adapter.py
+++ b/tests/wire/test_adapter.py
@@ -65,7 +65,9 @@
 
 def test_a_stopped_instance_has_no_state() -> None:
     """A request to an instance that has stopped gets no reply, as its state has been removed."""
-    code, replies, _ = run_adapter(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(1, ["Down"]), batch(2, SUBMIT))
+    code, replies, _ = run_adapter(
+        batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(1, ["Down"]), batch(2, SUBMIT)
+    )
     assert code == 0
     assert replies[1:] == [{"groups": []}, {"groups": []}]
 
