--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -18,7 +18,6 @@
 from shaletiller.settings.model import DeduplicationScope, Idempotency
 from tests.support.scheduler_host import PLAN, SAFE, ScriptedGateway, actions_of_type, entry, settings
 
-
 UNSAFE = replace(SAFE, effect=Idempotency.UNSAFE)
 KEYED = replace(SAFE, effect=Idempotency.KEYED, deduplication_scope=DeduplicationScope.CELL, key_ttl_ms=5000)
 
