--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -118,7 +118,7 @@
     driver.gateway.run_to(driver.gateway.now + 2_000.0)
     waiting = [
         request
-        for request in driver.gateway.scheduler.state.request.values()
+        for request in driver.gateway.scheduler.state.pending.values()
         if not request.attempts_in_flight
     ]
     assert all(request.response_started for request in waiting)  # all others are answered by their deadline
