--- a/shaletiller/policy/outcomes.py
+++ b/shaletiller/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts: what they teach, and whether their requests are retried, hedged or given up."""
+"""Outcomes of attempts: updates the estimates, and retries, hedges or gives up the requests."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 from shaletiller.policy.dispatch import Dispatcher
 from shaletiller.policy.endpoint_table import EndpointTable
 from shaletiller.policy.key_ordering import KeyOrdering
-from shaletiller.policy.latency_threshold import LatencyThreshold, overdue_after_ms
+from shaletiller.policy.latency_threshold import LatencyThreshold, attempt_timeout_ms
 from shaletiller.policy.retries import RetryPolicy
 from shaletiller.settings.model import Idempotency
 from shaletiller.state.records import AttemptInFlight, PendingRequest
 from shaletiller.state.runtime import PolicyState
 
-# Overdue attempts are taken for lost, and their slots for free, while more than this share of them is never
-# answered.  Empirical: higher hedges less work that is only slow, lower works around lost responses sooner.
-LOST_SHARE = 0.5
+# While at least this share of overdue attempts is never answered, an overdue attempt is considered lost, its
+# slot is freed and its request is hedged.  A larger share hedges fewer requests that are only slow; a smaller
+# share works around lost responses sooner.
+LOST_SHARE_THRESHOLD = 0.5
 
 
 @dataclass(slots=True, eq=False)
 class OutcomeHandler:
-    """Handles the outcomes of attempts, and attempts that are overdue."""
+    """Handles outcomes of attempts and overdue attempts."""
 
     state: PolicyState
     endpoints: EndpointTable
@@ -38,19 +39,22 @@
     ordering: KeyOrdering
     completion: RequestCompletion
 
-    def attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from an outcome; finish, retry or give up its request; use the slot that became free."""
+    def handle_attempt_ended(self, event: AttemptEnded) -> None:
+        """Handle the outcome of an attempt.
+
+        Updates the estimates, finishes, retries or gives up the request, and reuses the freed slot.
+        """
         attempt = self.state.attempts.pop((event.request, event.attempt), None)
         if attempt is None:
             return
         pending = attempt.pending
         pending.attempts_in_flight -= 1
         attempt.release_slot()
-        if event.latency_ms > overdue_after_ms(pending, self.state.latency):
+        if event.latency_ms > attempt_timeout_ms(pending, self.state.latency):
             self.state.latency.record_overdue(event.outcome)
-        # After the process stood still, what it finds waiting says nothing about the nodes.
+        # Latencies measured while the process was suspended say nothing about the node.
         if attempt.node == attempt.upstream.node and self.state.now_ms != self.state.resumed_ms:
-            self._learn(attempt, event)
+            self._update_estimates(attempt, event)
         self.state.volumes.record_outcome(pending, event, self.state.now_ms)
         self.ordering.record_outcome(pending, event.outcome)
         if not event.outcome.never_ran:
@@ -61,65 +65,69 @@
             self.completion.finish(pending)
         else:
             self._retry_or_give_up(pending)
-        # A node that just rejected work has no capacity before the next round.
+        # A node that has just rejected an attempt is assumed to have no capacity before the next round.
         if event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED):
-            self.dispatcher.release(attempt.upstream)
+            self.dispatcher.send_queued(attempt.upstream)
 
-    def _learn(self, attempt: AttemptInFlight, event: AttemptEnded) -> None:
-        """Judge the node by an outcome.
+    def _update_estimates(self, attempt: AttemptInFlight, event: AttemptEnded) -> None:
+        """Update the estimates of a node from an outcome.
 
-        Errors and resets do not lower its concurrency limit: they say nothing about load, and a sound node
-        would be starved.
+        Errors and resets do not lower its concurrency limit: they do not indicate overload, and would reduce
+        the limit of a healthy node to its minimum.
         """
         pending, upstream, now_ms = attempt.pending, attempt.upstream, self.state.now_ms
         if event.outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT):
             upstream.failed_units.add(now_ms, pending.units)
         if event.outcome is Outcome.OK:
-            self._learn_response(attempt, event.latency_ms)
+            self._update_from_response(attempt, event.latency_ms)
         elif event.outcome in (Outcome.FULL, Outcome.CONNECT_FAILED):
             self.endpoints.record_rejection(attempt.node)
             upstream.on_time_balance -= 1
 
-    def _learn_response(self, attempt: AttemptInFlight, latency_ms: float) -> None:
+    def _update_from_response(self, attempt: AttemptInFlight, latency_ms: float) -> None:
         pending, upstream, now_ms = attempt.pending, attempt.upstream, self.state.now_ms
         upstream.overdue_streak = 0
         self.endpoints.record_response(attempt.node)
         upstream.served_units += pending.units
         if upstream.warming_up_since_ms is not None:
-            # What a node serves while it warms up proves its capacity (see `warm_up_allows`).
-            repaid = self.state.site.settings.overload_multiple / 2 * pending.units
-            upstream.warm_up_sends.add(now_ms, -repaid)
+            # Units served during slow start demonstrate capacity and refill the budget: see `warm_up_allows`.
+            refilled_units = self.state.site.settings.overload_multiple / 2 * pending.units
+            upstream.warm_up_sends.add(now_ms, -refilled_units)
         self.state.latency.record_response(pending, latency_ms, now_ms)
         upstream.on_time_balance += 1 if latency_ms <= self.threshold.for_request(pending) else -1
 
     def _retry_or_give_up(self, pending: PendingRequest) -> None:
-        """Queue a retry at the head: no other node holds the shard, so the next round is soon enough."""
+        """Queue a retry at the head of its queue, or give up the request.
+
+        A retry waits for capacity like any queued request: as no other node holds the shard, it could not be
+        sent elsewhere earlier.
+        """
         if pending.attempts_in_flight or pending.queued:
-            return  # its hedged request may still be answered
+            return  # another attempt of the request may still be answered
         settings, now_ms = self.state.site.settings, self.state.now_ms
-        # One more connection that does not come up would leave its client no time to try elsewhere.
-        reached = now_ms + settings.connect_timeout_ms <= pending.unreached_deadline_ms
+        # If another connection timed out, the client would have no time left to retry elsewhere.
+        can_connect_in_time = now_ms + settings.connect_timeout_ms <= pending.unreached_deadline_ms
         in_time = pending.deadline_ms > self.state.next_round_ms
-        if reached and in_time and pending.attempts_started < settings.max_attempts:
+        if can_connect_in_time and in_time and pending.attempts_started < settings.max_attempts:
             pending.queued = True
             pending.queue.requests.appendleft(pending)
         else:
             self.completion.give_up(pending, GiveUpReason.NO_RETRY_LEFT)
 
-    def response_started(self, event: ResponseStarted) -> None:
-        """Leave a request whose response has begun to its client: it is neither hedged nor given up."""
+    def handle_response_started(self, event: ResponseStarted) -> None:
+        """Handle the start of a response: its request is neither hedged nor given up from now on."""
         if pending := self.state.pending.get(event.request):
             pending.response_started = True
 
-    def attempt_overdue(self, timer: AttemptOverdueTimer) -> None:
-        """Take the node of an overdue attempt for slow; hedge its request where responses get lost."""
+    def handle_attempt_overdue(self, timer: AttemptOverdueTimer) -> None:
+        """Handle an overdue attempt: consider its node slow, or hedge the request if responses are lost."""
         if self.state.now_ms <= self.state.resumed_ms:
-            return  # the process stood still, not the node
+            return  # this process was suspended; the node may not be slow
         attempt = self.state.attempts.get((timer.request, timer.attempt))
         if attempt is None or attempt.node != attempt.upstream.node:
             return
         attempt.upstream.overdue_streak += 1
-        if self.state.latency.lost_share < LOST_SHARE:
+        if self.state.latency.lost_share < LOST_SHARE_THRESHOLD:
             attempt.upstream.on_time_balance -= 1
             return
         attempt.release_slot()
@@ -129,14 +137,14 @@
             self._hedge(attempt, timer.attempt)
 
     def _hedge(self, attempt: AttemptInFlight, number: int) -> None:
-        """Send a hedged request beside an overdue attempt, which may have executed; or cancel that first.
+        """Send a hedged request in addition to an overdue attempt, which may have been executed.
 
-        As in "The Tail at Scale" (J. Dean, L. Barroso, 2013).  Without hedging the outcome of the cancelled
-        attempt brings its retry.
+        See "The Tail at Scale" (J. Dean, L. Barroso, 2013).  If hedging is not allowed, the overdue attempt
+        is cancelled instead, and the outcome of the cancellation triggers a retry.
         """
         pending, settings = attempt.pending, self.state.site.settings
-        spent = pending.attempts_started >= settings.max_attempts or not self.retries.budget_allows()
-        if spent or pending.spec.effect is Idempotency.UNSAFE:
+        exhausted = pending.attempts_started >= settings.max_attempts or not self.retries.budget_allows()
+        if exhausted or pending.spec.effect is Idempotency.UNSAFE:
             return
         if not settings.hedging_allowed:
             if settings.cancellation_allowed:
--- a/shaletiller/state/invariants.py
+++ b/shaletiller/state/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of the policy's state, checked by tests after events."""
+"""Invariants of the scheduler's state, checked by tests after events."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def validate_state(state: PolicyState, upstreams: Collection[Upstream]) -> None:
-    """Check that queues, slots and attempts agree with each other.
+    """Check that queues, slots and attempts are consistent.
 
-    :raises AssertionError: where they do not.
+    :raises AssertionError: if an invariant is violated.
     """
     _validate_queues(state, upstreams)
     _validate_slots(state, upstreams)
     for object_key, queue in state.key_queues.items():
         assert queue.in_flight >= 0, object_key
-        assert all(each.id in state.pending for each in queue.requests), object_key
+        assert all(request.id in state.pending for request in queue.requests), object_key
     in_flight = Counter(attempt.pending.id for attempt in state.attempts.values())
     for pending in state.pending.values():
         assert pending.attempts_in_flight == in_flight[pending.id], pending.id
@@ -27,19 +27,19 @@
 
 
 def _validate_queues(state: PolicyState, upstreams: Collection[Upstream]) -> None:
-    """Check that every queued request is pending, and waits in its own queue and there once."""
+    """Check that every queued request is pending, and is exactly once in its own queue and in no other."""
     waiting = []
     for upstream in upstreams:
         assert list(upstream.queues) == [spec.key for spec in state.site.queue_specs]
         for queue in upstream.queues.values():
-            assert all(each.upstream is upstream and each.queue is queue for each in queue.requests)
-            waiting += [each.id for each in queue.requests]
+            assert all(request.upstream is upstream and request.queue is queue for request in queue.requests)
+            waiting += [request.id for request in queue.requests]
     queued = [pending.id for pending in state.pending.values() if pending.queued]
     assert sorted(waiting) == sorted(queued)
 
 
 def _validate_slots(state: PolicyState, upstreams: Collection[Upstream]) -> None:
-    """Check that slots and units in flight of an upstream are those of its attempts that hold a slot."""
+    """Check that the slots and units in flight of an upstream match its attempts that hold a slot."""
     holders = [
         attempt
         for attempt in state.attempts.values()
--- a/tests/wire/test_adapter.py
+++ b/tests/wire/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: events in, actions out, and an error line for malformed input."""
+"""Tests of the simulator's adapter: events are mapped to actions, and malformed input to an error line."""
 
 from __future__ import annotations
 
@@ -27,22 +27,19 @@
 SUBMIT = ["Submit", "t/1", 4, "obj:a", "basic", 0, 1200.0, "pre-1", 1, "read", 2]
 
 
-def batch(at: float, *happened: list[Any], host: str = "host-0") -> str:
-    return json.dumps({"time-ms": at, "groups": [{"host": host, "happened": list(happened)}]})
+def batch(now_ms: float, *events: list[Any], host: str = "host-0") -> str:
+    return json.dumps({"time-ms": now_ms, "groups": [{"host": host, "happened": list(events)}]})
 
 
-def play(*lines: str) -> tuple[int, list[Any], str]:
+def run_adapter(*lines: str) -> tuple[int, list[Any], str]:
     out, err = io.StringIO(), io.StringIO()
     code = main(io.StringIO("".join(line + "\n" for line in lines)), out, err)
     return code, [json.loads(line) for line in out.getvalue().splitlines()], err.getvalue()
 
 
 def test_a_request_is_forwarded() -> None:
-    """A gateway starts, gets an endpoint list and a request:
-
-    the request is forwarded to the node of its shard.
-    """
-    code, replies, err = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))
+    """A request after the start and the endpoint list is sent to the node of its shard."""
+    code, replies, err = run_adapter(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))
     assert (code, err) == (0, "")
     output = [["CallOut", "t/1", "10.0.0.1:7000", 0.0]]
     assert replies[1]["groups"][0]["host"] == "host-0"
@@ -50,16 +47,16 @@
 
 
 def test_an_empty_line_of_events_gets_an_empty_reply() -> None:
-    """Each line gets one reply, also where it has no events."""
-    assert play('{"time-ms":1,"groups":[]}') == (0, [{"groups": []}], "")
+    """A line without events gets one empty reply."""
+    assert run_adapter('{"time-ms":1,"groups":[]}') == (0, [{"groups": []}], "")
 
 
 def test_unknown_events_and_instances_are_skipped() -> None:
-    """A newer simulator may send events of other names, or events of an instance that is not running.
+    """Events with unknown names and events of unknown instances are skipped.
 
-    They are skipped.
+    A newer simulator may send events with other names.
     """
-    code, replies, _ = play(
+    code, replies, _ = run_adapter(
         batch(0, ["Up", 7, INFO], PEERS_KNOWN, ["Novelty", 1, 2]), batch(1, SUBMIT, host="host-9")
     )
     assert code == 0
@@ -67,11 +64,10 @@
 
 
 def test_a_stopped_instance_has_no_state() -> None:
-    """An instance stops and is sent a request:
-
-    nothing of its state is left, and nothing is replied.
-    """
-    code, replies, _ = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(1, ["Down"]), batch(2, SUBMIT))
+    """A request to an instance that has stopped gets no reply, as its state has been removed."""
+    code, replies, _ = run_adapter(
+        batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(1, ["Down"]), batch(2, SUBMIT)
+    )
     assert code == 0
     assert replies[1:] == [{"groups": []}, {"groups": []}]
 
@@ -81,18 +77,15 @@
     [
         ("{", "JSON"),
         ('{"groups":[]}', "time-ms"),
-        (batch(0, ["Up", 7, INFO], PEERS_KNOWN, ["Submit", "t/1"]), "out of place"),
-        (batch(0, ["Up", 7, INFO], ["PeersKnown", 9, 1, []]), "out of place"),
+        (batch(0, ["Up", 7, INFO], PEERS_KNOWN, ["Submit", "t/1"]), "malformed value"),
+        (batch(0, ["Up", 7, INFO], ["PeersKnown", 9, 1, []]), "malformed value"),
         (batch(0, ["Up", 7, {**INFO, "classes": []}]), "classes"),
-        ("[1]", "out of place"),
+        ("[1]", "malformed value"),
     ],
 )
 def test_malformed_input_ends_with_one_line_of_error(line: str, reason: str) -> None:
-    """A line is malformed, in one of several ways.
-
-    The process ends with one line that names the place, and no traceback.
-    """
-    code, _, err = play(line)
+    """After a malformed line the process exits with one error line that names the fault, and no traceback."""
+    code, _, err = run_adapter(line)
     assert code != 0
     assert len(err.splitlines()) == 1
     assert reason in err
@@ -100,11 +93,8 @@
 
 
 def test_instances_in_one_process_act_as_if_alone() -> None:
-    """Two instances run in one process.
-
-    What one replies must not depend on the other.
-    """
-    alone = play(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))[1]
+    """The replies of an instance do not depend on other instances in the same process."""
+    alone = run_adapter(batch(0, ["Up", 7, INFO], PEERS_KNOWN), batch(5, SUBMIT))[1]
     both = json.dumps(
         {
             "time-ms": 0,
@@ -114,4 +104,4 @@
             ],
         }
     )
-    assert play(both, batch(5, SUBMIT))[1][1] == alone[1]
+    assert run_adapter(both, batch(5, SUBMIT))[1][1] == alone[1]
