--- a/shaletiller/__main__.py
+++ b/shaletiller/__main__.py
@@ -1,4 +1,4 @@
-"""The gateway's program: `python -m shaletiller`, and `python -m shaletiller store` for its store."""
+"""The command line: `python -m shaletiller` runs a gateway, `python -m shaletiller store` the store tool."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 logger = logging.getLogger("shaletiller")  # `__name__` is `__main__` here
 
-EXIT_USAGE = 2  # a faulty configuration, or a library that is not installed
+EXIT_USAGE = 2  # invalid configuration, or a missing library
 
 
 async def serve(config: Config) -> None:
@@ -28,11 +28,11 @@
         loop.add_signal_handler(signal_number, shutdown.set)
     loop.set_exception_handler(log_loop_exception)
     gateway = Gateway(config)
-    # Without a handler SIGHUP ends the process, and all requests in flight are lost.
+    # Without a handler, SIGHUP would end the process and all requests in flight would be lost.
     loop.add_signal_handler(signal.SIGHUP, gateway.handle_sighup, read_config_again)
     await gateway.start()
-    # The objects of the start live as long as the process: each full collection that visited them would hold
-    # up all requests for 50 ms.
+    # The objects created by the start exist as long as the process.  Without the freeze, each full garbage
+    # collection would visit them and delay all requests by 50 ms.
     gc.collect()
     gc.freeze()
     logger.info(
@@ -45,7 +45,7 @@
 
 
 def log_loop_exception(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log an exception that no task or callback handled; the event loop goes on."""
+    """Log an exception that no task or callback has handled; the event loop continues."""
     logger.error("event loop: %s: %r", context.get("message"), context.get("exception"))
 
 
@@ -55,9 +55,9 @@
     :returns: the exit code.
     """
     try:
-        from shaletiller.store.cli import main as store_main  # its libraries are not those of a gateway
+        from shaletiller.store.cli import main as store_main  # needs libraries that a gateway does not need
     except ModuleNotFoundError as error:
-        print(f"shaletiller: store: {error.name} is not installed: make lab", file=sys.stderr)
+        print(f"shaletiller: store: {error.name} is not installed; install it by `make lab`", file=sys.stderr)
         return EXIT_USAGE
     return store_main(arguments)
 
@@ -69,14 +69,14 @@
     """
     if sys.argv[1:2] == ["store"]:
         return run_store_tool(sys.argv[2:])
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a gateway that can reload
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until the gateway can reload
     configure_logging()
     try:
         config = read_config()
     except ConfigError as error:
         print(f"shaletiller: {error}", file=sys.stderr)
         return EXIT_USAGE
-    # uvloop: asyncio's own loop wakes up twice as late where gateways share a core.
+    # asyncio's own event loop wakes up twice as late as uvloop when gateways share a core.
     uvloop.run(serve(config))
     return 0
 
--- a/shaletiller/core/__init__.py
+++ b/shaletiller/core/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway's core: requests, attempts and outcomes, free of any wire."""
+"""The protocol-independent core of the gateway: requests, attempts and outcomes."""
--- a/shaletiller/core/accept.py
+++ b/shaletiller/core/accept.py
@@ -1,4 +1,4 @@
-"""Accept: a client request is checked against the settings and enters the table of exchanges."""
+"""Validates client requests against the settings and creates their exchanges."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 from shaletiller.core.model import ClientCall, Exchange, FinalResponse
 from shaletiller.settings.model import ClassSpec, Idempotency, Settings
 
-# Every class accepts a timeout of up to a minute, whatever its deadline.
+# Every class accepts timeouts of up to one minute, whatever its deadline.
 MAX_TIMEOUT_MS = 60_000.0
-# A class with a longer limit of its own may be given twice that; beyond, a timeout is a client's mistake.
+# A class with a longer deadline accepts timeouts of up to this multiple of its deadline.  Longer timeouts are
+# rejected as client errors.
 DEADLINE_MULTIPLE = 2
 
 
 class AcceptRequest:
-    """Checks client requests and creates their exchanges.
+    """Validates client requests and creates their exchanges.
 
-    :param exchanges: the table of requests in flight by id, shared with the engine.
-    :param attempts_in_flight: the attempts in flight by (request id, attempt number).
+    :param exchanges: the requests in flight by id, shared with the engine.
+    :param attempts_in_flight: the attempts in flight as (request id, attempt number).
     """
 
     def __init__(
@@ -30,7 +31,8 @@
         attempts_in_flight: Container[tuple[str, int]],
     ) -> None:
         self._classes = {spec.name: spec for spec in settings.classes}
-        # A write under the name of a class of reads would be retried.  Not every site states which is which.
+        # A write that names a class of reads would be retried.  The check is off for sites that mark no class
+        # as writing, because their settings do not distinguish reads from writes.
         self._site_marks_writes = any(spec.writes for spec in settings.classes)
         self._shards = settings.shards
         self._plans = {plan.name for plan in settings.plans}
@@ -43,7 +45,8 @@
     def __call__(self, call: ClientCall, respond: Callable[[FinalResponse], None]) -> Exchange:
         """Accept a request.
 
-        :raises BadRequestError: naming the field that is malformed or not allowed.
+        :returns: the new exchange, which has been added to the requests in flight.
+        :raises BadRequestError: if a field is malformed or not allowed; the message names the field.
         """
         spec = self._check(call)
         now_ms = self._clock.now_ms()
@@ -61,10 +64,10 @@
         if not 0 < call.units <= self._max_units:
             raise BadRequestError("units out of range")
         if self._site_marks_writes and spec.writes != call.write:
-            raise BadRequestError(f"class {call.request_class!r} is not for this method")
+            raise BadRequestError(f"class {call.request_class!r} does not match the request method")
         if spec.effect is Idempotency.KEYED and not call.idempotency_key:
-            # Without a key the storage nodes take each retry for new work and run it again.
-            raise BadRequestError(f"class {call.request_class!r} wants an Idempotency-Key")
+            # Without a key, storage nodes treat each retry as a new request and execute it again.
+            raise BadRequestError(f"class {call.request_class!r} requires an Idempotency-Key")
         if call.shard < -1 or call.volume_gateways < 1 or 0 < self._shards <= call.shard:
             raise BadRequestError("shard or hosts out of range")
         self._check_timeout(call, spec)
@@ -73,13 +76,17 @@
 
     @staticmethod
     def _check_timeout(call: ClientCall, spec: ClassSpec) -> None:
-        longest_ms = max(MAX_TIMEOUT_MS, DEADLINE_MULTIPLE * spec.deadline_ms)
-        if not 0 < call.timeout_ms <= longest_ms:
-            raise BadRequestError("time-out out of range")
+        max_timeout_ms = max(MAX_TIMEOUT_MS, DEADLINE_MULTIPLE * spec.deadline_ms)
+        if not 0 < call.timeout_ms <= max_timeout_ms:
+            raise BadRequestError("timeout out of range")
 
     def _check_id(self, call: ClientCall) -> None:
-        """An attempt may be in flight after its request's response, and outcomes are matched by the id."""
+        """Reject a request id that is in use.
+
+        An attempt can still be in flight after its request has a response.  Its outcome is matched by the
+        request id and would be attributed to a new request of the same id.
+        """
         numbers = range(self._max_attempts)
         in_flight = any((call.id, number) in self._attempts_in_flight for number in numbers)
         if call.id in self._exchanges or in_flight:
-            raise BadRequestError("a request of this id is being served")
+            raise BadRequestError("a request with this id is in progress")
--- a/shaletiller/core/admit.py
+++ b/shaletiller/core/admit.py
@@ -1,4 +1,4 @@
-"""Admit: an accepted request is put before the scheduler."""
+"""Passes accepted requests to the scheduler."""
 
 from __future__ import annotations
 
@@ -9,15 +9,19 @@
 
 
 class AdmitRequest:
-    """Turns an exchange into the scheduler's event."""
+    """Notifies the scheduler of accepted requests.
+
+    :param notify: called with the event of each request.
+    """
 
     def __init__(self, notify: Callable[[Event], None]) -> None:
         self._notify = notify
 
     def __call__(self, exchange: Exchange, remaining_ms: float | None = None) -> None:
-        """Put a request before the scheduler.
+        """Pass a request to the scheduler.
 
-        :param remaining_ms: what is left of its timeout, where it has waited; None: all of it.
+        :param remaining_ms: the remaining time of a request that has already waited; None for its full
+            timeout.
         """
         call = exchange.call
         self._notify(
--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -1,8 +1,8 @@
-"""The engine: it notifies the scheduler of what happens and carries out what the scheduler asks for.
+"""The engine passes events to the scheduler and carries out the actions that the scheduler returns.
 
-It owns the exchanges of all servers from acceptance to their one final response.  Decisions are the
-scheduler's; the engine guards what must hold even if the scheduler fails: every request gets a response by
-its deadline, and one fault ends neither the process nor another request.
+It owns the exchanges of all servers from their acceptance to their final response.  The scheduler makes the
+decisions.  The engine guarantees what must hold even if the scheduler fails: every request gets a response by
+its deadline, and an error in one request ends neither the process nor another request.
 """
 
 from __future__ import annotations
@@ -62,18 +62,20 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_COUNTED_CLASSES = 64  # clients choose class names: they must not grow the counters without end
-# A request without a response gets one so long after its deadline: the scheduler's own response comes first,
-# and the platform allows 50 ms after the deadline.
+# Maximum number of request classes with counters.  Clients choose the class names, so the number must be
+# bounded.
+MAX_COUNTED_CLASSES = 64
+# How long after its deadline the engine responds to a request that has no response.  The delay lets the
+# scheduler respond first; the platform allows 50 ms after the deadline.
 DEADLINE_GUARD_MS = 15.0
 
 
 class Engine:
-    """One gateway's requests, from all servers, under one scheduler.
+    """Handles the requests of all servers of one gateway with one scheduler.
 
     :param settings: the settings in force.
-    :param seed: of the scheduler's random numbers.
-    :param services: what the gateway does for the engine beside sending attempts.
+    :param seed: the seed of the scheduler's random number generator.
+    :param services: operations that the gateway provides to the engine; by default they do nothing.
     """
 
     def __init__(
@@ -82,8 +84,8 @@
         self.settings = settings
         self.counters = Counters()
         self.exchanges: dict[str, Exchange] = {}  # the requests in flight, by id
-        self.endpoints: dict[str, Endpoint] = {}  # as listed, ejected by hand or not
-        self.ejected: frozenset[str] = frozenset()  # by hand: reported to the rest as gone
+        self.endpoints: dict[str, Endpoint] = {}  # the endpoint list, with ejected nodes
+        self.ejected: frozenset[str] = frozenset()  # manually; routes and scheduler treat them as gone
         self._services: EngineServices = services or NoServices()
         self._clock = clock
         self._scheduler = Scheduler(settings, seed)
@@ -111,13 +113,11 @@
             WriteLog: self._write_log,
         }
 
-    # ---- what happens
-
     def submit(self, call: ClientCall, respond: Callable[[FinalResponse], None]) -> Exchange:
         """Accept a client request.
 
-        :param respond: called once with the final response, perhaps before this method returns.
-        :raises BadRequestError: where no storage node may see the request; `respond` is not called.
+        :param respond: called once with the final response, possibly before this method returns.
+        :raises BadRequestError: if the request is malformed or not allowed; `respond` is not called.
         """
         exchange = self._accept(call, respond)
         wait_ms = call.timeout_ms + DEADLINE_GUARD_MS
@@ -127,9 +127,9 @@
         return exchange
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        """Cancel the attempts of a request whose client has closed its connection: no response is owed.
+        """Cancel the attempts of a request whose client has closed its connection; it gets no response.
 
-        Without effect where the exchange is finished.
+        Does nothing if the exchange is finished.
         """
         if exchange.finished:
             return
@@ -141,9 +141,9 @@
     def update_endpoints(
         self, kind: UpdateKind, version: int, endpoints: tuple[Endpoint, ...], staleness_ms: float = 0.0
     ) -> None:
-        """Apply an update of the endpoint list; nodes ejected by hand stay gone to routes and scheduler.
+        """Apply an update of the endpoint list; routes and scheduler treat manually ejected nodes as gone.
 
-        :param staleness_ms: the longest time since discovery may have announced the update.
+        :param staleness_ms: the maximum time that may have passed since discovery announced the update.
         """
         if kind is not UpdateKind.FAILED:
             full = kind is not UpdateKind.CHANGES
@@ -163,17 +163,17 @@
                 self.endpoints[endpoint.entry.node] = endpoint
 
     def _masked(self, endpoint: Endpoint) -> Endpoint:
-        """An endpoint as the rest sees it: gone, where it is ejected by hand."""
+        """Return an endpoint as routes and scheduler see it: in state GONE if it is manually ejected."""
         if endpoint.entry.node not in self.ejected or endpoint.entry.state is EndpointState.GONE:
             return endpoint
         entry = replace(endpoint.entry, state=EndpointState.GONE)
         return Endpoint(entry, endpoint.address, endpoint.client)
 
     def eject(self, ejected: frozenset[str], changed: set[str]) -> None:
-        """Apply the list entries of nodes anew that operators have ejected or whose ejection they lifted.
+        """Apply manual ejections by updating the endpoints of the nodes whose ejection has begun or ended.
 
-        :param ejected: all nodes that are ejected by hand now.
-        :param changed: the nodes for which that has changed.
+        :param ejected: all nodes that are manually ejected now.
+        :param changed: the nodes whose ejection has begun or ended.
         """
         self.ejected = ejected
         endpoints = tuple(self.endpoints[node] for node in sorted(changed) if node in self.endpoints)
@@ -181,9 +181,10 @@
             self.update_endpoints(UpdateKind.CHANGES, 0, endpoints)
 
     def note_restart(self, node: str, started_ms: float) -> None:
-        """Treat a node as warming up, of which another gateway's list has a newer incarnation.
+        """Start the slow start of a node of which another gateway has listed a newer incarnation.
 
-        Nothing else is taken from that list: a node's address may differ from one gateway to the next.
+        Only the start time is taken from the other gateway, because a node's address may differ between
+        gateways.
         """
         endpoint = self.endpoints.get(node)
         if endpoint is not None and started_ms > endpoint.entry.started_ms:
@@ -192,21 +193,24 @@
             self.update_endpoints(UpdateKind.CHANGES, 0, (restarted,))
 
     def count_result(self, request_class: str, result: FinalResult) -> None:
-        """Count a final response that a server gave by itself to a request that named its class."""
+        """Count a final response that a server gave without submitting the request to the engine."""
         known = request_class in self._counted_classes
         if request_class and (known or len(self._counted_classes) < MAX_COUNTED_CLASSES):
             self._counted_classes.add(request_class)
             self.counters.count_result(request_class, result)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings (SIGHUP) to new requests; those in flight keep their class."""
+        """Apply reloaded settings to new requests; requests in flight keep the settings of their class."""
         self.settings = settings
         self._scheduler.apply_settings(settings)
         self._accept = AcceptRequest(settings, self._clock, self.exchanges, self.attempts.in_flight)
         self.routes.apply_settings(settings.max_attempts, settings.hedging_allowed)
 
     def notify(self, event: Event) -> None:
-        """Notify the scheduler; events that its actions cause follow in turn, never amid another one."""
+        """Pass an event to the scheduler.
+
+        Events that its actions cause are queued, so that the scheduler handles one event at a time.
+        """
         self._events.append(event)
         if self._handling:
             return
@@ -218,27 +222,29 @@
             self._handling = False
 
     def _handle(self, event: Event) -> None:
-        for each in (*self._events_before(event), event):
-            self._schedule(each)
+        for next_event in (*self._events_before(event), event):
+            self._schedule(next_event)
 
     def _events_before(self, event: Event) -> Sequence[Event]:
         try:
             return self._services.events_before(event, self._clock.now_ms())
         except Exception:
-            logger.exception("%s: the fleet failed, scheduled without it", type(event).__name__)
+            logger.exception(
+                "event %s: fleet failed; handled without the fleet's events", type(event).__name__
+            )
             return ()
 
     def _schedule(self, event: Event) -> None:
-        """Have the scheduler handle an event, and carry out what it decides.
+        """Let the scheduler handle an event and carry out its actions.
 
-        If it fails, what it had decided by then is carried out all the same: a round starts the next round's
-        timer first, and without that no round would ever follow.
+        If the scheduler fails, the actions that it had decided before the failure are still carried out: a
+        round first starts the timer of the next round, and without this timer no further round would run.
         """
         actions_before = self._scheduler.state.actions
         try:
             self._perform(self._scheduler.handle(self._clock.now_ms(), event))
         except Exception:
-            logger.exception("the scheduler failed at %r", event)
+            logger.exception("scheduler failed while handling event %r", event)
             self.counters.increment(SCHEDULER_FAILURES)
             decided = self._scheduler.state.actions
             self._perform([] if decided is actions_before else decided)
@@ -253,18 +259,18 @@
                 logger.exception("action %s failed", type(action).__name__)
 
     def _reject_unsent(self, request: str) -> None:
-        """Answer a request at which the scheduler failed, unless it is on its way to a node."""
+        """Respond to a request whose arrival the scheduler failed to handle, unless it has an attempt."""
         exchange = self.exchanges.get(request)
         if exchange is not None and not exchange.attempts:
             self._end_unanswered(exchange, GuardReason.SCHEDULER_FAILED, "the scheduler failed")
 
     def respond_to_all(self) -> None:
-        """Respond to every request that is in flight, for the process ends."""
+        """Respond to all requests in flight, before the process ends."""
         for exchange in list(self.exchanges.values()):
             self._end_unanswered(exchange, GuardReason.SHUTDOWN, "the process ends")
 
     def _guard_deadline(self, exchange: Exchange) -> None:
-        """Respond to a request that has no response when its deadline has passed."""
+        """Respond to a request whose deadline has passed without a response."""
         self._end_unanswered(exchange, GuardReason.DEADLINE_GUARD, "its deadline has passed")
 
     def _end_unanswered(self, exchange: Exchange, reason: GuardReason, explanation: str) -> None:
@@ -274,13 +280,16 @@
         result = exchange.result.name.lower() if exchange.result is not None else "unknown"
         if exchange.result is not None:
             self.counters.count_reason(exchange.result, reason)
-        logger.warning("request %s: no response but %s: %s", exchange.call.id, explanation, result)
+        logger.warning(
+            "request %s: ended without a decision by the scheduler (%s): %s",
+            exchange.call.id,
+            explanation,
+            result,
+        )
         for attempt in exchange.attempts:
             self.attempts.stop(attempt, Outcome.TIMEOUT)
         self.notify(ClientDisconnected(exchange.call.id))
 
-    # ---- what the scheduler asks for
-
     def _send_attempt(self, action: SendAttempt) -> None:
         exchange, now_ms = self.exchanges.get(action.request), self._clock.now_ms()
         endpoint = self.routes.route(exchange, action.node, now_ms)
@@ -296,7 +305,7 @@
             self.attempts(exchange, attempt, endpoint, action.timeout_ms, action.start_within_ms)
 
     def _end_unsent(self, action: SendAttempt) -> None:
-        """Give the scheduler the outcome of an attempt that no exchange stands for, to free its slot."""
+        """Notify the scheduler of the outcome of an attempt whose exchange has ended, to free its slot."""
         numbers = [number for request, number in self._scheduler.state.attempts if request == action.request]
         if numbers:
             newest = max(numbers)
@@ -318,7 +327,7 @@
         self.respond(exchange, response)
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
-        # Found among the attempts in flight: one may be cancelled after its request has ended.
+        # The attempt is looked up in flight and not in its exchange, which may have ended before.
         attempt = self.attempts.in_flight.get((action.request, action.attempt))
         if attempt is not None:
             self.attempts.stop(attempt, Outcome.CANCELLED)
@@ -330,7 +339,7 @@
         self._services.send_peer_message(action.peer, action.data)
 
     def _watch_endpoints(self, action: WatchEndpoints) -> None:
-        """Nothing to do: discovery watches the list all the time."""
+        """Do nothing: discovery always watches the endpoint list."""
 
     def _fetch_endpoint_list(self, action: FetchEndpointList) -> None:
         self._services.fetch_endpoint_list()
@@ -354,10 +363,8 @@
         latency_ms = self._clock.now_ms() - sent_ms
         self.notify(HealthCheckEnded(endpoint.entry.node, result.outcome, latency_ms, result.load_report))
 
-    # ---- background tasks
-
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine beside the requests; its exception is logged and ends nothing else."""
+        """Run a coroutine in the background; if it raises an exception, the exception is logged."""
         task = asyncio.ensure_future(work)
         self._background.add(task)
         task.add_done_callback(self._background_ended)
@@ -369,7 +376,7 @@
             logger.error("background task %s failed: %r", task.get_name(), task.exception())
 
     async def close(self) -> None:
-        """End the background tasks."""
+        """Cancel the background tasks and wait until they have ended."""
         for task in list(self._background):
             task.cancel()
         await asyncio.gather(*self._background, return_exceptions=True)
--- a/shaletiller/core/errors.py
+++ b/shaletiller/core/errors.py
@@ -4,7 +4,7 @@
 
 
 class BadRequestError(Exception):
-    """A client's request is malformed or not allowed here: no storage node may see it.
+    """A client request is malformed or not allowed, and must not be forwarded to a storage node.
 
-    The message names the field at fault and is passed on to the client.
+    The message names the faulty field and is sent to the client.
     """
--- a/shaletiller/core/forward.py
+++ b/shaletiller/core/forward.py
@@ -1,4 +1,4 @@
-"""Forward: one attempt at one storage node, with exactly one result."""
+"""Runs attempts at storage nodes; each attempt has exactly one result."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class AttemptSender:
-    """Runs attempts as tasks; each ends by its result, its timeout or a stop.
+    """Runs attempts as tasks.  An attempt ends with its result, by its timeout, or when it is stopped.
 
     `in_flight` holds the attempts without a result by (request id, attempt number).
 
-    :param record: called once with the result of each attempt.
+    :param record: called exactly once with the result of each attempt.
     """
 
     def __init__(self, clock: Clock, record: Callable[[Exchange, Attempt, AttemptResult], None]) -> None:
@@ -38,8 +38,8 @@
     ) -> None:
         """Start an attempt.
 
-        :param timeout_ms: after which it is stopped; 0: at the request's deadline, which also bounds it.
-        :param start_within_ms: an attempt that cannot be written by then is not written at all.
+        :param timeout_ms: the attempt's timeout, limited by the request's deadline; 0 for the deadline only.
+        :param start_within_ms: how long the attempt may wait to be written; it is not sent after that.
         """
         remaining_ms = exchange.deadline_ms - self._clock.now_ms()
         wait_ms = min(timeout_ms, remaining_ms) if timeout_ms > 0 else remaining_ms
@@ -50,19 +50,19 @@
         self.in_flight[exchange.call.id, attempt.number] = attempt
         timer = self._clock.call_later(wait_ms, self.stop, attempt, Outcome.TIMEOUT)
 
-        def ended(done: asyncio.Task[AttemptResult]) -> None:
-            # A callback and not code after an await: a task cancelled before its first step runs none of it,
-            # and the attempt would never get its outcome.
+        def on_done(done: asyncio.Task[AttemptResult]) -> None:
+            # This is a callback because a task that is cancelled before its first step executes none of its
+            # coroutine: code after an `await` would not run, and the attempt would never get an outcome.
             timer.cancel()
             self.in_flight.pop((exchange.call.id, attempt.number), None)
             self._record(exchange, attempt, self._result(done, exchange, attempt))
 
-        task.add_done_callback(ended)
+        task.add_done_callback(on_done)
 
     def stop(self, attempt: Attempt, reason: Outcome) -> None:
-        """End an attempt: its connection is closed, then `reason` is recorded as its outcome.
+        """Stop an attempt: close its connection and then record `reason` as its outcome.
 
-        Without effect where it has an outcome or is being stopped.
+        Does nothing if the attempt has an outcome or is already being stopped.
         """
         if attempt.outcome is None and attempt.stop_reason is None and attempt.task is not None:
             attempt.stop_reason = reason
@@ -81,5 +81,5 @@
                 attempt.node,
                 error,
             )
-            return AttemptResult(Outcome.RESET)  # it may have run: nothing better is known
+            return AttemptResult(Outcome.RESET)  # the node may have executed the request
         return done.result()
--- a/shaletiller/core/interfaces.py
+++ b/shaletiller/core/interfaces.py
@@ -1,4 +1,4 @@
-"""What the core needs of its surroundings, and what its surroundings need of it."""
+"""The interfaces between the core and the rest of the gateway."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class RequestSink(Protocol):
-    """What a server (HTTP, NVMe) needs of the engine."""
+    """The part of the engine that servers (HTTP, NVMe) use."""
 
     def submit(self, call: ClientCall, respond: Callable[[FinalResponse], None]) -> Exchange:
-        """Accept a client request; `respond` is called exactly once, unless the client disconnects."""
+        """Accept a client request; `respond` is called exactly once unless the client disconnects first."""
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        """The client has closed its connection: no response is owed."""
+        """Handle that the client has closed its connection; the request gets no response."""
 
 
 class UpstreamClient(Protocol):
     """Sends attempts to storage nodes over one protocol.
 
-    Cancelling an attempt closes its connection.  An attempt is never sent a second time by the client.
+    Cancelling an attempt closes its connection.  The client never retries an attempt by itself.
     """
 
     async def attempt(
@@ -32,12 +32,13 @@
     ) -> AttemptResult:
         """Send one request and wait for its response.
 
-        :param timeout_ms: forwarded to the storage node; the caller cancels the attempt after it.
-        :param start_within_ms: an attempt that cannot be written by then is not written at all.
+        :param timeout_ms: the timeout to forward to the storage node; the caller cancels the attempt when it
+            expires.
+        :param start_within_ms: how long the attempt may wait to be written; it is not sent after that.
         """
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings to what begins from now on."""
+        """Apply new settings to future attempts and connections."""
 
     async def probe(self, address: str) -> AttemptResult:
         """Send one health check."""
@@ -50,43 +51,43 @@
 
 
 class EngineServices(Protocol):
-    """What the gateway does for its engine beside sending attempts."""
+    """Operations that the gateway provides to its engine, apart from sending attempts."""
 
     def send_peer_message(self, peer: int | None, data: str) -> None:
-        """Send a message to one gateway, or to all (None); it may be lost."""
+        """Send a message to one peer, or to all peers if `peer` is None; it may be lost."""
 
     def fetch_endpoint_list(self) -> None:
         """Fetch the full endpoint list once, in the background."""
 
     def events_before(self, event: Event, now_ms: float) -> Sequence[Event]:
-        """The events that the scheduler must handle before this one, such as a quota's update."""
+        """Return the events that the scheduler must handle before this one, such as quota updates."""
 
     def replicate_intent(self, exchange: Exchange) -> bool:
-        """Take over a write whose intent is replicated before it is admitted.
+        """Start the replication of a write's intent, if its class requires that before admission.
 
-        :returns: whether it was taken over; it is then admitted by the replication itself.
+        :returns: whether the replication was started; it then admits the request when it is complete.
         """
 
     def request_ended(self, exchange: Exchange) -> None:
-        """A request has its result, or its client disconnected."""
+        """Handle that a request has its final result or that its client has disconnected."""
 
 
 class NoServices:
-    """An engine on its own: no peers, no discovery, no fleet, no replication, no telemetry."""
+    """Services of an engine without peers, discovery, fleet, replication and telemetry."""
 
     def send_peer_message(self, peer: int | None, data: str) -> None:
-        """Drop the message."""
+        """Discard the message."""
 
     def fetch_endpoint_list(self) -> None:
-        """Fetch nothing."""
+        """Do nothing."""
 
     def events_before(self, event: Event, now_ms: float) -> Sequence[Event]:
-        """No further events."""
+        """Return no events."""
         return ()
 
     def replicate_intent(self, exchange: Exchange) -> bool:
-        """Replicate nothing."""
+        """Return False: no write is replicated."""
         return False
 
     def request_ended(self, exchange: Exchange) -> None:
-        """Observe nothing."""
+        """Do nothing on the end of a request."""
--- a/shaletiller/core/manual_ejection.py
+++ b/shaletiller/core/manual_ejection.py
@@ -1,8 +1,7 @@
-"""Storage nodes that operators have ejected by hand, shared by the processes of one gateway.
+"""Storage nodes that operators have ejected manually, shared by the processes of one gateway.
 
-An ejection holds until it is lifted, whatever the endpoint list says, and across the replacement of the
-process: it stands in a file that the next process reads at its start, and that each process reads again when
-it changes.
+An ejection lasts until it is lifted, whatever the endpoint list says, and survives the replacement of the
+process: it is stored in a file that each process reads at its start and again whenever the file changes.
 """
 
 from __future__ import annotations
@@ -22,13 +21,13 @@
 class ManualEjections:
     """The ejected nodes and their file.
 
-    :param path: of the file; a JSON list of node ids.
-    :param changed: called with the nodes whose ejection has begun or ended.
+    :param path: the file, a JSON list of node ids.
+    :param on_change: called with the nodes whose ejection has begun or ended.
     """
 
-    def __init__(self, path: Path, changed: Callable[[set[str]], None]) -> None:
+    def __init__(self, path: Path, on_change: Callable[[set[str]], None]) -> None:
         self._path = path
-        self._changed = changed
+        self._on_change = on_change
         self._stamp: FileStamp | None = None
         self.nodes: frozenset[str] = frozenset()
 
@@ -41,7 +40,7 @@
         self._store(self.nodes - {node})
 
     def reload(self) -> None:
-        """Apply what the gateway's other process has written, where the file has changed."""
+        """Read the file again and apply it, if another process of the gateway has changed it."""
         stamp = self._current_stamp()
         if stamp == self._stamp:
             return
@@ -51,22 +50,23 @@
             try:
                 nodes = frozenset(msgspec.json.decode(self._path.read_bytes(), type=list[str]))
             except (OSError, msgspec.DecodeError, msgspec.ValidationError) as error:
-                # Lifted because of a damaged file, an ejection would send work to a node that operators
-                # took out.
-                logger.warning("manual ejections unchanged, their file cannot be read: %s", error)
+                # Lifting the ejections because of a damaged file would send requests to nodes that operators
+                # have taken out of service.
+                logger.warning("cannot read the file of manual ejections, they stay unchanged: %s", error)
                 return
         self._replace(nodes)
 
     def _store(self, nodes: frozenset[str]) -> None:
-        # Written completely and then renamed: the other process never reads half a file.
-        part = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        # The file is written under a temporary name and then renamed, so that another process never reads an
+        # incomplete file.
+        temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         previous, self.nodes = self.nodes, nodes
         try:
-            part.write_bytes(msgspec.json.encode(sorted(nodes)))
-            part.replace(self._path)
+            temporary.write_bytes(msgspec.json.encode(sorted(nodes)))
+            temporary.replace(self._path)
             self._stamp = self._current_stamp()
         except OSError as error:
-            logger.warning("manual ejections not stored for the next process: %s", error)
+            logger.warning("cannot store the manual ejections for the next process: %s", error)
         self._notify(previous)
 
     def _replace(self, nodes: frozenset[str]) -> None:
@@ -74,13 +74,13 @@
         self._notify(previous)
 
     def _notify(self, previous: frozenset[str]) -> None:
-        moved = previous ^ self.nodes
-        if moved:
-            self._changed(set(moved))
+        changed = previous ^ self.nodes
+        if changed:
+            self._on_change(set(changed))
 
     def _current_stamp(self) -> FileStamp | None:
         try:
-            found = self._path.stat()
+            status = self._path.stat()
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size
+        return status.st_mtime_ns, status.st_size
--- a/shaletiller/core/metrics.py
+++ b/shaletiller/core/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of what the gateway has done since its start, and the lines in which operators read them."""
+"""Counters since the start of the process, and their lines in the response to the operators' call STATS."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from shaletiller.core.model import FinalResult
 from shaletiller.messages.actions import GiveUpReason
 
-# The words of the operators' STATS lines.
+# The names of the results in STATS lines.
 RESULT_WORDS = {
     FinalResult.SERVED: "succeeded",
     FinalResult.REJECTED: "declined",
@@ -19,23 +19,23 @@
 
 
 class GuardReason(StrEnum):
-    """Why the gateway rejected or failed a request without a decision of the scheduler."""
+    """Why the gateway rejected or failed a request without a decision by the scheduler."""
 
     OVERLOAD = "overload"
-    """Its connection waited unread for too long."""
+    """Its connection waited too long to be read."""
     SHUTDOWN = "shutdown"
-    """It came so late that the process ends before its timeout, or the process ended before its answer."""
+    """It arrived too shortly before the process ends, or the process ended before its response."""
     DEADLINE_GUARD = "deadline_guard"
-    """The scheduler had not answered it by its deadline."""
+    """The scheduler had made no decision by its deadline."""
     SCHEDULER_FAILED = "scheduler_failed"
-    """The scheduler failed as it took it in."""
+    """The scheduler raised an exception while handling its arrival."""
 
 
 class Counters(dict[str, int]):
-    """Counters by name; a name that was never counted reads 0 with `get(name, 0)`."""
+    """Counters by name; read them by `get(name, 0)`, since a counter appears with its first increment."""
 
     def increment(self, name: str) -> None:
-        """Count one occurrence."""
+        """Add one to a counter."""
         self[name] = self.get(name, 0) + 1
 
     def count_result(self, request_class: str, result: FinalResult) -> None:
@@ -48,18 +48,18 @@
 
 
 def stats_lines(counters: Counters, classes: list[str], gauges: dict[str, int]) -> list[str]:
-    """The lines `edge.NAME=VALUE` of the operators' STATS; reasons and failures are listed once counted.
+    """Return the lines `edge.NAME=VALUE` of STATS; reasons and scheduler failures are listed if not 0.
 
-    :param classes: the request classes in force; classes that were counted before are listed after them.
+    :param classes: the request classes in force; other classes that have counts are listed after them.
     """
     counted = [name.split(".")[1] for name in counters if name.startswith(RESULTS_PREFIX)]
     lines = []
     for request_class in dict.fromkeys([*classes, *counted]):
-        for word in RESULT_WORDS.values():
-            name = f"{RESULTS_PREFIX}{request_class}.{word}"
+        for result_name in RESULT_WORDS.values():
+            name = f"{RESULTS_PREFIX}{request_class}.{result_name}"
             lines.append(f"edge.{name}={counters.get(name, 0)}")
     lines += [f"edge.{name}={value}" for name, value in gauges.items()]
-    once_counted = sorted(
+    optional_names = sorted(
         name for name in counters if name.startswith(REASONS_PREFIX) or name == SCHEDULER_FAILURES
     )
-    return lines + [f"edge.{name}={counters[name]}" for name in once_counted]
+    return lines + [f"edge.{name}={counters[name]}" for name in optional_names]
--- a/shaletiller/core/model.py
+++ b/shaletiller/core/model.py
@@ -1,6 +1,6 @@
-"""The data of the core: client requests, their attempts at storage nodes, and the results of both.
+"""The data types of the core: client requests, their attempts at storage nodes, and the results of both.
 
-Times are milliseconds of the gateway's clock.  Nothing here belongs to a particular wire protocol.
+Times are in milliseconds of the gateway's clock.  The types do not depend on a wire protocol.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientCall:
-    """A client's request, as a server decoded it.
+    """A client request as decoded by a server.
 
     `method`, `target` and `body` are forwarded to the storage node unchanged.  `volume_gateways` is the
-    number of gateways through which the volume's requests come, `timeout_ms` all the time that the client
-    gives; a `shard` of -1 stands for a new object.
+    number of gateways through which the volume's requests arrive.  `timeout_ms` is the client's timeout for
+    the whole request.  `shard` is -1 for a new object.
     """
 
     id: str
@@ -37,22 +37,22 @@
     target: str
     body: bytes = b""
     is_retry: bool = False
-    idempotency_key: str = ""  # storage nodes recognise a retry by it; forwarded unchanged
+    idempotency_key: str = ""  # forwarded unchanged; storage nodes recognise retries by it
 
 
 class FinalResult(Enum):
-    """How a client request ended; the values are labels of the exported metrics."""
+    """The result of a client request; the values are labels of the exported metrics."""
 
     SERVED = "served"
-    REJECTED = "refused"  # no attempt ran, or a retry does no harm
-    FAILED = "failed"  # an attempt may have run
+    REJECTED = "refused"  # no storage node has executed it, or it is safe to retry
+    FAILED = "failed"  # a storage node may have executed it
 
 
 @dataclass(slots=True, frozen=True)
 class FinalResponse:
-    """The one final response to a client request.
+    """The only final response to a client request.
 
-    `retry_after_ms` is the advice of a rejection on when to try again; 0 gives none.
+    `retry_after_ms` is the Retry-After time of a rejection; 0 for none.
     """
 
     result: FinalResult
@@ -62,9 +62,9 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
-    """How one attempt ended, as the upstream client saw it.
+    """The result of one attempt, as seen by the upstream client.
 
-    `latency_ms` is the time the storage node took, where the client can tell it from its own delays.
+    `latency_ms` is the response time of the storage node, if the client can separate it from its own delays.
     """
 
     outcome: Outcome
@@ -83,7 +83,7 @@
     node: str
     sent_ms: float
     task: asyncio.Task[AttemptResult] | None = None
-    stop_reason: Outcome | None = None  # why the gateway itself ended it
+    stop_reason: Outcome | None = None  # set if the gateway stopped the attempt
     outcome: Outcome | None = None
     ended_ms: float | None = None
 
@@ -92,34 +92,36 @@
 class Exchange:
     """A client request from its acceptance to its final response.
 
-    It stands in `Engine.exchanges` until then; its attempts may outlive it in `AttemptSender.in_flight`.
+    `Engine.exchanges` contains it until then; its attempts may remain in `AttemptSender.in_flight` longer.
     `on_result` is set for writes whose outcome is replicated: it is called once with the response, or with
-    None where the client disconnected.
+    None if the client disconnected.
     """
 
     call: ClientCall
     respond: Callable[[FinalResponse], None]
     accepted_ms: float
     deadline_ms: float
-    idempotent: bool = False  # by its class's settings at the time of acceptance
+    idempotent: bool = False  # according to the settings of its class when it was accepted
     deadline_timer: Timer | None = None
     result: FinalResult | None = None
     client_gone: bool = False
     attempts: list[Attempt] = field(default_factory=list)
-    replicating_outcome: bool = False  # no further attempt starts; the response follows the replication
+    replicating_outcome: bool = False  # the response waits for the replication; no new attempt starts
     on_result: Callable[[FinalResponse | None], None] | None = None
 
     @property
     def ended(self) -> bool:
-        """Whether the client has its response, or has disconnected."""
+        """Whether the final response was given or the client has disconnected."""
         return self.client_gone or self.result is not None
 
     @property
     def finished(self) -> bool:
-        """Whether its result is decided, though the response may still wait for the replication."""
+        """Whether the result is decided; the response may still wait for the replication of the outcome."""
         return self.ended or self.replicating_outcome
 
     @property
     def never_ran(self) -> bool:
-        """Whether every attempt is proven not to have run."""
-        return all(each.outcome is not None and each.outcome.never_ran for each in self.attempts)
+        """Whether it is certain that no storage node has executed any of the attempts."""
+        return all(
+            attempt.outcome is not None and attempt.outcome.never_ran for attempt in self.attempts
+        )
--- a/shaletiller/core/record.py
+++ b/shaletiller/core/record.py
@@ -1,4 +1,4 @@
-"""Record: the one outcome of an attempt is counted and the scheduler notified of it."""
+"""Records the outcome of each attempt: counts it and notifies the scheduler."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from shaletiller.messages.events import AttemptEnded, Event
 from shaletiller.messages.outcomes import Outcome
 
-# Outcomes of attempts that no storage node was handed completely.
+# Outcomes of attempts whose request was not completely sent to a storage node.
 NOT_FORWARDED = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class OutcomeRecorder:
-    """Ends attempts, each exactly once."""
+    """Records the outcome of each attempt exactly once."""
 
     def __init__(
         self, clock: Clock, respond: Responder, notify: Callable[[Event], None], counters: Counters
@@ -27,7 +27,10 @@
         self._counters = counters
 
     def __call__(self, exchange: Exchange, attempt: Attempt, result: AttemptResult) -> None:
-        """Record an attempt's result; without effect where it has one.  A success is responded first."""
+        """Record the result of an attempt; does nothing if the attempt already has an outcome.
+
+        The client gets the response of a successful attempt before the scheduler is notified.
+        """
         if attempt.outcome is not None:
             return
         attempt.outcome = result.outcome
--- a/shaletiller/core/respond.py
+++ b/shaletiller/core/respond.py
@@ -1,4 +1,4 @@
-"""Respond: the one final response of a request goes to its client."""
+"""Gives each client request its only final response."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class Responder:
-    """Ends exchanges, each exactly once.
+    """Ends each exchange exactly once.
 
-    :param request_ended: called with each exchange as it ends.
+    :param request_ended: called with each exchange when it ends.
     """
 
     def __init__(
@@ -28,16 +28,17 @@
         self._request_ended = request_ended
 
     def __call__(self, exchange: Exchange, response: FinalResponse, replicated: bool = False) -> None:
-        """Give a request its final response; without effect where it has one, or its client is gone.
+        """Give a request its final response; does nothing if it has one or its client has disconnected.
 
-        :param replicated: the response comes from the replication of the outcome, which is complete; the
-            replication is then not called again.
+        A success whose outcome must be replicated is passed to the replication instead.
+
+        :param replicated: whether the replication of the outcome is complete; it is then not called again.
         """
         if exchange.ended or (exchange.replicating_outcome and not replicated):
             return
         on_result = None if replicated else exchange.on_result
         if on_result is not None and response.result is FinalResult.SERVED:
-            # The client must not learn of a success that a lost machine would forget.
+            # A success must not be reported to the client while the loss of one machine could still lose it.
             exchange.replicating_outcome = True
             on_result(response)
             return
@@ -61,9 +62,12 @@
             exchange.on_result(None)
 
     def give_up(self, exchange: Exchange) -> None:
-        """Respond for a scheduler that has not: reject only where a retry does no harm, else fail."""
-        harmless = exchange.idempotent or exchange.never_ran
-        result = FinalResult.REJECTED if harmless else FinalResult.FAILED
+        """Respond to a request for which the scheduler has made no decision.
+
+        The request is rejected if a retry is safe, otherwise it fails.
+        """
+        retry_is_safe = exchange.idempotent or exchange.never_ran
+        result = FinalResult.REJECTED if retry_is_safe else FinalResult.FAILED
         self(exchange, FinalResponse(result), replicated=exchange.replicating_outcome)
 
     def _end(self, exchange: Exchange) -> None:
--- a/shaletiller/core/route.py
+++ b/shaletiller/core/route.py
@@ -1,4 +1,4 @@
-"""Route: from the storage node that the scheduler names to the address and client that reach it."""
+"""Maps the storage nodes that the scheduler selects to their addresses and upstream clients."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A storage node of the endpoint list, its address, and the upstream client that speaks its protocol."""
+    """A storage node of the endpoint list with its address and the upstream client for its protocol."""
 
     entry: EndpointEntry
     address: str
@@ -20,7 +20,7 @@
 
 
 class RouteTable:
-    """The endpoints of the list by node; what has left the list is forgotten."""
+    """The endpoints by node; nodes that leave the endpoint list are removed."""
 
     def __init__(self, max_attempts: int, hedging_allowed: bool) -> None:
         self._max_attempts = max_attempts
@@ -33,9 +33,11 @@
         self._hedging_allowed = hedging_allowed
 
     def learn(self, endpoints: Sequence[Endpoint], full: bool) -> None:
-        """Apply changes of the endpoint list, or a full list: what a full list does not name has left it.
+        """Apply an update of the endpoint list.
 
-        Idle connections to an endpoint that is gone or has a new address are closed.
+        Idle connections to endpoints that are removed or have a new address are closed.
+
+        :param full: whether `endpoints` is the complete list; nodes that it does not contain are removed.
         """
         listed = {endpoint.entry.node: endpoint for endpoint in endpoints}
         for node, known in list(self._endpoints.items()):
@@ -57,14 +59,15 @@
         return endpoint.address != known.address or endpoint.entry.state is EndpointState.GONE
 
     def find(self, node: str) -> Endpoint | None:
-        """The endpoint of a node, None where the list does not name it."""
+        """Return the endpoint of a node, or None if the endpoint list does not contain it."""
         return self._endpoints.get(node)
 
     def route(self, exchange: Exchange | None, node: str, now_ms: float) -> Endpoint | None:
-        """The endpoint for the next attempt of a request; None where the attempt must not start at all.
+        """Return the endpoint for the next attempt of a request, or None if the attempt must not start.
 
-        This repeats the rules that the scheduler keeps (one response, attempts in number, no hedged request
-        unless allowed, the right shard): a fault there must not reach a storage node.
+        This enforces rules that the scheduler also follows (one response, the maximum number of attempts, no
+        hedged request unless allowed, the shard of the request), so that a fault of the scheduler does not
+        reach a storage node.
         """
         endpoint = self._endpoints.get(node)
         if exchange is None or exchange.finished or endpoint is None or now_ms >= exchange.deadline_ms:
@@ -73,5 +76,5 @@
             return None
         if exchange.call.shard >= 0 and endpoint.entry.shard != exchange.call.shard:
             return None
-        in_flight = any(each.outcome is None for each in exchange.attempts)
+        in_flight = any(attempt.outcome is None for attempt in exchange.attempts)
         return None if in_flight and not self._hedging_allowed else endpoint
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway: its parts put together, started, reloaded and shut down."""
+"""One gateway: construction, start, reload and graceful shutdown of its components."""
 
 from __future__ import annotations
 
@@ -36,21 +36,22 @@
 
 logger = logging.getLogger(__name__)
 
-# How long new connections are still accepted after SIGTERM: the platform goes on opening them for 0.2 to 0.4
-# s.  Empirical beyond that: twice as long allows for a slow machine, and delays the end of the process.
+# How long new connections are accepted after SIGTERM.  The platform opens connections for another 0.2 to 0.4
+# s.  A larger value tolerates slower machines; a smaller value lets the process end earlier.
 ACCEPT_AFTER_SIGTERM_MS = 750.0
-# The platform's SIGKILL comes at the earliest min(longest deadline of a class, MAX_KILL_DEADLINE_MS) and
+# The platform sends SIGKILL at the earliest min(longest deadline of a class, MAX_KILL_DEADLINE_MS) +
 # KILL_GRACE_MS after SIGTERM.
 MAX_KILL_DEADLINE_MS = 3000.0
 KILL_GRACE_MS = 700.0
-# The shutdown ends so long before SIGKILL.  Empirical: it leaves time for the last responses to arrive, at
-# the expense of requests that are still in flight.
+# The shutdown ends this long before SIGKILL.  A larger value leaves more time for the last responses to reach
+# the clients; a smaller value leaves more time to requests in flight.
 KILL_MARGIN_MS = 250.0
-SHUTDOWN_POLL_S = 0.02  # empirical: how often the shutdown looks whether clients are still served
-# How often the file of manual ejections is read again: the gateway's other process may have written it while
-# one replaces the other.  Empirical: operators notice no delay, and a `stat` costs next to nothing.
+SHUTDOWN_POLL_S = 0.02  # how often the shutdown checks whether clients are still connected
+# How often the file of manual ejections is checked for changes.  While one process replaces another,
+# the other process may change it.  A larger value delays the effect of an operator's call; a smaller
+# value costs more `stat` calls, which are cheap.
 EJECTIONS_POLL_S = 0.2
-# Keys of the configuration that a reload leaves as they were: their sockets and parts are made at the start.
+# Configuration keys that a reload does not apply: their sockets and components are created at the start.
 RESTART_KEYS = (
     "name",
     "listen",
@@ -67,12 +68,12 @@
 
 
 class Gateway:
-    """One gateway put together: its servers, upstream clients, engine and operators' calls.
+    """One gateway: its servers, upstream clients, engine and operators' calls.
 
-    Parts that the configuration switches off are None and their modules are not loaded: forty gateways that
-    start at the same time on one core would share the cost.
+    Components that the configuration disables are None, and their modules are not loaded: the cost of loading
+    them would add up when forty gateways start at the same time on one core.
 
-    :param clock: real time by default.
+    :param clock: the clock, real time by default.
     """
 
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
@@ -84,8 +85,8 @@
         self.reload_counts = {"applied": 0, "rejected": 0}
         self.engine = Engine(config.settings, config.seed, self._clock, GatewayServices(self))
         self.telemetry: OtlpExporter | None = None
-        # One client for all nodes that speak HTTP: sockets reserved for each node would add up over those
-        # that leave.
+        # All HTTP nodes share one client.  If each node had sockets reserved, the reservations of nodes that
+        # leave would add up.
         http_sockets = config.upstream_sockets // (2 if config.nvme.upstreams else 1)
         self._http = HttpUpstreamClient(config.settings, http_sockets, self._clock)
         self._nvme_clients = self._make_nvme_clients()
@@ -116,10 +117,8 @@
         self.replication = self._make_replication_agent()
         self.admin = self._make_admin_server()
 
-    # ---- the parts that a configuration may switch off
-
     def _make_nvme_clients(self) -> dict[str, NvmeUpstreamClient]:
-        """The clients of the storage nodes that speak NVMe over TCP, by node."""
+        """Create the clients of the storage nodes that use NVMe over TCP, by node."""
         upstreams = self.config.nvme.upstreams
         if not upstreams:
             return {}
@@ -188,8 +187,6 @@
 
         return OtlpExporter(self.config.telemetry, self.config.name, self.engine, self._clock)
 
-    # ---- what the parts call
-
     def _ready(self) -> bool:
         return self.discovery.ready and not self._stopping
 
@@ -204,12 +201,12 @@
         self.engine.notify(PeerMessageReceived(peer, data))
 
     def _publish_departure(self, node: str, incarnation: int, version: int, state: EndpointState) -> None:
-        """Notify the other gateways of a departure that discovery has reported."""
+        """Notify the other gateways of a node's departure that discovery has reported."""
         if self.fleet is not None:
             self.fleet.publish_departure(node, incarnation, version, state)
 
     def _publish_endpoint_list(self, version: int, rows: Mapping[str, ServerRow]) -> None:
-        """Update the copies of the endpoint list at other gateways, which has changed."""
+        """Update the replicas of the endpoint list after a change."""
         if self.replication is not None:
             stored = ServerList(version, True, tuple(rows.values()))
             self.replication.endpoint_lists.update(stored)
@@ -218,24 +215,22 @@
         self.engine.eject(self.ejections.nodes, changed)
 
     def _load_stored_list(self, stored: ServerList) -> None:
-        """Serve by a stored endpoint list where discovery has sent no newer one yet.
+        """Use a stored endpoint list until discovery sends a newer one.
 
-        :param stored: from this gateway's store or from the replicas.
+        :param stored: the list from this gateway's store or from the replicas.
         """
         if self.discovery.load_stored_list(stored):
-            logger.info("endpoint list: version %d loaded from the store or its replicas", stored.version)
+            logger.info("loaded endpoint list version %d from the store or its replicas", stored.version)
 
     async def _watch_ejections(self) -> None:
         while True:
             await asyncio.sleep(EJECTIONS_POLL_S)
             self.ejections.reload()
 
-    # ---- start
-
     async def start(self) -> None:
-        """Load the known state, then listen; HTTP clients are accepted before the NVMe target is up."""
+        """Load the stored state, then listen; HTTP clients are accepted before NVMe hosts."""
         self.telemetry = self._make_telemetry()
-        # Before the first endpoint list: a node that the previous process had ejected gets no request.
+        # Before the first endpoint list, so that a node ejected in the previous process gets no request.
         self.ejections.reload()
         self.discovery.load_known_list()
         if self.replication is not None:
@@ -252,7 +247,7 @@
         if self.admin is None or self.config.admin is None:
             return
         await self.admin.start(*self.config.admin)
-        logger.info("operators' calls are served on %s:%d", *self.admin.address)
+        logger.info("listening for operators' calls on %s:%d", *self.admin.address)
 
     async def _start_fleet(self) -> None:
         if self.config.settings.peer_messages_allowed and self.config.peer_listen is not None:
@@ -266,29 +261,27 @@
         if self.nvme is None:
             return
         await self.nvme.start(*read_address(self.config.nvme.target.listen, "front.listen"))
-        logger.info("NVMe/TCP hosts are served on %s:%d", *self.nvme.address)
-
-    # ---- reload
+        logger.info("listening for NVMe/TCP hosts on %s:%d", *self.nvme.address)
 
     def handle_sighup(self, read: Callable[[], Config]) -> None:
-        """Read the configuration again and apply it; a faulty one is rejected completely.
+        """Read the configuration again and apply it; an invalid configuration is rejected as a whole.
 
-        :param read: reads it; a ConfigError leaves the configuration as it is.
+        :param read: reads the configuration; if it raises a ConfigError, the present configuration is kept.
         """
         try:
             config = read()
         except ConfigError as error:
             self.reload_counts["rejected"] += 1
-            logger.error("reload rejected, the configuration stays as it is: %s", error)
+            logger.error("reload rejected, the present configuration is kept: %s", error)
             return
         self.reload_counts["applied"] += 1
         self.reload(config)
 
     def reload(self, config: Config) -> None:
-        """Apply a new configuration's settings and discovery address under load.
+        """Apply the settings and the discovery address of a new configuration.
 
-        Requests in flight and the present endpoint list stay.  Other keys need a restart; those that differ
-        are logged, except `seed` and `known`, which matter at a start only.
+        Requests in flight and the present endpoint list are kept.  Changes of other keys require a restart
+        and are logged, except those of `seed` and `known`, which are only used at the start.
         """
         needs_restart = [key for key in RESTART_KEYS if getattr(config, key) != getattr(self.config, key)]
         if needs_restart:
@@ -300,33 +293,31 @@
         if config.discovery != previous.discovery:
             self._move_discovery(config.discovery)
         else:
-            logger.info("reload: discovery stays at %s:%d", *config.discovery)
+            logger.info("reload: discovery address unchanged: %s:%d", *config.discovery)
 
     def _apply_settings(self, settings: Settings) -> None:
-        """Apply new settings to all parts."""
+        """Apply new settings to all components."""
         self.engine.apply_settings(settings)
         for client in self._upstream_clients:
             client.apply_settings(settings)
         self.discovery.apply_settings(settings)
         self._longest_deadline_ms = longest_deadline_ms(settings)
         names = ", ".join(spec.name for spec in settings.classes)
-        logger.info("reload: new settings apply to new requests; classes: %s", names)
+        logger.info("reload: new settings applied to new requests; classes: %s", names)
 
     def _move_discovery(self, address: tuple[str, int]) -> None:
-        """Watch the endpoint list at a new address immediately: the old agent may answer no further poll."""
-        self.discovery.set_address(address)  # during the start, too: the watch then begins at the new address
+        """Watch the endpoint list at a new address at once; the old address may no longer respond."""
+        self.discovery.set_address(address)  # a watch that has not started will use the new address
         if self._discovery_watch is not None and not self._discovery_watch.done():
             self._discovery_watch.cancel()
             self._discovery_watch = self.engine.spawn(self.discovery.run())
-        logger.info("reload: discovery at %s:%d", *address)
-
-    # ---- graceful shutdown
+        logger.info("reload: discovery address changed to %s:%d", *address)
 
     async def stop(self) -> None:
-        """Shut down gracefully: every accepted request has its response before the platform's SIGKILL.
+        """Shut down gracefully: every accepted request gets its response before the platform's SIGKILL.
 
-        New connections are accepted at first and open ones stay open: closed any sooner, they would send
-        clients away while no other process takes over.
+        At first, new connections are still accepted and open ones are kept.  Closing them at once would reject
+        clients before another process has taken over.
         """
         self._stopping = True
         if self.fleet is not None:
@@ -345,13 +336,13 @@
         while self._clock.now_ms() < ends_ms and self._serving:
             await asyncio.sleep(SHUTDOWN_POLL_S)
         self.http_server.close_after_responses()
-        self.engine.respond_to_all()  # before either server ends: both still owe responses
+        self.engine.respond_to_all()  # before the servers stop, which still have to send the responses
         servers = (self.http_server, self.nvme) if self.nvme else (self.http_server,)
         await asyncio.gather(*(server.stop(KILL_MARGIN_MS / 2000) for server in servers))
 
     @property
     def _serving(self) -> bool:
-        """Whether HTTP clients are connected or a completion is owed to an NVMe host."""
+        """Whether HTTP clients are connected or commands of NVMe hosts are not completed."""
         return bool(self.http_server.connections or (self.nvme and self.nvme.busy))
 
     async def _close_parts(self) -> None:
@@ -370,5 +361,5 @@
 
 
 def longest_deadline_ms(settings: Settings) -> float:
-    """The longest deadline that the settings give a request."""
+    """Return the longest deadline of all request classes."""
     return max(spec.deadline_ms for spec in settings.classes)
--- a/shaletiller/operator_calls.py
+++ b/shaletiller/operator_calls.py
@@ -1,6 +1,6 @@
 """The operators' calls READY, STATS, DISABLE, ENABLE, DRAIN and UNDRAIN.
 
-`net/admin.py` reads their lines and writes their responses; this module carries them out.
+`net/admin.py` reads the calls and writes the responses; this module carries the calls out.
 """
 
 from __future__ import annotations
@@ -21,16 +21,17 @@
     from shaletiller.net.fleet import FleetAgent
     from shaletiller.net.replication.agent import ReplicationAgent
 
-MAX_ECHOED_NODE = 64  # characters of an unknown node's id in the response: it is the caller's own text
+# Maximum characters of an unknown node id, which is the caller's input, in a response.
+MAX_ECHOED_NODE = 64
 
 
 class OperatorCalls:
-    """Carries out the operators' calls on the parts of one gateway.
+    """Carries out the operators' calls on the components of one gateway.
 
-    :param ready: whether the gateway has an endpoint list and is not shutting down.
-    :param reload_counts: reloads by result, `applied` or `rejected`.
-    :param fleet: None where the fleet is switched off.
-    :param replication: None where the replication is switched off.
+    :param ready: returns whether the gateway has an endpoint list and is not shutting down.
+    :param reload_counts: the number of reloads by result, `applied` or `rejected`.
+    :param fleet: the fleet agent, or None if the fleet is disabled.
+    :param replication: the replication agent, or None if the replication is disabled.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         self._replication = replication
 
     def by_name(self) -> dict[str, Command]:
-        """The calls by the verb of an operator's line."""
+        """Return the calls by name, the first word of an operator's line."""
         return {
             "READY": self.ready,
             "STATS": self.stats,
@@ -69,7 +70,7 @@
     def ready(self, arguments: list[str]) -> list[str]:
         """READY: whether this gateway can serve requests.
 
-        :raises AdminCommandError: where it cannot.
+        :raises AdminCommandError: if it cannot.
         """
         if not self._ready():
             raise AdminCommandError("no: not ready")
@@ -79,7 +80,7 @@
         """STATS: counters and gauges as lines `edge.NAME=VALUE`, then `end`."""
         engine, fleet, replication = self._engine, self._fleet, self._replication
         gauges = {
-            # An attempt in flight counts as forwarded: nearly all of them are written by then.
+            # Attempts in flight count as forwarded, because nearly all of them have been sent.
             "forwards": engine.counters.get("forwards", 0) + len(engine.attempts.in_flight),
             "outstanding": len(engine.exchanges),
             "discovered": len(engine.endpoints),
@@ -94,18 +95,18 @@
         return ["", *metrics.stats_lines(engine.counters, classes, gauges), "end"]
 
     def disable(self, arguments: list[str]) -> list[str] | Awaitable[list[str]]:
-        """DISABLE: eject a storage node by hand.
+        """DISABLE: eject a storage node manually.
 
-        :raises AdminCommandError: where the arguments do not name a known node.
+        :raises AdminCommandError: if the arguments are not the id of one known node.
         """
         node = self._known_node(arguments)
         self._ejections.add(node)
         return self._publish_ejection(node, True)
 
     def enable(self, arguments: list[str]) -> list[str] | Awaitable[list[str]]:
-        """ENABLE: lift a storage node's manual ejection.
+        """ENABLE: lift the manual ejection of a storage node.
 
-        :raises AdminCommandError: where the arguments do not name a known node.
+        :raises AdminCommandError: if the arguments are not the id of one known node.
         """
         node = self._known_node(arguments)
         self._ejections.remove(node)
@@ -127,19 +128,19 @@
         return self._replicated(self._replication.commands.replicate_ejection(node), node)
 
     def _set_draining(self, draining: bool) -> list[str] | Awaitable[list[str]]:
-        """DRAIN and UNDRAIN: send HTTP clients away, or accept them again."""
+        """DRAIN and UNDRAIN: reject HTTP clients, or accept them again."""
         self._http_server.set_draining(draining)
         if self._replication is None:
             return []
         return self._replicated(self._replication.commands.replicate_drain(draining), "")
 
     async def _replicated(self, replication: Awaitable[None], first_line: str) -> list[str]:
-        """Wait until a majority of the copies has the call.
+        """Wait until a majority of the replicas has stored the call.
 
-        :param first_line: of the response to the operator.
-        :raises AdminCommandError: where the call holds at this gateway only.
+        :param first_line: the first line of the response to the operator.
+        :raises AdminCommandError: if the call has taken effect at this gateway only.
         """
-        from shaletiller.replication.errors import NotReplicatedError  # loaded only where it is configured
+        from shaletiller.replication.errors import NotReplicatedError  # loaded only if replication is enabled
 
         try:
             await replication
