--- a/shaletiller/clock.py
+++ b/shaletiller/clock.py
@@ -1,7 +1,7 @@
 """The gateway's clock: milliseconds since the Unix epoch, advanced by the monotonic clock.
 
-The epoch is read once: the time never goes backwards, and a storage node's `started_ms` can still be compared
-with it.
+The Unix time is read only once, so that the time never goes backwards and can still be compared with the
+`started_ms` of storage nodes.
 """
 
 from __future__ import annotations
@@ -15,34 +15,34 @@
 
 
 class Timer(Protocol):
-    """A call that is scheduled and not yet made."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Prevent the call; without effect once it was made."""
+        """Cancel the call; does nothing if the call has been made."""
 
 
 class Clock:
-    """Real time, with timers on the running event loop."""
+    """Real time, with timers of the running event loop."""
 
     def __init__(self) -> None:
         self._offset_ms = (time.time() - time.monotonic()) * 1000
 
     def now_ms(self) -> float:
-        """The present time."""
+        """Return the current time in milliseconds since the Unix epoch."""
         return self._offset_ms + time.monotonic() * 1000
 
-    def call_later(self, wait_ms: float, call: Callable[..., None], *values: Any) -> Timer:
+    def call_later(self, delay_ms: float, callback: Callable[..., None], *args: Any) -> Timer:
         """Schedule a call.
 
-        :param wait_ms: from now on; a negative wait counts as none.
-        :param values: the call's arguments.
+        :param delay_ms: the delay from now; a negative delay counts as 0.
+        :param args: the arguments of the callback.
         """
-        return asyncio.get_running_loop().call_later(max(0.0, wait_ms) / 1000, call, *values)
+        return asyncio.get_running_loop().call_later(max(0.0, delay_ms) / 1000, callback, *args)
 
-    async def sleep(self, wait_ms: float) -> None:
-        """Return after a wait; a negative one counts as none."""
+    async def sleep(self, delay_ms: float) -> None:
+        """Wait for a delay; a negative delay counts as 0."""
         done = asyncio.get_running_loop().create_future()
-        timer = self.call_later(wait_ms, done.set_result, None)
+        timer = self.call_later(delay_ms, done.set_result, None)
         try:
             await done
         finally:
@@ -50,11 +50,11 @@
 
 
 class _ScheduledCall:
-    """A timer of a settable clock."""
+    """A timer of a `SettableClock`."""
 
-    def __init__(self, call: Callable[..., None], values: tuple[Any, ...]) -> None:
-        self.call = call
-        self.values = values
+    def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
+        self.callback = callback
+        self.args = args
         self.cancelled = False
 
     def cancel(self) -> None:
@@ -62,32 +62,32 @@
 
 
 class SettableClock(Clock):
-    """A clock for tests and simulations: it stands still until it is advanced.
+    """A clock for tests and simulations, whose time changes only by `advance`.
 
-    :param at_ms: the time at which it starts.
+    :param start_ms: the initial time.
     """
 
-    def __init__(self, at_ms: float = 0.0) -> None:
-        self._at_ms = at_ms
+    def __init__(self, start_ms: float = 0.0) -> None:
+        self._now_ms = start_ms
         self._timers: list[tuple[float, int, _ScheduledCall]] = []
-        self._count = itertools.count()  # timers of the same time run in the order in which they were set
+        self._sequence = itertools.count()  # orders timers of the same time by their creation
 
     def now_ms(self) -> float:
-        """The time to which the clock was advanced."""
-        return self._at_ms
+        """Return the time to which the clock was advanced."""
+        return self._now_ms
 
-    def call_later(self, wait_ms: float, call: Callable[..., None], *values: Any) -> Timer:
-        """Schedule a call, made while the clock is advanced past its time."""
-        timer = _ScheduledCall(call, values)
-        heapq.heappush(self._timers, (self._at_ms + max(0.0, wait_ms), next(self._count), timer))
+    def call_later(self, delay_ms: float, callback: Callable[..., None], *args: Any) -> Timer:
+        """Schedule a call, which is made when the clock is advanced to its time or beyond."""
+        timer = _ScheduledCall(callback, args)
+        heapq.heappush(self._timers, (self._now_ms + max(0.0, delay_ms), next(self._sequence), timer))
         return timer
 
-    def advance(self, by_ms: float) -> None:
-        """Move the time forward and make the calls that come due, each at its own time."""
-        until_ms = self._at_ms + by_ms
-        while self._timers and self._timers[0][0] <= until_ms:
+    def advance(self, duration_ms: float) -> None:
+        """Advance the time and make the calls that become due, each at its own time."""
+        end_ms = self._now_ms + duration_ms
+        while self._timers and self._timers[0][0] <= end_ms:
             due_ms, _, timer = heapq.heappop(self._timers)
-            self._at_ms = max(self._at_ms, due_ms)
+            self._now_ms = max(self._now_ms, due_ms)
             if not timer.cancelled:
-                timer.call(*timer.values)
-        self._at_ms = until_ms
+                timer.callback(*timer.args)
+        self._now_ms = end_ms
--- a/shaletiller/config/__init__.py
+++ b/shaletiller/config/__init__.py
@@ -1,7 +1,7 @@
-"""The gateway's configuration: this package alone reads it, checks it and gives it its defaults.
+"""The gateway's configuration: its model, defaults, reading and validation.
 
-The operator file's model and reader are imported where such a file is configured: they load the fleet's
-modules, which an ordinary gateway does without.
+The model and the reader of the operator file are imported only if such a file is configured: they load the
+fleet's modules, which other gateways do not need.
 """
 
 from shaletiller.config.address import read_address
--- a/shaletiller/config/address.py
+++ b/shaletiller/config/address.py
@@ -1,4 +1,4 @@
-"""Addresses as the configuration writes them: `host:port`, with brackets around an IPv6 host."""
+"""Addresses in the configuration: `host:port`, with an IPv6 address in brackets."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 def read_address(text: str, key: str) -> tuple[str, int]:
     """Read an address.
 
-    :param key: of the address, for the error.
-    :returns: host and port.
-    :raises ConfigError: where the text is not `host:port`.
+    :param key: the key of the address, for the error message.
+    :returns: the host and the port.
+    :raises ConfigError: if the text is not `host:port`.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < PORT_END:
--- a/shaletiller/config/errors.py
+++ b/shaletiller/config/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the configuration: each message names the faulty key."""
+"""Errors in the configuration; each message names the faulty key."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class ConfigError(Exception):
-    """The configuration is faulty; the message starts with the key."""
+    """The configuration is invalid; the message begins with the faulty key."""
 
 
 class OperatorFileError(Exception):
-    """The operator file is faulty; the message names its line and key."""
+    """The operator file is invalid; the message names the line and the faulty key."""
 
 
 def describe(error: msgspec.MsgspecError) -> str:
-    """A message of msgspec's with the key first: `limits.sockets: Expected ...`."""
+    """Return the message of a msgspec error with the key first: `limits.sockets: Expected ...`."""
     message, _, path = str(error).partition(" - at `$")
     return f"{path.rstrip('`').lstrip('.')}: {message}" if path else message
--- a/shaletiller/config/model.py
+++ b/shaletiller/config/model.py
@@ -1,4 +1,4 @@
-"""The configuration as the gateway uses it, and the endpoint list in the form of discovery."""
+"""The validated configuration of a gateway, and the endpoint list in the format of discovery."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 if TYPE_CHECKING:
     from shaletiller.config.operator_model import OperatorFile
 
-# Of the socket limit, kept free for listeners, discovery, peers, the telemetry, the interpreter's own files,
-# and connections that are closed while the kernel still has their descriptor: so many, and one in so many
-# more, for a larger process has more of the last kind.
+# Sockets of the limit that are reserved for listeners, discovery, peers, telemetry, the interpreter's own
+# files, and closed connections whose descriptors the kernel has not released yet.  A larger process has more
+# of the latter, therefore the reserve is RESERVED_SOCKETS plus limit / RESERVED_DIVISOR.
 RESERVED_SOCKETS = 32
 RESERVED_DIVISOR = 32
-MAX_RESERVED_DIVISOR = 4  # one in so many at most: a small limit must leave sockets for requests
+# The reserve is at most limit / MAX_RESERVED_DIVISOR, so that a small limit leaves sockets for requests.
+MAX_RESERVED_DIVISOR = 4
 
 
 class ServerRow(msgspec.Struct, frozen=True):
-    """A storage node as discovery writes it; the fields are the keys of its JSON.
+    """A storage node in the JSON format of discovery; the fields are the keys of the JSON object.
 
-    `cell` is the node's shard, `addr` its `host:port`, `started_ms` the start of its present incarnation in
-    milliseconds since the Unix epoch.
+    `cell` is the node's shard, `addr` its `host:port`, and `started_ms` the start of its present incarnation
+    in milliseconds since the Unix epoch.
     """
 
     id: str
@@ -38,7 +39,7 @@
 
 
 class ServerList(msgspec.Struct, frozen=True):
-    """The endpoint list as discovery writes it: all of it (`full`), or the entries that changed."""
+    """The endpoint list in the JSON format of discovery, complete (`full`) or only the changed entries."""
 
     version: int = 0
     full: bool = False
@@ -46,7 +47,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the platform allows the process: CPU cores, memory and open sockets."""
+    """The platform's limits on the process: CPU cores, memory and open sockets."""
 
     cores: float = 1.0
     memory_mb: Annotated[float, msgspec.Meta(gt=0)] = 192.0
@@ -54,9 +55,9 @@
 
 
 class TelemetryConfig(msgspec.Struct, frozen=True):
-    """The export over OTLP/HTTP; nothing is exported where `endpoint`, a URL, is empty.
+    """The export over OTLP/HTTP to the URL `endpoint`; nothing is exported if it is empty.
 
-    `sample_ratio` is the part of the requests that is traced.
+    `sample_ratio` is the fraction of requests that are traced.
     """
 
     endpoint: str = ""
@@ -67,9 +68,8 @@
 class Config(msgspec.Struct, frozen=True):
     """The complete configuration of one gateway; addresses are pairs of host and port.
 
-    `known` is the endpoint list at the process's start.  `admin` is where operators' calls are served.
-    `operator` is the operator file.  `state_dir` is shared by processes of this gateway that follow one
-    another.
+    `known` is the endpoint list at the start of the process.  `admin` is the address for operators' calls.
+    `operator` is the operator file.  `state_dir` is shared by successive processes of this gateway.
     """
 
     name: str
@@ -90,19 +90,19 @@
 
     @property
     def client_sockets(self) -> int:
-        """Sockets for HTTP clients: half of the limit.
+        """The maximum number of sockets for HTTP clients: half of the limit.
 
-        A third of the limit may wait for responses at a time, and beside those there are idle clients.
+        Up to a third of the limit may wait for responses at the same time; the remainder is for idle clients.
         """
         return self.limits.sockets // 2
 
     @property
     def upstream_sockets(self) -> int:
-        """Sockets for connections to storage nodes."""
+        """The maximum number of sockets for connections to storage nodes."""
         return self.limits.sockets - self.client_sockets - self._reserved_sockets
 
     @property
     def _reserved_sockets(self) -> int:
         nvme_hosts = self.nvme.target.max_connections if self.nvme.target.listen else 0
-        wanted = RESERVED_SOCKETS + self.limits.sockets // RESERVED_DIVISOR + nvme_hosts
-        return min(wanted, self.limits.sockets // MAX_RESERVED_DIVISOR)
+        reserved = RESERVED_SOCKETS + self.limits.sockets // RESERVED_DIVISOR + nvme_hosts
+        return min(reserved, self.limits.sockets // MAX_RESERVED_DIVISOR)
--- a/shaletiller/config/nvme.py
+++ b/shaletiller/config/nvme.py
@@ -1,6 +1,6 @@
-"""The configuration of NVMe over TCP: the file `deploy/nvme.toml`, its model and its checks.
+"""The configuration of NVMe over TCP: model, reading and validation of the file `deploy/nvme.toml`.
 
-The structures' encoded names are the keys of the file; docs/nvme.md explains them.
+The encoded names of the fields are the keys of the file; docs/nvme.md documents them.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from shaletiller.config.errors import ConfigError, describe
 from shaletiller.settings.model import Settings
 
-# Nine digits of milliseconds, as over HTTP.  A class's own deadline is the site's to set.
+# The same maximum as over HTTP: nine digits of milliseconds.  The deadline of a class does not limit it.
 MAX_TIMEOUT_MS = 999_999_999
-MAX_TRANSFER_BYTES = 65536  # data of one NVMe command; it bounds what one command may hold in memory
-# The part of the memory limit that completions may occupy while their hosts do not read them.  Empirical: the
-# other half is for the interpreter and for requests over HTTP.
+MAX_TRANSFER_BYTES = 65536  # maximum data of one NVMe command, which limits the memory of the command
+# Maximum fraction of the memory limit for completions that their hosts have not read.  A larger value allows
+# more or deeper queues; a smaller value leaves more memory to the interpreter and to HTTP requests.
 MAX_MEMORY_PART = 0.5
 BYTES_PER_MB = 1 << 20
 
@@ -29,11 +29,11 @@
 
 
 class NvmeNamespace(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A namespace that the gateway offers to hosts: block b is the object of key `first_key` + b.
+    """A namespace that the gateway offers to hosts: block b is the object with the key `first_key` + b.
 
-    A Read or Write becomes a client request of `read_class` or `write_class`, of the same `plan`, `volume`,
-    `shard` and `units` for each of its blocks.  `volume_gateways` is the number of gateways through which
-    the volume's requests come.
+    Each block of a Read or Write becomes a client request of `read_class` or `write_class` with the same
+    `plan`, `volume`, `shard` and `units`.  `volume_gateways` is the number of gateways through which the
+    volume's requests arrive.
     """
 
     nsid: Annotated[int, msgspec.Meta(ge=1, le=1024)]
@@ -52,7 +52,7 @@
 
 
 class NvmeUpstreamConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A storage node that speaks NVMe: the object of key k is block k - `first_key` of its namespace."""
+    """A storage node that uses NVMe: the object with the key k is block k - `first_key` of its namespace."""
 
     node: str
     subsystem: str
@@ -62,7 +62,7 @@
 
 
 class NvmeTargetConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the gateway offers to NVMe hosts; off where `listen` is empty."""
+    """The NVMe target that the gateway offers to hosts; disabled if `listen` is empty."""
 
     listen: str = ""
     subsystem: str = "nqn.2026-12.example.shaletiller:gateway"
@@ -74,16 +74,16 @@
 
 
 class NvmeConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The complete file: the target for hosts, and the storage nodes that are reached over NVMe."""
+    """The complete file: the target for hosts and the storage nodes that use NVMe."""
 
     target: NvmeTargetConfig = msgspec.field(default=NvmeTargetConfig(), name="front")
     upstreams: tuple[NvmeUpstreamConfig, ...] = msgspec.field(default=(), name="box")
 
 
 def read_nvme(path: Path) -> NvmeConfig:
-    """Read the NVMe file; where there is none, NVMe is off for hosts and storage nodes.
+    """Read the NVMe file; if it does not exist, NVMe is disabled for hosts and storage nodes.
 
-    :raises ConfigError: with the file's name and the faulty key.
+    :raises ConfigError: if the file is invalid; the message names the file and the faulty key.
     """
     if not path.exists():
         return NvmeConfig()
@@ -94,17 +94,21 @@
     if nvme.target.listen:
         read_address(nvme.target.listen, f"{path.name}: front.listen")
     _check_block_bytes(nvme, path.name)
-    _check_unique([space.nsid for space in nvme.target.namespaces], f"{path.name}: front.namespace.nsid")
+    _check_unique(
+        [namespace.nsid for namespace in nvme.target.namespaces], f"{path.name}: front.namespace.nsid"
+    )
     _check_unique([upstream.node for upstream in nvme.upstreams], f"{path.name}: box.node")
     return nvme
 
 
 def _check_block_bytes(nvme: NvmeConfig, file_name: str) -> None:
-    sizes = [each.block_bytes for each in nvme.target.namespaces]
-    sizes += [each.block_bytes for each in nvme.upstreams]
-    for at, size in enumerate(sizes):
+    sizes = [entry.block_bytes for entry in nvme.target.namespaces]
+    sizes += [entry.block_bytes for entry in nvme.upstreams]
+    for index, size in enumerate(sizes):
         if size & (size - 1):
-            raise ConfigError(f"{file_name}: block_bytes: expected a power of two, got {size} (entry {at})")
+            raise ConfigError(
+                f"{file_name}: block_bytes: expected a power of two, got {size} (entry {index})"
+            )
 
 
 def _check_unique(values: list[int] | list[str], key: str) -> None:
@@ -113,9 +117,9 @@
 
 
 def check_nvme(nvme: NvmeConfig, settings: Settings, memory_mb: float) -> None:
-    """Check the target against the site's settings and the memory limit.
+    """Check the target against the settings and the memory limit.
 
-    :raises ConfigError: where it names an unknown class or plan, or could occupy too much memory.
+    :raises ConfigError: if it names an unknown class or plan, or could use too much memory.
     """
     target = nvme.target
     if not target.listen:
@@ -124,19 +128,19 @@
     allowed_mb = memory_mb * MAX_MEMORY_PART
     if used_mb > allowed_mb:
         raise ConfigError(
-            f"nvme.toml: front.connections: with queue_depth they may occupy {used_mb:.0f} MB, "
-            f"at most {allowed_mb:.0f} are allowed"
+            f"nvme.toml: front.connections: connections of this queue_depth may use {used_mb:.0f} MB, "
+            f"expected at most {allowed_mb:.0f} MB"
         )
-    for at, space in enumerate(target.namespaces):
-        _check_namespace(space, settings, f"nvme.toml: front.namespace[{at}]")
+    for index, namespace in enumerate(target.namespaces):
+        _check_namespace(namespace, settings, f"nvme.toml: front.namespace[{index}]")
 
 
-def _check_namespace(space: NvmeNamespace, settings: Settings, key: str) -> None:
+def _check_namespace(namespace: NvmeNamespace, settings: Settings, key: str) -> None:
     classes = {spec.name for spec in settings.classes}
-    for name, value in (("read_class", space.read_class), ("write_class", space.write_class)):
+    for name, value in (("read_class", namespace.read_class), ("write_class", namespace.write_class)):
         if value not in classes:
             raise ConfigError(f"{key}.{name}: unknown class {value!r}")
-    if space.plan not in {plan.name for plan in settings.plans}:
-        raise ConfigError(f"{key}.plan: unknown plan {space.plan!r}")
-    if space.units > settings.max_units:
-        raise ConfigError(f"{key}.units: at most {settings.max_units}, got {space.units}")
+    if namespace.plan not in {plan.name for plan in settings.plans}:
+        raise ConfigError(f"{key}.plan: unknown plan {namespace.plan!r}")
+    if namespace.units > settings.max_units:
+        raise ConfigError(f"{key}.units: expected at most {settings.max_units}, got {namespace.units}")
--- a/shaletiller/config/operator_checks.py
+++ b/shaletiller/config/operator_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the operator file that no single value shows; each ValueError begins with the key."""
+"""Checks of the operator file that involve several values; each error message begins with the faulty key."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def check_operator_file(file: OperatorFile) -> None:
-    """Check the values against one another.
+    """Check the values of the file for consistency.
 
-    :raises ValueError: `key: message`.
+    :raises ValueError: if they are inconsistent; the message is `key: message`.
     """
     _check_fleet(file.fleet)
     _check_replication(file)
@@ -21,22 +21,22 @@
 
 def _check_fleet(fleet: FleetConfig) -> None:
     member_names = [member.name for member in fleet.member]
-    for at, member in enumerate(fleet.member):
-        _check_unique(member.name, member_names, f"fleet.member[{at}].name")
+    for index, member in enumerate(fleet.member):
+        _check_unique(member.name, member_names, f"fleet.member[{index}].name")
         if fleet.carrier == "tcp" and not ADDRESS.fullmatch(member.address):
-            raise ValueError(f"fleet.member[{at}].address: expected host:port, got {member.address!r}")
+            raise ValueError(f"fleet.member[{index}].address: expected host:port, got {member.address!r}")
     limit_names = [limit.name for limit in fleet.limit]
-    for at, name in enumerate(limit_names):
-        _check_unique(name, limit_names, f"fleet.limit[{at}].name")
+    for index, name in enumerate(limit_names):
+        _check_unique(name, limit_names, f"fleet.limit[{index}].name")
 
 
 def _check_replication(file: OperatorFile) -> None:
     replication = file.replication
     class_names = [row.name for row in replication.class_]
-    for at, name in enumerate(class_names):
-        _check_unique(name, class_names, f"promises.class[{at}].name")
+    for index, name in enumerate(class_names):
+        _check_unique(name, class_names, f"promises.class[{index}].name")
     if replication.on and not file.store.dir:
-        raise ValueError("promises.on: needs a directory for the store, store.dir")
+        raise ValueError("promises.on: needs the store's directory, store.dir")
     if replication.on and (file.fleet.carrier != "tcp" or not file.fleet.member):
         raise ValueError('promises.on: needs the members of a fleet and its carrier "tcp"')
 
--- a/shaletiller/config/operator_model.py
+++ b/shaletiller/config/operator_model.py
@@ -1,6 +1,6 @@
-"""The model of the operator file: what operators switch on beyond the platform.
+"""The model of the operator file: features that operators enable in addition to the platform's.
 
-The structures' encoded names, with dashes, are the keys of the file; docs/fleet.md explains them.
+The encoded names of the fields, with dashes, are the keys of the file; docs/fleet.md documents them.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 class Group(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """A group of the file: its values are in braces."""
+    """A group of the file, whose values are in braces."""
 
 
 class MemberRow(Group, frozen=True):
-    """A gateway of the fleet; `address` is `host:port` and needed by the carrier "tcp"."""
+    """A gateway of the fleet; `address` is `host:port` and required by the carrier "tcp"."""
 
     name: str
     address: str = ""
@@ -30,9 +30,9 @@
 
 
 class LimitRow(Group, frozen=True):
-    """What becomes of a plan's rate limit while most of the fleet cannot be reached.
+    """The policy for a plan's rate limit while a majority of the fleet is unreachable.
 
-    `strict` never exceeds the limit; `available` goes on serving this gateway's even part.
+    `strict` never exceeds the limit; `available` keeps serving this gateway's equal share of it.
     """
 
     name: str
@@ -42,18 +42,19 @@
 class FleetConfig(Group, frozen=True):
     """The fleet: gateways that share rate limits, endpoint health and warm-up budgets.
 
-    It is off unless members are listed, or the carrier is the platform's datagrams, whose peers they are.
+    It is disabled unless members are listed or the carrier is "datagrams", whose members are the platform's
+    peers.
 
-    - `me` is this gateway's member; where it is empty, the member of the gateway's own name.
+    - `me` is the name of this gateway's member; if it is empty, the gateway's own name.
     - `period_ms`, `ack_ms`, `suspect_ms`: the failure detector's ping period, its acknowledgement timeout,
       and how long a member is suspected before it is removed.
-    - `term_ms`, `lease_ms`, `drift`: the leases of the rate limits, and by how much a clock's rate may differ
-      from true time; without `term_ms` the term follows from the number of members.
-    - `messages_a_second`, `gossip_ms`, `fanout`: the traffic of one member, its gossip period, and to how
-      many members a round goes.
-    - `quorum`: the observers that must agree before a storage node counts as down.
-    - `gather_ms`: messages to one member within so long share a datagram.
-    - `cold_budgets`: whether the budgets of storage nodes that warm up are shared by the fleet.
+    - `term_ms`, `lease_ms`, `drift`: the durations of pledges and leases of the rate limits, and the maximum
+      deviation of a clock's rate as a fraction; without `term_ms`, the term depends on the number of members.
+    - `messages_a_second`, `gossip_ms`, `fanout`: a member's maximum message rate, its gossip period, and the
+      number of members that receive each gossip message.
+    - `quorum`: how many distinct observers are required before load is taken off a storage node.
+    - `gather_ms`: messages to the same member within this time share a datagram.
+    - `cold_budgets`: whether the fleet shares the warm-up budgets of storage nodes in slow start.
     """
 
     name: str = ""
@@ -80,9 +81,10 @@
         return bool(self.member) or self.carrier == "datagrams"
 
     def options(self, members: int) -> FleetOptions:
-        """The options of a fleet of so many members.
+        """Return the options of a fleet.
 
-        :raises ValueError: with the name of a value that contradicts another one.
+        :param members: the number of members.
+        :raises ValueError: if values contradict each other; the message begins with the name of one of them.
         """
         terms = LeaseTiming.for_members(members)
         return FleetOptions(
@@ -99,10 +101,10 @@
 
 
 class StoreConfig(Group, frozen=True):
-    """The store: a directory that survives the process, on a disk that keeps what was synced.
+    """The store: a directory that outlives the process, on a disk that retains synced data.
 
-    `dir` is empty where there is none.  `segment_mb` is the size of its files.  `drill` names a file of
-    faults to inject below the store, for drills only (`store/file_system.py`).
+    `dir` is empty if there is no store.  `segment_mb` is the size of a segment file.  `drill` names a file
+    with faults to inject into the store's file operations, for tests only (`store/file_system.py`).
     """
 
     dir: str = ""
@@ -111,17 +113,17 @@
 
 
 class ClassRow(Group, frozen=True):
-    """The durability of a class's writes: `copied` to further gateways before they count, or `local`."""
+    """The durability of a class's writes: `copied` to other gateways before the response, or `local`."""
 
     name: str
     level: Literal["copied", "local"] = "copied"
 
 
 class ReplicationConfig(Group, frozen=True):
-    """The replication between gateways; it needs a store and a fleet over TCP.
+    """The replication between gateways, which requires a store and a fleet over TCP.
 
-    `copies` is the number of replicas of a record.  The outcome of a write is known for `keep_s`.
-    `lease_tables` replicates the tables of the rate limits' leases; it must be equal at all gateways.
+    `copies` is the number of replicas of a record.  The outcome of a write is kept for `keep_s` seconds.
+    `lease_tables` replicates the lease tables of the rate limits; it must be equal at all gateways.
     """
 
     on: bool = False
--- a/shaletiller/config/operator_reader.py
+++ b/shaletiller/config/operator_reader.py
@@ -1,4 +1,4 @@
-"""Reads the operator file: a KDL document (https://kdl.dev, version 1).
+"""Reads the operator file, a KDL document (https://kdl.dev, version 1).
 
     fleet {
         name "campus"
@@ -9,8 +9,8 @@
         term-ms 2000
     }
 
-A node with children is a group, one without is a value; nodes that may occur several times make a list, named
-by their first argument.  Each error names its line and key.
+A node with children is a group, and a node without children is a value.  Nodes that may occur several times
+form a list, whose items are named by their first argument.  Each error names its line and key.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 def read_operator_file(path: Path) -> OperatorFile:
     """Read and check the file.
 
-    :raises OperatorFileError: with the line and key of the fault.
+    :raises OperatorFileError: if the file is invalid; the message names the line and the key.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -53,25 +53,25 @@
 
 @dataclass(slots=True, frozen=True)
 class _Document:
-    """A parsed document; `lines` gives each node's line by the node's `id()`."""
+    """A parsed document; `lines` maps the `id()` of each node to its line."""
 
     nodes: list[Any]
     lines: dict[int, int]
 
 
 def _parse(file_name: str, text: str) -> _Document:
-    # Imported where there is such a file only: the library takes 60 ms to load.
+    # Imported only if there is such a file, because the library takes 60 ms to load.
     import kdl.errors
     import kdl.parsefuncs
     import kdl.parsing
 
     lines: dict[int, int] = {}
 
-    def note_line(node: Any, fragment: Any) -> Any:
-        lines[id(node)] = fragment.error("").line  # the library states positions in its errors only
+    def record_line(node: Any, fragment: Any) -> Any:
+        lines[id(node)] = fragment.error("").line  # the library gives positions only in errors
         return node
 
-    converters: dict[Any, Any] = {(None, None): note_line, (..., ...): note_line}
+    converters: dict[Any, Any] = {(None, None): record_line, (..., ...): record_line}
     try:
         document = kdl.parsefuncs.parse(text, kdl.parsing.ParseConfig(nodeConverters=converters))
     except kdl.errors.ParseError as error:
@@ -82,9 +82,9 @@
 
 @dataclass(slots=True)
 class _Converter:
-    """Converts the nodes of a document to the dictionaries that msgspec converts to the model.
+    """Converts the nodes of a document to dictionaries, which msgspec converts to the model.
 
-    `key_lines` gives the line of each key that was converted, such as `fleet.member[0]`.
+    `key_lines` maps each converted key, such as `fleet.member[0]`, to its line.
     """
 
     file_name: str
@@ -92,19 +92,19 @@
     key_lines: dict[str, int] = field(default_factory=dict)
 
     def error(self, key: str, message: str) -> OperatorFileError:
-        """An error with the line of its key, or of the closest group around it."""
-        known = key
-        while known and known not in self.key_lines:
-            known = known.rpartition(".")[0]
-        line = f"line {self.key_lines[known]}: " if known else ""
+        """Return an error with the line of its key, or of the innermost enclosing group with a known line."""
+        known_key = key
+        while known_key and known_key not in self.key_lines:
+            known_key = known_key.rpartition(".")[0]
+        line = f"line {self.key_lines[known_key]}: " if known_key else ""
         text = f"{key}: {message}" if key else message
         return OperatorFileError(f"{self.file_name}: {line}{text}")
 
     def group(self, nodes: Sequence[Any], model: type[Group], path: str) -> dict[str, Any]:
         """Convert a group's nodes.
 
-        :param path: the group's own key; empty for the whole document.
-        :raises OperatorFileError: where a node does not fit its field of the model.
+        :param path: the key of the group; empty for the whole document.
+        :raises OperatorFileError: if a node does not match the model.
         """
         fields = _field_types(model)
         values: dict[str, Any] = {}
@@ -123,24 +123,24 @@
         return values
 
     def _append_item(self, items: list[Any], node: Any, model: type[Group], key: str) -> None:
-        """Convert a node of a list; its first argument is the item's name."""
+        """Convert a node of a list and append it; its first argument is the item's name."""
         line = self._line(node)
         item_key = f"{key}[{len(items)}]"
         self.key_lines.setdefault(key, line)
         self.key_lines[item_key] = line
         if len(node.args) != 1:
-            raise self._node_error(node, key, "expected one name and then its properties")
+            raise self._node_error(node, key, "expected one name followed by properties")
         children = self.group(node.nodes, model, item_key)
         fields = _field_types(model)
         properties = {name: _exact(value, fields.get(name)) for name, value in node.props.items()}
         items.append({"name": node.args[0], **properties, **children})
 
     def _single(self, node: Any, field_type: Any, key: str) -> Any:
-        """Convert a group or a value that may occur once."""
+        """Convert a group or value that may occur only once."""
         self.key_lines[key] = self._line(node)
         if isinstance(field_type, type) and issubclass(field_type, Group):
             if node.args or node.props:
-                raise self._node_error(node, key, "is a group: its values are in braces")
+                raise self._node_error(node, key, "is a group, expected its values in braces")
             return self.group(node.nodes, field_type, key)
         if len(node.args) != 1 or node.props or node.nodes:
             raise self._node_error(node, key, "expected one value")
@@ -154,18 +154,18 @@
 
 
 def _exact(value: Any, field_type: Any) -> Any:
-    """Return a whole number of an integer field as one: the library reads every decimal number as a float."""
+    """Convert the value of an integer field to int: the library reads every decimal number as a float."""
     is_whole = field_type is int and isinstance(value, float) and value.is_integer()
     return int(value) if is_whole else value
 
 
 def _field_types(model: type[Group]) -> dict[str, Any]:
-    """The types of a model's fields by their keys in the file."""
+    """Return the types of a model's fields by their keys in the file."""
     hints = get_type_hints(model)
-    return {each.encode_name: hints[each.name] for each in msgspec.structs.fields(model)}
+    return {item.encode_name: hints[item.name] for item in msgspec.structs.fields(model)}
 
 
 def _item_model(field_type: Any) -> type[Group] | None:
-    """The model of a list's items; None where the type is no list of groups."""
+    """Return the model of a list's items, or None if the type is not a list of groups."""
     item = get_args(field_type)[0] if get_origin(field_type) is tuple else None
     return item if isinstance(item, type) and issubclass(item, Group) else None
--- a/shaletiller/config/reader.py
+++ b/shaletiller/config/reader.py
@@ -1,8 +1,8 @@
 """Reads the configuration from its sources and checks it.
 
-Sources: the JSON file named by EDGE_CONFIG, the variables EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and
-EDGE_ADMIN (they win over the file), the OTLP variables of OpenTelemetry, deploy/nvme.toml, and the operator
-file that EDGE_OPERATOR names.
+The sources are the JSON file named by EDGE_CONFIG, the variables EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and
+EDGE_ADMIN (which override the file), the OTLP variables of OpenTelemetry, deploy/nvme.toml, and the operator
+file named by EDGE_OPERATOR.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
     from shaletiller.config.operator_model import OperatorFile
 
 NVME_FILE = Path(__file__).parent.parent.parent / "deploy" / "nvme.toml"
-# Bytes of a gateway's name: a file that is named after it has a prefix and a suffix, and file systems allow
-# 255 bytes.
+# Maximum bytes of a gateway's name.  File systems allow file names of 255 bytes, and a file named after the
+# gateway has a prefix and a suffix.
 MAX_NAME_BYTES = 200
-MAX_ECHOED_NAME = 64  # characters of a faulty name in the error
-# The variables from which the fields of `TelemetryConfig` are read, and their defaults.
+MAX_ECHOED_NAME = 64  # maximum characters of an invalid name in the error message
+# The environment variable and the default of each field of `TelemetryConfig`.
 TELEMETRY_VARIABLES = {
     "endpoint": ("OTEL_EXPORTER_OTLP_ENDPOINT", ""),
     "interval_ms": ("OTEL_METRIC_EXPORT_INTERVAL", "5000"),
@@ -38,7 +38,7 @@
 
 
 class ConfigFile(msgspec.Struct, frozen=True):
-    """The configuration file as it is written; `settings` are decoded by `settings/decoder.py`."""
+    """The keys of the configuration file; `settings` is decoded by `settings/decoder.py`."""
 
     settings: dict[str, Any]
     name: str = ""
@@ -57,7 +57,7 @@
     """Read the complete configuration.
 
     :param env: the environment variables.
-    :raises ConfigError: with the faulty key.
+    :raises ConfigError: if the configuration is invalid; the message names the faulty key.
     """
     file = _read_file(env)
     settings = _read_settings(file)
@@ -73,7 +73,9 @@
         seed=_read_seed(file.seed),
         limits=file.limits,
         peer_listen=_read_optional_address(file.peer_listen, "peer_listen"),
-        peers=tuple(read_address(each, f"peers[{at}]") for at, each in enumerate(file.peers or ())),
+        peers=tuple(
+            read_address(peer, f"peers[{index}]") for index, peer in enumerate(file.peers or ())
+        ),
         peers_all=_read_optional_address(file.peers_all, "peers_all"),
         known=file.known or ServerList(),
         settings=settings,
@@ -85,11 +87,11 @@
 
 
 def read_config_again(env: Mapping[str, str] = os.environ, nvme_file: Path = NVME_FILE) -> Config:
-    """Read the configuration after SIGHUP.
+    """Read the configuration again after SIGHUP.
 
-    EDGE_DISCOVERY is as old as the process: it wins at the start, and from then on the file does.
+    EDGE_DISCOVERY cannot change while the process runs: it overrides the file at the start only.
 
-    :raises ConfigError: with the faulty key.
+    :raises ConfigError: if the configuration is invalid; the message names the faulty key.
     """
     without_discovery = {name: value for name, value in env.items() if name != "EDGE_DISCOVERY"}
     return read_config(without_discovery, nvme_file)
@@ -98,7 +100,7 @@
 def _read_file(env: Mapping[str, str]) -> ConfigFile:
     path = env.get("EDGE_CONFIG", "")
     if not path:
-        raise ConfigError("EDGE_CONFIG: not set")
+        raise ConfigError("EDGE_CONFIG: not set, expected the path of the configuration file")
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
@@ -121,7 +123,7 @@
 
 
 def _check_name(name: str) -> str:
-    """Check a gateway's name: it is a part of a file's name, and is logged on one line."""
+    """Check a gateway's name, which is part of a file name and must fit on one line of the log."""
     if "/" in name or not name.isprintable() or len(name.encode()) > MAX_NAME_BYTES:
         raise ConfigError(
             f"EDGE_NAME: expected at most {MAX_NAME_BYTES} printable bytes, no '/', "
@@ -151,13 +153,13 @@
     path = env.get("EDGE_OPERATOR", "")
     if not path:
         return None
-    from shaletiller.config.operator_reader import read_operator_file  # it loads the fleet's modules
+    from shaletiller.config.operator_reader import read_operator_file  # loads the fleet's modules
 
     try:
         file = read_operator_file(Path(path))
     except OperatorFileError as error:
         raise ConfigError(f"EDGE_OPERATOR: {error}") from error
-    me = file.fleet.me or gateway_name
-    if file.fleet.member and me not in [member.name for member in file.fleet.member]:
-        raise ConfigError(f"EDGE_OPERATOR: {Path(path).name}: fleet.me: no member {me!r}")
+    own_name = file.fleet.me or gateway_name
+    if file.fleet.member and own_name not in [member.name for member in file.fleet.member]:
+        raise ConfigError(f"EDGE_OPERATOR: {Path(path).name}: fleet.me: no member {own_name!r}")
     return file
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -316,8 +316,8 @@
     async def stop(self) -> None:
         """Shut down gracefully: every accepted request gets its response before the platform's SIGKILL.
 
-        At first, new connections are still accepted and open ones are kept.  Closing them at once would reject
-        clients before another process has taken over.
+        At first, new connections are still accepted and open ones are kept.  Closing them at once would
+        reject clients before another process has taken over.
         """
         self._stopping = True
         if self.fleet is not None:
--- a/shaletiller/log.py
+++ b/shaletiller/log.py
@@ -1,7 +1,7 @@
-"""Logging of the gateway: the standard library's `logging`, as single lines on standard error.
+"""Logging of the gateway: records of the standard library's `logging` as single lines on standard error.
 
-Each module logs to `logging.getLogger(__name__)`.  `configure_logging` installs the one handler: it writes a
-record as one line without a traceback, and limits how many lines are written in a second.
+Each module logs to `logging.getLogger(__name__)`.  `configure_logging` installs the only handler, which
+writes each record as one line without a traceback and limits the number of lines per second.
 """
 
 from __future__ import annotations
@@ -11,14 +11,15 @@
 import time
 
 PROGRAM = "shaletiller"
-MAX_LINES_PER_SECOND = 20  # empirical: enough to follow one incident, too few to fill a disk or to cost CPU
+# A larger value shows more of an incident; a smaller value costs less CPU and disk space.
+MAX_LINES_PER_SECOND = 20
 RATE_WINDOW_S = 1.0
 
 
 class RateLimitFilter(logging.Filter):
-    """Drops records beyond `MAX_LINES_PER_SECOND`; the next record that passes reports how many.
+    """Drops records beyond `MAX_LINES_PER_SECOND`; the next record that passes reports their number.
 
-    A flood of malformed requests, or a collector that is down, would otherwise flood the log.
+    Without it, many malformed requests or an unreachable collector would flood the log.
     """
 
     def __init__(self) -> None:
@@ -28,10 +29,11 @@
         self._dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Count a record.
+        """Decide whether a record is written.
 
-        :param record: annotated with `dropped_before`, the number of records dropped in the last window.
-        :returns: whether the record may be written.
+        :param record: the record; sets its attribute `dropped_before` to the number of records that were
+            dropped in the previous window.
+        :returns: whether the record is written.
         """
         now_s = time.monotonic()
         dropped_before = 0
@@ -47,10 +49,10 @@
 
 
 class LineFormatter(logging.Formatter):
-    """Writes a record as `shaletiller: message`; records of libraries also name their logger."""
+    """Formats a record as `shaletiller: message`, with the name of the logger for records of libraries."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Format a record without its traceback; the exception's `repr` follows in brackets."""
+        """Format a record without its traceback; the `repr` of its exception follows in parentheses."""
         text = record.getMessage()
         if record.name.partition(".")[0] != PROGRAM:
             text = f"{record.name}: {text}"
@@ -63,7 +65,7 @@
 
 
 def configure_logging() -> None:
-    """Log to standard error: the gateway's own records from INFO on, those of libraries from WARNING on."""
+    """Log to standard error: records of the gateway from INFO, and of libraries from WARNING."""
     handler = logging.StreamHandler(sys.stderr)
     handler.addFilter(RateLimitFilter())
     handler.setFormatter(LineFormatter())
--- a/shaletiller/telemetry/__init__.py
+++ b/shaletiller/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""OTLP export, off unless an endpoint is configured; OpenTelemetry's library is loaded only then."""
+"""OTLP export of metrics and traces; OpenTelemetry is loaded only if an endpoint is configured."""
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -1,8 +1,8 @@
-"""Metrics and traces of the engine by OpenTelemetry's SDK, over OTLP/HTTP.
+"""Exports metrics and traces of the engine over OTLP/HTTP, by OpenTelemetry's SDK.
 
-The export runs on the SDK's own threads and its queues are bounded: what does not fit is dropped, and no
-request waits for it.  The names and descriptions of metrics, spans and labels are exported:
-they stay as dashboards know them.
+The export runs on the SDK's own threads.  Its queues are bounded and data beyond the bound is dropped, so
+that no request waits for the export.  The names and descriptions of metrics, spans and labels must not change,
+because dashboards depend on them.
 """
 
 from __future__ import annotations
@@ -30,24 +30,24 @@
 
 logger = logging.getLogger(__name__)
 
-# Empirical: spans that wait for the export, and those of one export.  More would keep more of a burst, at the
-# expense of the process's memory limit.
+# Maximum spans that wait for their export, and maximum spans of one export.  Larger values keep more spans of
+# a burst; smaller values use less memory.
 MAX_QUEUED_SPANS = 1024
 MAX_EXPORTED_SPANS = 256
-EXPORT_TIMEOUT_S = 2.0  # empirical: a collector that does not respond by then has lost the batch
-# How long a shutdown waits for the last export.  Empirical: one export's timeout and some more; it delays the
-# end of the process while a collector is down.
+EXPORT_TIMEOUT_S = 2.0  # a batch is lost if the collector does not respond within this time
+# How long a shutdown waits for the last export: more than EXPORT_TIMEOUT_S.  A larger value delays the end of
+# the process while the collector is unreachable; a smaller value loses exports to a slow collector.
 SHUTDOWN_TIMEOUT_S = 3.0
 MS_PER_S = 1000
 NS_PER_MS = 1_000_000
 
-ATTEMPT_PREFIX = "attempt."  # of the engine's counters of attempts by outcome
-FORWARDS = "forwards"  # a counter of the operators' STATS, which is not exported
+ATTEMPT_PREFIX = "attempt."  # prefix of the engine's counters of attempts by outcome
+FORWARDS = "forwards"  # a counter for STATS, which is not exported
 CLIENT_GONE = "left"  # the label of a request whose client disconnected before its response
 
 
 def _request_counts(counters: Mapping[str, int]) -> Iterator[Observation]:
-    # Copied first: the export runs on another thread.
+    # The counters are copied because the export runs on another thread.
     for name, count in dict(counters).items():
         if "." not in name and name != FORWARDS:
             yield Observation(count, {"answer": name})
@@ -60,9 +60,9 @@
 
 
 class OtlpExporter:
-    """Exports what an engine counts, and a trace of a sample of its requests.
+    """Exports the counters of an engine, and traces of a sample of its requests.
 
-    :param name: the gateway's; the instance id of what is exported.
+    :param name: the gateway's name, which is exported as `service.instance.id`.
     """
 
     def __init__(self, config: TelemetryConfig, name: str, engine: Engine, clock: Clock) -> None:
@@ -99,7 +99,7 @@
         return [Observation(len(self._engine.exchanges))]
 
     def request_ended(self, exchange: Exchange) -> None:
-        """Record a request's duration, and where it is sampled its span with a child for each attempt."""
+        """Record the duration of a request and, if it is sampled, its span with a child for each attempt."""
         now_ms = self._clock.now_ms()
         call = exchange.call
         result = CLIENT_GONE if exchange.result is None else exchange.result.value
@@ -132,14 +132,14 @@
         span.end(int((attempt.ended_ms or now_ms) * NS_PER_MS))
 
     async def stop(self) -> None:
-        """Export what is queued, for `SHUTDOWN_TIMEOUT_S` at most and off the event loop."""
+        """Export the queued data outside the event loop, for at most `SHUTDOWN_TIMEOUT_S`."""
         loop = asyncio.get_running_loop()
         providers = (self._tracer_provider, self._meter_provider)
         exports = [loop.run_in_executor(None, provider.shutdown) for provider in providers]
         _, unfinished = await asyncio.wait(exports, timeout=SHUTDOWN_TIMEOUT_S)
         if unfinished:
             logger.warning(
-                "telemetry: the last export did not end within %g s, it is lost", SHUTDOWN_TIMEOUT_S
+                "telemetry: data lost: the last export did not end within %g s", SHUTDOWN_TIMEOUT_S
             )
 
 
