--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -1,8 +1,8 @@
 """Exports metrics and traces of the engine over OTLP/HTTP, by OpenTelemetry's SDK.
 
 The export runs on the SDK's own threads.  Its queues are bounded and data beyond the bound is dropped, so
-that no request waits for the export.  The names and descriptions of metrics, spans and labels must not change,
-because dashboards depend on them.
+that no request waits for the export.  The names and descriptions of metrics, spans and labels must not
+change, because dashboards depend on them.
 """
 
 from __future__ import annotations
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests listed in KNOWN-RED.txt run as all others; their failure is printed and does not fail the run."""
+"""Reports failures of the tests listed in KNOWN-RED.txt without failing the run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def known_red() -> set[str]:
-    """The node ids in KNOWN-RED.txt: the lines that begin with `test: `."""
+    """Return the node ids in KNOWN-RED.txt, from the lines that begin with `test: `."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text().splitlines()
@@ -20,7 +20,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """End a run of the whole suite whose list names a test that does not exist."""
+    """Fail a run of the whole suite if KNOWN-RED.txt lists a test that does not exist."""
     if config.args_source is not pytest.Config.ArgsSource.TESTPATHS:
         return
     missing = known_red() - {item.nodeid for item in items}
@@ -32,7 +32,7 @@
 def pytest_runtest_makereport(
     item: pytest.Item, call: pytest.CallInfo[None]
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Report the failure of a listed test as expected; a listed test that passes counts as passed."""
+    """Report the failure of a listed test as expected; a listed test that passes is reported as passed."""
     report = yield
     if report.failed and item.nodeid in known_red():
         report.outcome = "skipped"
@@ -41,7 +41,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the listed tests, and which of them failed; `--xfail-tb` prints their assertions and output."""
+    """Print which of the listed tests failed; `--xfail-tb` prints their assertions and output."""
     listed = known_red()
     if not listed:
         return
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine alone: a settable clock, a scripted upstream client, no sockets."""
+"""Tests of the engine with a settable clock and a scripted upstream client, without sockets."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ScriptedUpstream:
-    """An upstream client whose attempts end when the test completes them."""
+    """An upstream client whose attempts end when the test sets their results."""
 
     def __init__(self) -> None:
         self.attempts: list[asyncio.Future[AttemptResult]] = []
@@ -67,7 +67,7 @@
         )
         self.engine = Engine(known, 1, self.clock)
         self.engine.update_endpoints(UpdateKind.FULL, 1, (Endpoint(entry(), "a:1", self.upstream),))
-        self.answers: list[FinalResponse] = []
+        self.responses: list[FinalResponse] = []
         self.events: list[Event] = []
         handle = self.engine._scheduler.handle
 
@@ -78,7 +78,7 @@
         self.engine._scheduler.handle = record  # type: ignore[method-assign]
 
     async def call(self, call: ClientCall) -> Exchange:
-        exchange = self.engine.submit(call, self.answers.append)
+        exchange = self.engine.submit(call, self.responses.append)
         await self.settle()
         return exchange
 
@@ -90,67 +90,67 @@
         return [event.outcome for event in self.events if isinstance(event, AttemptEnded)]
 
     async def test_served(self) -> None:
-        """A client sends a request, the node responds after 30 ms.
+        """A client sends a request and the node responds after 30 ms.
 
-        The client has the node's body, the scheduler the latency.
+        The client receives the node's body, and the scheduler is notified of the latency.
         """
         await self.call(CALL)
         self.clock.advance(30)
         self.upstream.attempts[0].set_result(AttemptResult(Outcome.OK, b"data", usage_percent_plus_one=87))
         await self.settle()
-        self.assertEqual(self.answers, [FinalResponse(FinalResult.SERVED, b"data")])
-        (done,) = (event for event in self.events if isinstance(event, AttemptEnded))
+        self.assertEqual(self.responses, [FinalResponse(FinalResult.SERVED, b"data")])
+        (ended,) = (event for event in self.events if isinstance(event, AttemptEnded))
         self.assertEqual(
-            (done.latency_ms, done.request_finished, done.usage_percent_plus_one), (30.0, True, 87)
+            (ended.latency_ms, ended.request_finished, ended.usage_percent_plus_one), (30.0, True, 87)
         )
 
     async def test_a_silent_node_times_out_at_the_deadline_with_one_outcome(self) -> None:
-        """A node never answers a write.
+        """A node never responds to a write.
 
-        Not before its deadline the write fails, once, and its attempt is ended.
+        At its deadline and not before, the write fails once and its attempt is cancelled.
         """
         await self.call(WRITE)
         self.clock.advance(399)
         await self.settle()
-        self.assertEqual(self.answers, [])
+        self.assertEqual(self.responses, [])
         self.clock.advance(1)
         await self.settle()
-        self.assertEqual(self.answers, [FinalResponse(FinalResult.FAILED)])
+        self.assertEqual(self.responses, [FinalResponse(FinalResult.FAILED)])
         self.assertEqual(self.outcomes(), [Outcome.TIMEOUT])
         self.assertTrue(self.upstream.attempts[0].cancelled())
 
     async def test_an_attempt_cancelled_before_its_first_step_still_has_its_outcome(self) -> None:
-        """A client disconnects before the attempt's task has started.
+        """A client disconnects before the task of the attempt has started.
 
         The attempt is recorded as cancelled.
         """
-        exchange = self.engine.submit(WRITE, self.answers.append)
+        exchange = self.engine.submit(WRITE, self.responses.append)
         self.engine.client_disconnected(exchange)
         await self.settle()
         self.assertEqual(self.outcomes(), [Outcome.CANCELLED])
         self.assertEqual(self.engine.attempts.in_flight, {})
 
     async def test_an_upstream_client_that_fails_counts_as_a_reset(self) -> None:
-        """An upstream client raises an error of its own.
+        """An upstream client raises an unexpected exception.
 
-        The write may have run: it is recorded as reset and fails.
+        The node may have executed the write: the attempt is recorded as reset and the write fails.
         """
         await self.call(WRITE)
         self.upstream.attempts[0].set_exception(RuntimeError("broken on purpose"))
         await self.settle()
         self.assertEqual(
-            (self.outcomes(), self.answers), ([Outcome.RESET], [FinalResponse(FinalResult.FAILED)])
+            (self.outcomes(), self.responses), ([Outcome.RESET], [FinalResponse(FinalResult.FAILED)])
         )
 
     async def test_no_second_attempt_while_one_is_in_flight(self) -> None:
-        """The scheduler requests a second attempt while one is in flight, which the settings do not allow."""
+        """The scheduler sends a second attempt while one is in flight, which the settings do not allow."""
         await self.call(CALL)
         self.engine._send_attempt(SendAttempt("r1", "n1"))
         await self.settle()
         self.assertEqual((len(self.upstream.attempts), self.outcomes()), (1, [Outcome.NOT_SENT]))
 
     async def test_a_send_to_another_shard_or_an_unknown_node_is_moot(self) -> None:
-        """The scheduler names a node of another shard, or one that is not listed: nothing is sent."""
+        """The scheduler selects a node of another shard, and one that is not listed: nothing is sent."""
         await self.call(replace(CALL, shard=7))
         self.engine._send_attempt(SendAttempt("r1", "n1"))
         self.engine._send_attempt(SendAttempt("r1", "n9"))
@@ -158,32 +158,34 @@
         self.assertEqual((self.upstream.attempts, self.outcomes()), ([], [Outcome.NOT_SENT] * 2))
 
     async def test_the_first_final_response_is_the_only_one(self) -> None:
-        """A request is rejected, then failed, then served: the client sees the first response alone."""
+        """A request is rejected, then failed, then served: the client receives only the first response."""
         await self.call(CALL)
         self.engine._reject(Reject("r1", 250))
         self.engine._fail(Fail("r1"))
         self.upstream.attempts[0].set_result(AttemptResult(Outcome.OK, b"late"))
         await self.settle()
-        self.assertEqual(self.answers, [FinalResponse(FinalResult.REJECTED, retry_after_ms=250)])
+        self.assertEqual(self.responses, [FinalResponse(FinalResult.REJECTED, retry_after_ms=250)])
 
     async def test_the_deadline_guard_fails_a_write_that_may_have_run_and_rejects_one_that_did_not(
         self,
     ) -> None:
-        """The scheduler stops deciding.
+        """The scheduler returns no more actions.
 
-        The guard fails the write that was sent, and rejects the one that was not.
+        The deadline guard fails the write that was sent and rejects the write that was not sent.
         """
         await self.call(WRITE)
         await self.call(replace(WRITE, id="w2", shard=5))
         self.engine._scheduler.handle = lambda now_ms, event: []  # type: ignore[method-assign]
         self.clock.advance(420)
         await self.settle()
-        self.assertEqual([each.result for each in self.answers], [FinalResult.FAILED, FinalResult.REJECTED])
+        self.assertEqual(
+            [response.result for response in self.responses], [FinalResult.FAILED, FinalResult.REJECTED]
+        )
 
     async def test_each_rejection_and_failure_is_counted_by_its_reason(self) -> None:
-        """The scheduler rejects one request, then fails it; the guard answers another.
+        """The scheduler rejects one request and then fails it; the deadline guard ends another one.
 
-        Each answered request counts once.  Guards against rejections that nobody can tell apart.
+        Each request is counted once, with its reason.  Guards against rejections without a known reason.
         """
         await self.call(CALL)
         self.engine._reject(Reject("r1", 250, GiveUpReason.LATE))
@@ -199,9 +201,9 @@
         )
 
     async def test_rounds_go_on_after_one_in_which_the_scheduler_failed(self) -> None:
-        """The scheduler raises once, in a round in which a request waits for its retry.
+        """The scheduler raises an exception once, in a round in which a request waits for its retry.
 
-        The retry must be sent in the next round.  Guards against a gateway that never starts a round again.
+        The retry must be sent in the next round.  Guards against a gateway that runs no further rounds.
         """
         await self.call(CALL)
         self.upstream.attempts[0].set_result(AttemptResult(Outcome.FULL))
@@ -217,9 +219,9 @@
         self.assertIn("edge.scheduler_failures=1", stats_lines(self.engine.counters, [], {}))
 
     async def test_a_send_for_a_request_that_has_ended_gives_its_slot_back(self) -> None:
-        """A client disconnects between the decision to send its retry and the sending.
+        """A client disconnects after the decision to send its retry, before the retry is sent.
 
-        Guards against nodes whose capacity is used up by requests that were never sent.
+        Guards against nodes whose capacity is occupied by requests that were never sent.
         """
         exchange = await self.call(CALL)
         self.upstream.attempts[0].set_result(AttemptResult(Outcome.FULL))
@@ -239,27 +241,28 @@
         self.engine._scheduler.validate_state()
 
     async def test_a_request_at_which_the_scheduler_fails_is_rejected_at_once(self) -> None:
-        """The scheduler raises as it takes in a write: nothing was sent, so the write is rejected, once.
+        """The scheduler raises an exception at the arrival of a write.
 
-        Guards against clients that wait for their deadline after a fault of the scheduler.
+        The write was not sent and is rejected once.  Guards against clients that wait until their deadline
+        after a failure of the scheduler.
         """
         admission = type(self.engine._scheduler.admission)
         with unittest.mock.patch.object(admission, "admit", side_effect=ValueError("once")):
             await self.call(WRITE)
-        self.assertEqual(self.answers, [FinalResponse(FinalResult.REJECTED)])
+        self.assertEqual(self.responses, [FinalResponse(FinalResult.REJECTED)])
         self.clock.advance(1000)
         await self.settle()
-        self.assertEqual((len(self.answers), self.engine._scheduler.state.pending), (1, {}))
+        self.assertEqual((len(self.responses), self.engine._scheduler.state.pending), (1, {}))
         self.assertIn("edge.reasons.declined.scheduler_failed=1", stats_lines(self.engine.counters, [], {}))
 
     async def test_the_result_of_a_health_check_is_an_event(self) -> None:
-        """The scheduler requests a health check and is notified of its result."""
+        """The scheduler starts a health check and is notified of its result."""
         self.engine._send_health_check(SendHealthCheck("n1"))
         await self.settle()
         self.assertIn(HealthCheckEnded("n1", Outcome.OK, 0.0), self.events)
 
     async def test_a_draining_nodes_idle_connections_stay_until_it_is_gone(self) -> None:
-        """A node drains, then leaves the list: its idle connections are closed only as it leaves."""
+        """A node drains and then leaves the list: its idle connections are closed only when it leaves."""
         for state, closed in ((EndpointState.DRAINING, 0), (EndpointState.GONE, 1)):
             self.engine.update_endpoints(
                 UpdateKind.CHANGES, 2, (Endpoint(entry(state=state), "a:1", self.upstream),)
@@ -267,9 +270,9 @@
             self.assertEqual(self.upstream.closed, closed)
 
     async def test_a_departed_node_is_removed_with_its_connections(self) -> None:
-        """Fifty nodes join and leave the list one after the other.
+        """Fifty nodes join and leave the endpoint list one after the other.
 
-        Only the listed ones are known, all others are closed.
+        Only the listed nodes are kept; the idle connections of all others are closed.
         """
         for number in range(50):
             new = Endpoint(entry(f"m{number}"), f"b:{number}", self.upstream)
@@ -281,15 +284,15 @@
         self.assertEqual((set(self.engine.routes._endpoints), self.upstream.closed), ({"m49"}, 50))
 
     async def test_an_id_is_not_accepted_again_while_an_attempt_of_it_is_in_flight(self) -> None:
-        """A request is rejected while its attempt is in flight, and a request of the same id comes.
+        """A request is rejected while its attempt is in flight, and another request has the same id.
 
-        It is a bad request
-        until the attempt has ended, for its outcome would be taken for the other's.
+        Until the attempt has ended, the other request is a bad request: the outcome of the attempt would be
+        attributed to it.
         """
         await self.call(WRITE)
         self.engine._reject(Reject("w1"))
         with self.assertRaises(BadRequestError):
-            self.engine.submit(replace(WRITE), self.answers.append)
+            self.engine.submit(replace(WRITE), self.responses.append)
         self.upstream.attempts[0].set_result(AttemptResult(Outcome.OK))
         await self.settle()
         await self.call(WRITE)
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -1,4 +1,4 @@
-"""Log records are single lines on standard error, limited in number per second."""
+"""Tests of the log: single lines on standard error, with a limit on their number per second."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def _logging_restored() -> Iterator[None]:
-    """Whatever a test does to the configuration of logging is undone."""
+    """Restore the configuration of logging after a test."""
     handlers, level = logging.root.handlers[:], logging.root.level
     yield
     logging.root.handlers[:], logging.root.level = handlers, level
@@ -24,7 +24,10 @@
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """More lines come in one second than may be written; a second later one more line comes."""
+    """More lines are logged in one second than the limit, and one more line a second later.
+
+    The lines beyond the limit are dropped, and their number is logged with the last line.
+    """
     log.configure_logging()
     now = [1000.0]
     monkeypatch.setattr("shaletiller.log.time.monotonic", lambda: now[0])
@@ -44,7 +47,7 @@
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A library logs an exception with its traceback more often than may be written."""
+    """A library logs an exception with its traceback more often than the limit allows."""
     log.configure_logging()
     monkeypatch.setattr("shaletiller.log.time.monotonic", lambda: 1000.0)
     for _ in range(log.MAX_LINES_PER_SECOND + 9):
--- a/tests/gateway/test_operators.py
+++ b/tests/gateway/test_operators.py
@@ -1,4 +1,4 @@
-"""The parts that operators use: a second process beside the first, the admin server and its calls."""
+"""Tests of the functions for operators: process replacement, the admin server and its calls, and reloads."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class ProcessReplacement(Scenario):
-    """A new process takes over from the one that is shutting down."""
+    """A new process replaces one that is shutting down."""
 
     async def test_a_second_process_listens_on_the_same_address(self) -> None:
-        """An upgrade starts the new process while the old one still listens on the address.
+        """An upgrade starts the new process while the old process still listens on the address.
 
-        The new one must be able to listen there too, and the old one goes on serving: without SO_REUSEPORT
-        the new process ends at its start with EADDRINUSE.
+        The new process must be able to listen too, and the old one continues to serve requests.  Without
+        SO_REUSEPORT, the new process fails at its start with EADDRINUSE.
         """
         port = self.gateway.http_server.address[1]
         overload = OverloadControl(Clock(), lambda: False)
@@ -39,9 +39,10 @@
         """)
 
     async def test_connections_queued_when_the_listener_closes_are_answered(self) -> None:
-        """A client has connected, but the gateway has not accepted it yet when it stops to listen.
+        """A client has connected, but the gateway has not yet accepted it when it stops listening.
 
-        The client must still get its response: a listener that is closed resets the connections queued in it.
+        The client must still get its response.  Closing a listening socket resets the connections in its
+        accept queue.
         """
         http_server = self.gateway.http_server
         listener = http_server._listener._socket
@@ -59,10 +60,10 @@
 
 
 class Calls(Scenario):
-    """The line protocol of the operators' calls."""
+    """The protocol of the operators' calls."""
 
     async def test_each_call_gets_one_line_that_begins_with_done_or_error(self) -> None:
-        """An operator sends good calls, an unknown one, and calls on nodes that are not on the list."""
+        """An operator sends valid calls, an unknown one, and calls for nodes that are not listed."""
         await self.play("""
             send a1 READY
             expect a1 done yes
@@ -79,7 +80,7 @@
         """)
 
     async def test_an_overlong_line_is_an_error_and_the_gateway_goes_on(self) -> None:
-        """An operator's line exceeds the limit. It is rejected, and the next call is served."""
+        """An operator's line exceeds the maximum length. It is rejected, and the next call is served."""
         await self.play(f"""
             send a1 DISABLE {"n" * 300}
             expect a1 error line too long
@@ -88,9 +89,9 @@
         """)
 
     async def test_a_silent_caller_does_not_delay_others(self) -> None:
-        """Callers connect and never send their line.
+        """Callers connect and never send a call.
 
-        Another caller must get its response without waiting for them: each connection has a task of its own.
+        Another caller must get its response without waiting for them: each connection has its own task.
         """
         assert self.gateway.admin is not None
         silent = [await asyncio.open_connection(*self.gateway.admin.address) for _ in range(3)]
@@ -102,12 +103,12 @@
 
 
 class Stats(Scenario):
-    """What STATS reports."""
+    """The response to STATS."""
 
     async def test_stats_counts_results_by_class_attempts_and_requests_in_flight(self) -> None:
         """A read is in flight and is then served; a write fails.
 
-        STATS names each result by class, the attempts and the requests in flight.
+        STATS reports the results by class, the attempts and the requests in flight.
         """
         await self.play("""
             send c1 GET 5
@@ -149,7 +150,7 @@
         )
 
     async def test_a_faulty_file_at_sighup_is_counted_as_rejected(self) -> None:
-        """At SIGHUP the configuration file is empty once and correct once. STATS counts one reload each."""
+        """At one SIGHUP the configuration file is empty, at another it is valid. Each reload is counted."""
         self.config.write_text("")
         self.gateway.handle_sighup(lambda: read_config_again(self.env, self.nvme))
         self.config.write_text(json.dumps(self.config_document))
@@ -158,12 +159,12 @@
 
 
 class ManualEjection(Scenario):
-    """Storage nodes that operators eject by DISABLE."""
+    """Manual ejections of storage nodes by DISABLE."""
 
     async def test_a_manually_ejected_node_gets_no_request_until_it_is_enabled(self) -> None:
         """An operator disables the only node of a shard, twice.
 
-        It gets no request, also after the endpoint list names it again, until one ENABLE.
+        It gets no request until one ENABLE, even after another update of the endpoint list contains it.
         """
         await self.play("""
             send a1 DISABLE n1
@@ -173,7 +174,7 @@
             send c1 GET 5 timeout=100
             wait 150
             expect n1 nothing
-            send d n1=active   # the list names it again: the ejection stays
+            send d n1=active   # an update of the list does not lift the ejection
             send c2 GET 6 timeout=100
             wait 150
             expect n1 nothing
@@ -181,7 +182,7 @@
         """)
         self.assertIn("edge.ejected=1", (await self.party("a1")).lines)
         await self.play("""
-            send a1 ENABLE n1   # one ENABLE undoes two DISABLE
+            send a1 ENABLE n1   # one ENABLE reverts two DISABLE
             expect a1 done n1
             send c3 GET 7
             expect n1 GET 7
@@ -190,10 +191,10 @@
         """)
 
     async def test_an_ejection_applies_in_the_next_process(self) -> None:
-        """An operator has disabled a node; then the process is replaced.
+        """An operator disables a node, and then the process is replaced.
 
-        The new process reads the ejections at its start, before the endpoint list that it remembers: the node
-        stays ejected.
+        The new process reads the ejections at its start, before the stored endpoint list: the node stays
+        ejected.
         """
         await self.play("send a1 DISABLE n1\nexpect a1 done n1")
         next_process = Gateway(read_config(self.env, self.nvme))
@@ -202,9 +203,9 @@
         self.assertEqual(next_process.engine.ejected, {"n1"})
 
     async def test_an_ejection_that_the_other_process_lifts_is_lifted_here(self) -> None:
-        """While two processes of one gateway run, the other one gets the operator's ENABLE.
+        """Two processes of one gateway run, and the other one receives the operator's ENABLE.
 
-        This one must send requests to the node again.
+        This process must send requests to the node again.
         """
         await self.play("send a1 DISABLE n1\nexpect a1 done n1")
         other = Gateway(read_config(self.env, self.nvme))
@@ -218,17 +219,17 @@
 
 
 class Draining(Scenario):
-    """DRAIN and UNDRAIN."""
+    """The calls DRAIN and UNDRAIN."""
 
     async def test_clients_are_rejected_while_draining_and_accepted_again_afterwards(self) -> None:
         """An operator drains the gateway while one client is idle and one request is in flight.
 
-        Both connections end with their responses, new clients get 503, and after UNDRAIN clients are served
-        again.
+        Both connections are closed with their responses, and new clients get 503.  After UNDRAIN, clients are
+        served again.
         """
         timer = self.gateway.http_server._listener._sweep_timer
         assert timer is not None
-        timer.cancel()  # the sweep would close c1, idle, before its request, one time in ten
+        timer.cancel()  # one time in ten, the sweep would close the idle c1 before its request
         await self.play("""
             send c1 GET up
             expect c1 200
@@ -240,7 +241,7 @@
             expect c1 503
             expect c1 end      # its response closes the connection
             send n1 200 data
-            expect c2 200 data Connection=close   # the request in flight is answered
+            expect c2 200 data Connection=close   # the request in flight gets its response
             expect c2 end
             send c3 GET up
             expect c3 503
@@ -251,9 +252,9 @@
         """)
 
     async def test_an_idle_connection_is_closed_while_draining(self) -> None:
-        """A client has its response, keeps its connection and sends nothing more when the gateway drains.
+        """A client keeps its connection idle after a response while the gateway drains.
 
-        Its connection must be closed: the client could delay the draining for as long as it likes.
+        The connection must be closed; otherwise the client could delay the draining without limit.
         """
         await self.play("""
             send c1 GET 5
@@ -266,7 +267,7 @@
         """)
 
     async def test_a_second_process_receives_datagrams_on_the_same_address(self) -> None:
-        """Both processes of an upgrade bind the peers' UDP address. Without SO_REUSEPORT the new one ends."""
+        """Two processes of an upgrade bind the UDP address for peers. Without SO_REUSEPORT one fails."""
         first, second = PeerEndpoint((), None, lambda *_: None), PeerEndpoint((), None, lambda *_: None)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             probe.bind(("127.0.0.1", 0))
@@ -278,7 +279,7 @@
 
 
 class Reload(Scenario):
-    """Settings that SIGHUP changes under load."""
+    """Changes of the settings by SIGHUP while requests are in flight."""
 
     def reload_settings(self, **settings: object) -> None:
         self.config.write_text(
@@ -289,7 +290,7 @@
     async def test_a_class_is_added_and_removed_while_requests_in_flight_keep_theirs(self) -> None:
         """Reloads add a request class and remove it again while one of its requests is in flight.
 
-        New requests are accepted by the classes in force; the one in flight keeps its class.
+        New requests are accepted according to the present classes; the request in flight keeps its class.
         """
         read, write = self.settings["classes"]
         await self.play("""
@@ -313,7 +314,7 @@
         self.assertEqual(self.gateway.reload_counts, {"applied": 2, "rejected": 0})
 
     async def test_fewer_attempts_apply_to_new_requests(self) -> None:
-        """A reload allows one attempt. A read whose node closes the connection is not retried any more."""
+        """A reload limits requests to one attempt. A read whose node closes the connection is not retried."""
         self.reload_settings(limits={**self.settings["limits"], "max-attempts": 1})
         await self.play("""
             send c1 GET 5
@@ -325,9 +326,9 @@
         """)
 
     async def test_a_faulty_file_is_rejected_completely(self) -> None:
-        """Reloads read files with one faulty or missing value, an empty one and one that is cut off.
+        """Reloads read files with one invalid or missing value, an empty file and a truncated one.
 
-        Each is rejected completely, and requests are served as before.
+        Each file is rejected as a whole, and requests are served as before.
         """
         read, write = self.settings["classes"]
         faulty: list[object] = [
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""The program itself: started, stopped by SIGTERM, and two gateways that exchange messages."""
+"""Tests of the gateway process: deploy files, start, reload, shutdown by SIGTERM, and peer messages."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 async def start_gateway(config_file: Path, stderr: int) -> asyncio.subprocess.Process:
-    """Start a gateway process with this configuration file."""
+    """Start a gateway process with a configuration file."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -37,8 +37,10 @@
 
 class DeployTest(unittest.TestCase):
     def test_the_build_compiles_the_package(self) -> None:
-        """The build compiles every module: the file system is read-only at a start, and what is not compiled
-        by then is compiled at each start.
+        """The build compiles every module.
+
+        The file system is read-only when a gateway starts: modules that are not compiled by then are compiled
+        at each start.
         """
         deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
         with tempfile.TemporaryDirectory() as folder:
@@ -55,7 +57,7 @@
         self.assertEqual(compiled, sources)
 
     def test_the_lists_name_every_source_of_the_gateway(self) -> None:
-        """deploy/balancer.toml names each module that a gateway loads, by itself or by its package."""
+        """deploy/balancer.toml lists each module that a gateway loads, or its package."""
         deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
         listed = [ROOT / name for name in deploy["policy"] + deploy["node"]]
         for source in (ROOT / "shaletiller").rglob("*.py"):
@@ -66,9 +68,9 @@
 
 class StartTest(unittest.TestCase):
     def test_a_start_builds_no_tls_and_loads_nothing_that_is_off(self) -> None:
-        """Forty gateways that start at the same time on one core share it.
+        """Forty gateways start at the same time on one core.
 
-        What each of them loads without need adds up to seconds before the first of them serves a request.
+        Modules that each of them loads without need add up to seconds before the first one serves a request.
         """
         code = (
             "import ssl, sys\n"
@@ -90,9 +92,9 @@
 
 class ProcessTest(unittest.IsolatedAsyncioTestCase):
     async def test_it_gets_ready_and_ends_on_sigterm(self) -> None:
-        """A gateway process starts, reloads a faulty and a good file, and gets SIGTERM.
+        """A gateway process starts, reloads an invalid and a valid file, and receives SIGTERM.
 
-        It must still accept clients and reload for a while after the signal, and then end with exit code 0.
+        After the signal it must accept clients and reload for some time, and then end with exit code 0.
         """
         port = reserve_port()
         row = {"id": "n1", "addr": "127.0.0.1:1", "cell": 0}
@@ -118,7 +120,7 @@
                 await self.reload(process, path, config_document)
                 sent = time.monotonic()
                 process.send_signal(signal.SIGTERM)
-                await asyncio.sleep(0.2)  # with the reload 0.4 s of 0.75: a slow machine has the rest
+                await asyncio.sleep(0.2)  # with the reload 0.4 of 0.75 s, to tolerate slow machines
                 await self.reload(process, path, config_document)
                 self.assertEqual(await self.up(port, 0.1), "HTTP/1.1 200 OK")  # still accepting
                 self.assertEqual(await asyncio.wait_for(process.wait(), 10.0), 0)
@@ -129,12 +131,12 @@
                     await process.wait()
 
     async def test_sigterm_answers_all_requests_in_flight_and_exits_with_0(self) -> None:
-        """A gateway gets SIGTERM while requests are in flight.
+        """A gateway receives SIGTERM while requests are in flight.
 
-        One request waits in the queue, one is at a node that hangs, one is received in parts across the
-        signal, one has half of its response, and clients go on sending on every connection that stays open.
-        Each must get its response before the process ends with exit code 0, and no request may be forwarded
-        whose response is lost.
+        One request waits in the queue, one is at a node that does not respond, one is received partly before
+        and partly after the signal, one has half of its response, and clients keep sending on open
+        connections.  Each request must get its response before the process ends with exit code 0, and no
+        request may be forwarded whose response is lost.
         """
         port, files = reserve_port(), tempfile.TemporaryDirectory()
         self.addCleanup(files.cleanup)
@@ -195,7 +197,7 @@
                 asyncio.ensure_future(self.send_until_closed(port, number, unread)) for number in range(3)
             ]
             process.send_signal(signal.SIGTERM)
-            writers["half"].write(b"lf")  # within the time that a node has for an answer
+            writers["half"].write(b"lf")  # within the timeout of an attempt
             clients["body"].send(request[-4:])
             name, writer = await asyncio.wait_for(requests_received.get(), 3.0)
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nbody")
@@ -213,24 +215,24 @@
         self.assertEqual(found["body"], (200, b"body"))
         self.assertEqual((found["hangs"][0], found["waits"][0]), (502, 503))
         self.assertEqual(len(unread), 3)
-        self.assertEqual(request_ids.intersection(unread), set())  # none was forwarded and lost
+        self.assertEqual(request_ids.intersection(unread), set())  # none was forwarded and lost its response
 
     async def send_until_closed(self, port: int, number: int, unread: list[str]) -> None:
-        """Send requests until the connection is closed: the last of them is the one that was not read."""
+        """Send requests until the connection is closed; the id of the unanswered one is added to `unread`."""
         client = await RawClient.open(("127.0.0.1", port))
-        for at in range(100_000):
+        for index in range(100_000):
             try:
-                client.send(encode_request(at, Request_Id=f"sends-{number}-{at}"))
+                client.send(encode_request(index, Request_Id=f"sends-{number}-{index}"))
                 await client.answer()
             except (AssertionError, OSError):
-                unread.append(f"sends-{number}-{at}")
+                unread.append(f"sends-{number}-{index}")
                 break
         client.close()
 
     async def reload(
         self, process: asyncio.subprocess.Process, path: Path, config_document: dict[str, object]
     ) -> None:
-        """Send SIGHUP with a faulty file, which changes nothing, and a good one, which moves the watch."""
+        """Send SIGHUP with an invalid file, which changes nothing, and with another address of discovery."""
         called = asyncio.Event()
         agent = await asyncio.start_server(lambda reader, writer: called.set(), "127.0.0.1", 0)
         address = f"127.0.0.1:{agent.sockets[0].getsockname()[1]}"
@@ -259,8 +261,10 @@
 
 class PeersTest(unittest.IsolatedAsyncioTestCase):
     async def test_messages_of_256_bytes_go_out_and_longer_ones_do_not(self) -> None:
-        """A gateway sends datagrams of 256 and 257 bytes, one to an unknown peer and one to all, and receives
-        one too long, one that is no text and a good one. Only what fits the limit passes, in both directions.
+        """Datagrams are sent and received with 256 bytes, which is the limit, and with 257 bytes.
+
+        Others are sent to an unknown peer and to all peers, or received with bytes that are not valid UTF-8.
+        Only valid datagrams within the limit pass, in both directions.
         """
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind(("127.0.0.1", 0))
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -1,4 +1,4 @@
-"""OTLP over loopback: what is exported, and that a silent collector holds nothing up."""
+"""Tests of the OTLP export: its contents, and a collector that does not respond."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class Export(Scenario):
-    """A collector that receives what is exported."""
+    """A collector that receives the exports."""
 
     servers = ("n1", "o1")
 
     async def environment(self) -> dict[str, str]:
-        self.taken: list[tuple[str, bytes]] = []
+        self.exports: list[tuple[str, bytes]] = []
         collector = self.parties["o1"]
 
-        async def take(server: Server, found: Any) -> None:
-            first, _, body, server.current, _ = found
-            self.taken.append((first.split()[1], body))
+        async def receive(server: Server, request: Any) -> None:
+            request_line, _, body, server.current, _ = request
+            self.exports.append((request_line.split()[1], body))
             await server.send("200")
 
-        collector.script = take
+        collector.script = receive
         return {
             "OTEL_EXPORTER_OTLP_ENDPOINT": f"http://127.0.0.1:{collector.port}",
             "OTEL_TRACES_SAMPLER_ARG": "1",
@@ -36,7 +36,7 @@
     async def test_counts_and_spans_reach_the_collector(self) -> None:
         """A read is retried and served, a write fails.
 
-        The collector receives a span for each request and attempt, the counts by result and the durations.
+        The collector receives a span for each request and attempt, the counts by result, and the durations.
         """
         await self.play(
             "send c1 GET 1\nexpect n1 GET 1\nclose n1\nexpect n1 GET 1\nsend n1 200\n"
@@ -46,10 +46,10 @@
         await self.gateway.telemetry.stop()
         spans = [
             span
-            for path, body in self.taken
+            for path, body in self.exports
             if path == "/v1/traces"
-            for each in ExportTraceServiceRequest.FromString(body).resource_spans
-            for scope in each.scope_spans
+            for resource in ExportTraceServiceRequest.FromString(body).resource_spans
+            for scope in resource.scope_spans
             for span in scope.spans
         ]
         attempts = [
@@ -62,17 +62,17 @@
         self.assertEqual({name: span.status.code for name, span in roots.items()}, {"read": 0, "write": 2})
         self.assertTrue(
             all(
-                span.parent_span_id in {each.span_id for each in roots.values()}
+                span.parent_span_id in {root.span_id for root in roots.values()}
                 for span in spans
                 if span.name == "attempt"
             )
         )
         metrics = {
             metric.name: metric
-            for path, body in self.taken
+            for path, body in self.exports
             if path == "/v1/metrics"
-            for each in ExportMetricsServiceRequest.FromString(body).resource_metrics
-            for scope in each.scope_metrics
+            for resource in ExportMetricsServiceRequest.FromString(body).resource_metrics
+            for scope in resource.scope_metrics
             for metric in scope.metrics
         }
         counts = {
@@ -90,9 +90,9 @@
     servers = ("n1", "o1")
 
     async def environment(self) -> dict[str, str]:
-        async def swallow(server: Server, found: Any) -> None: ...
+        async def ignore(server: Server, request: Any) -> None: ...
 
-        self.parties["o1"].script = swallow
+        self.parties["o1"].script = ignore
         return {
             "OTEL_EXPORTER_OTLP_ENDPOINT": f"http://127.0.0.1:{self.parties['o1'].port}",
             "OTEL_TRACES_SAMPLER_ARG": "1",
@@ -102,7 +102,7 @@
     async def test_a_silent_collector_delays_no_request_and_no_stop(self) -> None:
         """The collector accepts connections and never responds.
 
-        Requests are served as fast as ever, and the stop ends in time.
+        Requests are not delayed, and the exporter stops in time.
         """
         slowest = 0.0
         for number in range(30):
--- a/tests/settings/test_config.py
+++ b/tests/settings/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: one place, and messages that name the faulty key."""
+"""Tests of the configuration: reading, validation, and error messages that name the faulty key."""
 
 from __future__ import annotations
 
@@ -53,18 +53,18 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """GOOD with one value changed."""
+    """Return GOOD with one value changed."""
     config = json.loads(json.dumps(GOOD))
-    *way, last = path.split(".")
-    at = config
-    for step in way:
-        at = at[int(step)] if step.isdigit() else at[step]
-    at[last] = value
+    *parents, last = path.split(".")
+    group = config
+    for name in parents:
+        group = group[int(name)] if name.isdigit() else group[name]
+    group[last] = value
     return config
 
 
 def test_a_complete_file_is_read(tmp_path: Path) -> None:
-    """A complete file is read; EDGE_LISTEN wins over it, and a missing NVMe file leaves NVMe off."""
+    """A complete file is read. EDGE_LISTEN overrides it, and without an NVMe file NVMe is disabled."""
     found = read_config(env(tmp_path, GOOD) | {"EDGE_LISTEN": "127.0.0.9:1"}, tmp_path / "none.toml")
     assert (found.name, found.listen, found.discovery) == ("n3", ("127.0.0.9", 1), ("127.0.0.1", 8500))
     assert (found.seed, found.peers, found.known.version) == (0x8C1F30D27A5BE964, (("127.0.0.1", 7946),), 41)
@@ -74,7 +74,7 @@
 
 
 def test_nvme_is_off_in_the_deploy_file(tmp_path: Path) -> None:
-    """The deploy/nvme.toml of the repository offers no target and names no storage node."""
+    """The repository's deploy/nvme.toml offers no target and names no storage node."""
     found = read_config(env(tmp_path, GOOD))
     assert (found.nvme.target.listen, found.nvme.upstreams) == ("", ())
 
@@ -111,7 +111,7 @@
     ],
 )
 def test_a_faulty_key_is_named(tmp_path: Path, path: str, value: Any, key: str) -> None:
-    """One value of a good file is faulty. The error begins with its key."""
+    """One value of a valid file is invalid. The error message begins with its key."""
     with pytest.raises(ConfigError) as caught:
         read_config(env(tmp_path, changed(path, value)), tmp_path / "none.toml")
     assert str(caught.value).removeprefix("EDGE_CONFIG: ").startswith(key), caught.value
@@ -123,7 +123,8 @@
     *(f"{section}.{key}".removeprefix(".") for section, keys in SETTING_KEYS.items() for key in keys),
     *("classes", "classes.0", "contracts", "contracts.0", "domain", "domain.writes", "limits", "discovery"),
 ]
-# `plans` for contracts and `writes` for domain.writes are the texts of the golden bytes, see the roadmap.
+# Some messages name `plans` for the key contracts and `writes` for the key domain.writes; the golden bytes
+# contain these messages.
 SITE_LISTS = ("classes", "contracts", "plans", "writes")
 JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
@@ -135,19 +136,20 @@
 @hypothesis.settings(max_examples=1000, derandomize=True, deadline=None)
 @given(st.sampled_from(SETTING_PATHS), JSON_VALUES)
 def test_any_value_of_any_key_is_read_or_named(path: str, value: Any) -> None:
-    """Any JSON value stands in any key.  Guards against a start or a reload that ends in a traceback."""
-    *way, last = path.split(".")
+    """Any key has any JSON value.  Guards against a traceback at the start or at a reload."""
+    *parents, last = path.split(".")
     document: Any = json.loads(json.dumps(SETTINGS))
     group = document
-    for step in way:
-        group = group[int(step)] if step.isdigit() else group.setdefault(step, {})
+    for name in parents:
+        group = group[int(name)] if name.isdigit() else group.setdefault(name, {})
     group[int(last) if last.isdigit() else last] = value
-    text = ""
+    message = ""
     try:
         read_settings(document)
     except SettingsError as error:
-        text = str(error)
-    assert not text or re.match(r"[\w-]+", text)[0] in {*SETTING_KEYS, *SETTING_KEYS[""], *SITE_LISTS}, text
+        message = str(error)
+    keys = {*SETTING_KEYS, *SETTING_KEYS[""], *SITE_LISTS}
+    assert not message or re.match(r"[\w-]+", message)[0] in keys, message
 
 
 @pytest.mark.parametrize(
@@ -166,7 +168,7 @@
     ],
 )
 def test_a_faulty_nvme_key_is_named(tmp_path: Path, old: str, new: str, key: str) -> None:
-    """One line of the NVMe file is faulty. The error begins with the file's name and names the key."""
+    """One line of the NVMe file is invalid. The error message begins with the file name and names the key."""
     path = tmp_path / "nvme.toml"
     path.write_text(NVME.replace(old, new))
     with pytest.raises(ConfigError) as caught:
@@ -179,12 +181,12 @@
     """Timeouts of minutes and a day are accepted."""
     path = tmp_path / "nvme.toml"
     path.write_text(NVME + "read_timeout_ms = 228552\nwrite_timeout_ms = 86400000\n")
-    space = read_config(env(tmp_path, GOOD), path).nvme.target.namespaces[0]
-    assert (space.read_timeout_ms, space.write_timeout_ms) == (228_552, 86_400_000)
+    namespace = read_config(env(tmp_path, GOOD), path).nvme.target.namespaces[0]
+    assert (namespace.read_timeout_ms, namespace.write_timeout_ms) == (228_552, 86_400_000)
 
 
 def test_what_may_be_absent_may_be_null(tmp_path: Path) -> None:
-    """The platform writes null for what a site does not have."""
+    """The platform writes null for optional values that a site does not have."""
     bare = GOOD | {"peer_listen": None, "peers": None, "peers_all": None, "known": None}
     found = read_config(env(tmp_path, bare), tmp_path / "none.toml")
     assert (found.peer_listen, found.peers, found.peers_all, found.known.servers) == (None, (), None, ())
@@ -192,7 +194,7 @@
 
 @pytest.mark.parametrize("name", ["carrasco-campus", "bronze.1", "silver 2", "Köln_3"])
 def test_names_of_other_sites_are_accepted(tmp_path: Path, name: str) -> None:
-    """Names with dots, blanks and letters beyond ASCII are accepted."""
+    """Names with dots, spaces and non-ASCII letters are accepted."""
     assert read_config(env(tmp_path, GOOD | {"name": name}), tmp_path / "none.toml").name == name
 
 
@@ -210,9 +212,9 @@
 def test_a_malformed_file_is_one_line_and_a_code(tmp_path: Path, raw: str) -> None:
     """A gateway starts with a malformed file.
 
-    It ends with exit code 2 and one line that names the key, without a traceback.
+    It exits with code 2 and one line that names the key, without a traceback.
     """
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "shaletiller"],
         env=env(tmp_path, raw),
         capture_output=True,
@@ -221,12 +223,14 @@
         cwd=Path(__file__).parent.parent.parent,
         check=False,
     )
-    assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1
-    assert re.match(r"shaletiller: (EDGE_CONFIG|EDGE_NAME|settings\.classes\[[01]\]\.[\w-]+): ", done.stderr)
+    assert process.returncode == 2
+    assert len(process.stderr.splitlines()) == 1
+    assert re.match(
+        r"shaletiller: (EDGE_CONFIG|EDGE_NAME|settings\.classes\[[01]\]\.[\w-]+): ", process.stderr
+    )
 
 
 def test_otlp_variables_are_checked(tmp_path: Path) -> None:
-    """A sampling ratio above 1 is rejected with the name of its variable."""
+    """A sampling ratio above 1 is rejected; the message names its variable."""
     with pytest.raises(ConfigError, match="OTEL_TRACES_SAMPLER_ARG"):
         read_config(env(tmp_path, GOOD) | {"OTEL_TRACES_SAMPLER_ARG": "2"}, tmp_path / "none.toml")
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -1,24 +1,24 @@
-"""The scenario language: lines of send, expect, close, wait and reload, played against a complete gateway.
+"""The scenario language: lines of send, expect, close, wait and reload, which run against a complete gateway.
 
-    send c1 PUT 5 hello class=write     client c1 sends a request (a new connection for each new name)
-    expect n1 PUT 5 hello               node n1 has received that request completely
-    send n1 200 done Volume-Load=86     node n1 responds to it
-    expect c1 200 done                  and the client has the response
+    send c1 PUT 5 hello class=write     client c1 sends a request (each new name opens a new connection)
+    expect n1 PUT 5 hello               node n1 has received this request completely
+    send n1 200 done Volume-Load=86     node n1 responds to the request
+    expect c1 200 done                  the client has received the response
     close c1                            the client closes its connection
     close n1                            the node aborts the connection of the request
-    close n1 listener                   the node no longer listens, and aborts all connections
-    expect n1 closed | expect c1 end    the gateway has closed that connection
+    close n1 listener                   the node stops listening and aborts all connections
+    expect n1 closed | expect c1 end    the gateway has closed the connection
     expect n1 nothing                   no further request has been received
     send v1 write 7 data | expect v1 ok | expect v1 write_fault dnr | send v1 hex 00ff | expect v1 term 2
-    expect b1 write 7 data | send b1 ok | close b1      the same for a storage node that speaks NVMe
-    expect b1 disconnected 7            the gateway has closed the connection of that command
+    expect b1 write 7 data | send b1 ok | close b1      the same for a storage node that uses NVMe
+    expect b1 disconnected 7            the gateway has closed the connection of this command
     send d n1=leaving                   discovery sends a change of the endpoint list
-    reload d2                           the configuration names another discovery from now on
-    wait 200                            milliseconds, by the gateway's clock
-    send a1 DISABLE n1 | expect a1 done n1    an operator's call, on a connection of its own, and its response
+    reload d2                           a reload changes the address of discovery to that of d2
+    wait 200                            wait for 200 ms of the gateway's clock
+    send a1 DISABLE n1 | expect a1 done n1    an operator's call, on its own connection, and its response
 
-Names that start with c are HTTP clients, n HTTP storage nodes (shard by number), v NVMe hosts, b NVMe storage
-nodes, d discovery, o other HTTP servers and a operators.
+The first letter of a name is its type: c HTTP client, n HTTP storage node (its number is its shard), v NVMe
+host, b NVMe storage node, d discovery, o other HTTP server, a operator.
 """
 
 from __future__ import annotations
@@ -47,8 +47,9 @@
 from shaletiller.net.nvme.target import NvmeTarget
 
 TIMEOUT_S = 3.0
-START_MS = 1.8e12  # the time at which a settable clock begins
-LOOP_TURNS = 10  # of the event loop, in which the coroutines that waited for a settable clock run
+START_MS = 1.8e12  # the initial time of a settable clock
+# Iterations of the event loop after a settable clock is advanced, in which the waiting coroutines run.
+LOOP_TURNS = 10
 VOLUME = "00000003b4d60021"
 SUBSYSTEM = "nqn.2026-12.example.shaletiller:gateway"
 SETTINGS: dict[str, Any] = {
@@ -83,7 +84,7 @@
 
 
 def on_settable_clock(test: Callable[..., Any]) -> Callable[..., Any]:
-    """Mark a test whose gateway's time passes by `wait` alone, however long the machine takes."""
+    """Run the gateway of a test on a settable clock, whose time changes only by `wait`."""
     test.on_settable_clock = True  # type: ignore[attr-defined]
     return test
 
@@ -94,15 +95,15 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """First line, headers and body of an HTTP message."""
+    """Read an HTTP message and return its first line, headers and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-    parts = [line.partition(":") for line in head[1:] if line]
-    headers = {name.lower(): value.strip() for name, _, value in parts}
+    fields = [line.partition(":") for line in head[1:] if line]
+    headers = {name.lower(): value.strip() for name, _, value in fields}
     return head[0], headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
 class Party:
-    """The peer at the other end of a connection, with a queue of what it has received."""
+    """A peer of the gateway, with a queue of the messages that it has received."""
 
     def __init__(self, scenario: Scenario, name: str) -> None:
         self.scenario, self.name = scenario, name
@@ -144,8 +145,8 @@
         if status == "end":
             self.scenario.assertEqual(await asyncio.wait_for(self.reader.read(), TIMEOUT_S), b"")
             return
-        first, found, content = await asyncio.wait_for(read_message(self.reader), TIMEOUT_S)
-        self.scenario.assertEqual(first.split()[1], status)
+        status_line, found, content = await asyncio.wait_for(read_message(self.reader), TIMEOUT_S)
+        self.scenario.assertEqual(status_line.split()[1], status)
         if body:
             self.scenario.assertEqual(content.decode(), "".join(body))
         self.scenario.assertEqual({name: found.get(name.lower()) for name in headers}, headers)
@@ -158,13 +159,13 @@
 
 
 class Server(Party):
-    """A scripted HTTP server on a port of its own; `expect` takes its requests one by one."""
+    """A scripted HTTP server on its own port; each `expect` takes its next request."""
 
     def __init__(self, scenario: Scenario, name: str) -> None:
         super().__init__(scenario, name)
         self.writers: set[asyncio.StreamWriter] = set()
         self.current: asyncio.StreamWriter | None = None
-        self.script: Any = None  # responds without the scenario, for mixed traffic
+        self.script: Any = None  # called with each request instead of queueing it for `expect`
         self.request_ids: list[str] = []
 
     async def start(self) -> None:
@@ -175,12 +176,12 @@
         self.writers.add(writer)
         try:
             while True:
-                found = (*await read_message(reader), writer, reader)
-                self.request_ids.append(found[1].get("request-id", ""))
+                request = (*await read_message(reader), writer, reader)
+                self.request_ids.append(request[1].get("request-id", ""))
                 if self.script is not None:
-                    await self.script(self, found)
+                    await self.script(self, request)
                 else:
-                    await self.received.put(found)
+                    await self.received.put(request)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
@@ -213,8 +214,8 @@
                 while self.current.transport.is_closing() is False:
                     await asyncio.sleep(0.005)
         else:
-            first, found, body, self.current, _ = await self.next()
-            self.scenario.assertEqual(first, f"{method} /api?key={key(rest[0])} HTTP/1.1")
+            request_line, found, body, self.current, _ = await self.next()
+            self.scenario.assertEqual(request_line, f"{method} /api?key={key(rest[0])} HTTP/1.1")
             self.scenario.assertEqual({name: found.get(name.lower()) for name in headers}, headers)
             if rest[1:]:
                 self.scenario.assertEqual(body.decode(), rest[1])
@@ -223,7 +224,7 @@
 class Discovery(Server):
     async def send(self, *rows: str, **states: str) -> None:
         self.current = (await self.next())[3]
-        if rows:  # sent unchanged: a malformed body
+        if rows:  # a malformed body, sent unchanged
             await super().send("200", *rows)
             return
         self.scenario.version += 1
@@ -233,7 +234,7 @@
 
 
 class Host(Party):
-    """An NVMe host, connected to the gateway's target."""
+    """An NVMe host connected to the gateway's target."""
 
     def target_address(self) -> tuple[str, int]:
         return self.scenario.gateway.nvme.address if self.scenario.gateway.nvme else ("", 0)
@@ -272,30 +273,31 @@
                 self.raw = PduStream(reader, writer, pdu.FROM_CONTROLLER)
             self.raw.send(bytes.fromhex(rest[0]))
             return
-        found = await self.associate()
+        association = await self.associate()
+        admin, io = association.admin, association.io
         if what == "abort":
-            which = struct.pack("<HH", 1, found.io._command_id)
-            await found.admin.run(
-                commands.encode_command(commands.AdminOpcode.ABORT, found.admin.next_command_id(), tail=which)
+            tail = struct.pack("<HH", 1, io._command_id)
+            await admin.run(
+                commands.encode_command(commands.AdminOpcode.ABORT, admin.next_command_id(), tail=tail)
             )
             return
-        nsid, cid = 1, found.io.next_command_id()
+        nsid, cid = 1, io.next_command_id()
         size, blocks = 4096, int(rest[2]) if rest[2:] else 1
         if what == "flush":
-            work = found.io.run(commands.encode_command(commands.IoOpcode.FLUSH, cid, nsid))
+            result = io.run(commands.encode_command(commands.IoOpcode.FLUSH, cid, nsid))
         elif what == "read":
             entry = commands.encode_io_command(
                 commands.IoOpcode.READ, cid, nsid, int(rest[0]), blocks, size * blocks, False
             )
-            work = found.io.run(entry, read_bytes=size * blocks)
+            result = io.run(entry, read_bytes=size * blocks)
         else:
             data = rest[1].encode().ljust(size * blocks, b"\0")
-            capsule = len(data) <= pdu.MAX_IN_CAPSULE_DATA and what == "write"
+            in_capsule = len(data) <= pdu.MAX_IN_CAPSULE_DATA and what == "write"
             entry = commands.encode_io_command(
-                commands.IoOpcode.WRITE, cid, nsid, int(rest[0]), blocks, len(data), capsule
+                commands.IoOpcode.WRITE, cid, nsid, int(rest[0]), blocks, len(data), in_capsule
             )
-            work = found.io.run(entry, data) if capsule else self.write_by_r2t(found.io, entry, cid, data)
-        self.result = asyncio.ensure_future(work)
+            result = io.run(entry, data) if in_capsule else self.write_by_r2t(io, entry, cid, data)
+        self.result = asyncio.ensure_future(result)
 
     @staticmethod
     async def write_by_r2t(queue: HostQueue, entry: bytes, cid: int, data: bytes) -> Any:
@@ -305,26 +307,27 @@
     async def expect(self, status: str, *rest: str) -> None:
         if status in ("term", "ic_resp", "resp", "end"):
             assert self.raw is not None
-            found = await self.raw.receive(TIMEOUT_S)
-            kinds = {
+            received = await self.raw.receive(TIMEOUT_S)
+            types = {
                 "term": pdu.PduType.C2H_TERM_REQ,
                 "ic_resp": pdu.PduType.IC_RESP,
                 "resp": pdu.PduType.RESPONSE_CAPSULE,
             }
-            self.scenario.assertEqual(found and found.type, kinds.get(status))
-            if found and status == "resp":
+            self.scenario.assertEqual(received and received.type, types.get(status))
+            if received and status == "resp":
                 self.scenario.assertEqual(
-                    Status(capsules.read_completion(found).status).name.lower(), rest[0]
+                    Status(capsules.read_completion(received).status).name.lower(), rest[0]
                 )
-            elif found and rest:
-                self.scenario.assertEqual(found.field("H", 8), int(rest[0]))
+            elif received and rest:
+                self.scenario.assertEqual(received.field("H", 8), int(rest[0]))
             return
         assert self.result is not None
-        done, data = await asyncio.wait_for(self.result, TIMEOUT_S)
-        self.scenario.assertEqual(Status(done.status).name.lower(), "success" if status == "ok" else status)
-        self.scenario.assertEqual(done.do_not_retry, "dnr" in rest)
-        retry = [int(argument.removeprefix("crd")) for argument in rest if argument.startswith("crd")]
-        self.scenario.assertEqual(done.retry_delay, retry[0] if retry else 0)
+        completion, data = await asyncio.wait_for(self.result, TIMEOUT_S)
+        expected = "success" if status == "ok" else status
+        self.scenario.assertEqual(Status(completion.status).name.lower(), expected)
+        self.scenario.assertEqual(completion.do_not_retry, "dnr" in rest)
+        delays = [int(argument.removeprefix("crd")) for argument in rest if argument.startswith("crd")]
+        self.scenario.assertEqual(completion.retry_delay, delays[0] if delays else 0)
         if rest and status == "ok":
             self.scenario.assertEqual(data.rstrip(b"\0").decode(), rest[0])
 
@@ -341,12 +344,12 @@
 
 
 class NvmeNode(Party):
-    """A storage node that speaks NVMe: a target whose commands the scenario completes."""
+    """A storage node that uses NVMe: a target whose commands are completed by the scenario."""
 
     def __init__(self, scenario: Scenario, name: str) -> None:
         super().__init__(scenario, name)
-        space = NvmeNamespace(1, 1000, "r", "w", "p", VOLUME, 0, block_bytes=scenario.nvme_block_bytes)
-        self.target = NvmeTarget(NvmeTargetConfig(subsystem="box", namespaces=(space,)), self)
+        namespace = NvmeNamespace(1, 1000, "r", "w", "p", VOLUME, 0, block_bytes=scenario.nvme_block_bytes)
+        self.target = NvmeTarget(NvmeTargetConfig(subsystem="box", namespaces=(namespace,)), self)
         self.script: Any = None
         self.disconnected: list[str] = []
         self.writes: list[tuple[str, bytes]] = []
@@ -355,14 +358,14 @@
         await self.target.start("127.0.0.1", self.port)
         self.port = self.target.address[1]
 
-    def submit(self, call: ClientCall, answer: Any) -> Exchange:
+    def submit(self, call: ClientCall, respond: Any) -> Exchange:
         if call.write:
             self.writes.append((call.key, call.body))
         if self.script is not None:
-            self.script(self, call, answer)
+            self.script(self, call, respond)
         else:
-            self.received.put_nowait((call, answer))
-        return Exchange(call, answer, 0, 0)
+            self.received.put_nowait((call, respond))
+        return Exchange(call, respond, 0, 0)
 
     def client_disconnected(self, exchange: Exchange) -> None:
         self.disconnected.append(exchange.call.key)
@@ -376,23 +379,25 @@
                 while key(rest[0]) not in self.disconnected:
                     await asyncio.sleep(0.005)
             return
-        call, self.answer = await self.next()
+        call, self.respond = await self.next()
         body = [call.body.rstrip(b"\0").decode()] if rest[1:] else []
-        found = ("write" if call.write else "read", call.key, *body)
-        self.scenario.assertEqual(found, (what, key(rest[0]), *rest[1:]))
+        command = ("write" if call.write else "read", call.key, *body)
+        self.scenario.assertEqual(command, (what, key(rest[0]), *rest[1:]))
 
     async def send(self, *rest: str) -> None:
         if rest[0] == "not_ready":
-            queues = [each for found in self.target.controllers.values() for each in found.queues.values()]
-            for queue, pending in [(each, command) for each in queues for command in each.pending.values()]:
-                queue.complete(pending, Status.NOT_READY)
+            controllers = self.target.controllers.values()
+            queues = [queue for controller in controllers for queue in controller.queues.values()]
+            commands_pending = [(queue, command) for queue in queues for command in queue.pending.values()]
+            for queue, command in commands_pending:
+                queue.complete(command, Status.NOT_READY)
             return
         result = FinalResult.SERVED if rest[0] == "ok" else FinalResult.FAILED
-        self.answer(FinalResponse(result, "".join(rest[1:]).encode()))
+        self.respond(FinalResponse(result, "".join(rest[1:]).encode()))
 
     async def close(self, *_: str) -> None:
-        for found in list(self.target.controllers.values()):
-            found.abort()
+        for controller in list(self.target.controllers.values()):
+            controller.abort()
 
     async def stop(self) -> None:
         await self.close()
@@ -400,7 +405,7 @@
 
 
 class Operator(Party):
-    """An operator: each call to the admin server has a connection of its own."""
+    """An operator, whose calls to the admin server have a connection each."""
 
     async def send(self, *arguments: str) -> None:
         assert self.scenario.gateway.admin is not None
@@ -425,7 +430,7 @@
 
 
 class Scenario(unittest.IsolatedAsyncioTestCase):
-    """A gateway and its peers; those in `servers` start with it, the others when first named."""
+    """A gateway and its peers; those in `servers` start with it, the others when they are first named."""
 
     servers = ("n1", "n2")
     has_known_list: bool = True
@@ -474,7 +479,7 @@
         await self.gateway.start()
 
     def record_events(self) -> list[Any]:
-        """Return a list to which each further event of the scheduler is appended."""
+        """Return a list to which all further events for the scheduler are appended."""
         events: list[Any] = []
         handle = self.gateway.engine._scheduler.handle
 
@@ -490,18 +495,18 @@
         self.gateway.reload(read_config_again(self.env, self.nvme))
 
     async def environment(self) -> dict[str, str]:
-        """Further variables of the gateway's environment."""
+        """Return additional environment variables of the gateway."""
         return {}
 
     async def asyncTearDown(self) -> None:
-        time_passes = asyncio.ensure_future(self.let_time_pass())
+        clock_task = asyncio.ensure_future(self.let_time_pass())
         try:
             await self.stop_all()
         finally:
-            time_passes.cancel()
+            clock_task.cancel()
 
     async def let_time_pass(self) -> None:
-        """Advance a settable clock: a gateway that ends waits by it for what a failed test left pending."""
+        """Advance a settable clock continuously, so that a gateway can stop after a failed test."""
         while isinstance(self.clock, SettableClock):
             self.clock.advance(1.0)
             await asyncio.sleep(0.001)
@@ -541,12 +546,12 @@
         return self.parties[name]
 
     def allow_any_connect_time(self) -> None:
-        """Take no node for unreachable while this machine is busy: connecting is timed by the event loop."""
+        """Raise the connect timeout, which does not run on the settable clock, for busy machines."""
         settings = dataclasses.replace(self.gateway.config.settings, connect_timeout_ms=60_000.0)
         self.gateway._http.apply_settings(settings)
 
     async def wait(self, wait_ms: float) -> None:
-        """Let the gateway's time pass."""
+        """Wait for a duration of the gateway's clock."""
         if not isinstance(self.clock, SettableClock):
             await asyncio.sleep(wait_ms / 1000)
             return
@@ -555,7 +560,7 @@
             await asyncio.sleep(0)
 
     async def play(self, text: str) -> None:
-        """Play the lines in turn; a failure names its line."""
+        """Run the lines of a scenario in order; a failure names its line."""
         for line in filter(None, (line.split("  #")[0].strip() for line in text.splitlines())):
             verb, *arguments = shlex.split(line)
             try:
@@ -569,7 +574,7 @@
                 named = dict(
                     argument.split("=", 1) for argument in arguments[1:] if re.match(r"[\w-]+=", argument)
                 )
-                plain = [argument for argument in arguments[1:] if not re.match(r"[\w-]+=", argument)]
-                await getattr(party, verb)(*plain, **named)
+                positional = [argument for argument in arguments[1:] if not re.match(r"[\w-]+=", argument)]
+                await getattr(party, verb)(*positional, **named)
             except Exception as error:
                 raise AssertionError(f"{line!r}: {type(error).__name__} {error}") from error
