--- a/shaletiller/config/address.py
+++ b/shaletiller/config/address.py
@@ -4,7 +4,7 @@
 
 from shaletiller.config.errors import ConfigError
 
-PORT_END = 1 << 16  # ports are 16-bit numbers
+PORT_COUNT = 1 << 16  # ports are 16-bit numbers
 
 
 def read_address(text: str, key: str) -> tuple[str, int]:
@@ -15,6 +15,6 @@
     :raises ConfigError: if the text is not `host:port`.
     """
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < PORT_END:
+    if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < PORT_COUNT:
         raise ConfigError(f"{key}: expected host:port, got {text!r}")
     return host.strip("[]"), int(port)
--- a/shaletiller/config/errors.py
+++ b/shaletiller/config/errors.py
@@ -13,7 +13,7 @@
     """The operator file is invalid; the message names the line and the faulty key."""
 
 
-def describe(error: msgspec.MsgspecError) -> str:
+def describe_error(error: msgspec.MsgspecError) -> str:
     """Return the message of a msgspec error with the key first: `limits.sockets: Expected ...`."""
     message, _, path = str(error).partition(" - at `$")
     return f"{path.rstrip('`').lstrip('.')}: {message}" if path else message
--- a/shaletiller/config/nvme.py
+++ b/shaletiller/config/nvme.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from shaletiller.config.address import read_address
-from shaletiller.config.errors import ConfigError, describe
+from shaletiller.config.errors import ConfigError, describe_error
 from shaletiller.settings.model import Settings
 
 # The same maximum as over HTTP: nine digits of milliseconds.  The deadline of a class does not limit it.
@@ -19,11 +19,11 @@
 MAX_TRANSFER_BYTES = 65536  # maximum data of one NVMe command, which limits the memory of the command
 # Maximum fraction of the memory limit for completions that their hosts have not read.  A larger value allows
 # more or deeper queues; a smaller value leaves more memory to the interpreter and to HTTP requests.
-MAX_MEMORY_PART = 0.5
+MAX_MEMORY_FRACTION = 0.5
 BYTES_PER_MB = 1 << 20
 
 PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
-NaturalInt = Annotated[int, msgspec.Meta(ge=0)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 BlockBytes = Annotated[int, msgspec.Meta(ge=4096, le=MAX_TRANSFER_BYTES)]
 TimeoutMs = Annotated[float, msgspec.Meta(gt=0, le=MAX_TIMEOUT_MS)]
 
@@ -42,8 +42,8 @@
     write_class: str
     plan: str
     volume: Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{16}$")]
-    shard: NaturalInt
-    first_key: NaturalInt = 0
+    shard: NonNegativeInt
+    first_key: NonNegativeInt = 0
     units: Annotated[float, msgspec.Meta(gt=0)] = 1.0
     volume_gateways: PositiveInt = msgspec.field(default=1, name="hosts")
     block_bytes: BlockBytes = 4096
@@ -57,7 +57,7 @@
     node: str
     subsystem: str
     nsid: PositiveInt = 1
-    first_key: NaturalInt = 0
+    first_key: NonNegativeInt = 0
     block_bytes: BlockBytes = 4096
 
 
@@ -90,7 +90,7 @@
     try:
         nvme = msgspec.toml.decode(path.read_bytes(), type=NvmeConfig)
     except msgspec.MsgspecError as error:
-        raise ConfigError(f"{path.name}: {describe(error)}") from error
+        raise ConfigError(f"{path.name}: {describe_error(error)}") from error
     if nvme.target.listen:
         read_address(nvme.target.listen, f"{path.name}: front.listen")
     _check_block_bytes(nvme, path.name)
@@ -125,7 +125,7 @@
     if not target.listen:
         return
     used_mb = target.max_connections * target.queue_depth * MAX_TRANSFER_BYTES / BYTES_PER_MB
-    allowed_mb = memory_mb * MAX_MEMORY_PART
+    allowed_mb = memory_mb * MAX_MEMORY_FRACTION
     if used_mb > allowed_mb:
         raise ConfigError(
             f"nvme.toml: front.connections: connections of this queue_depth may use {used_mb:.0f} MB, "
--- a/shaletiller/config/operator_reader.py
+++ b/shaletiller/config/operator_reader.py
@@ -119,12 +119,12 @@
             elif node.name in values:
                 raise self._node_error(node, key, "occurs twice")
             else:
-                values[node.name] = self._single(node, field_type, key)
+                values[node.name] = self._convert_single(node, field_type, key)
         return values
 
     def _append_item(self, items: list[Any], node: Any, model: type[Group], key: str) -> None:
         """Convert a node of a list and append it; its first argument is the item's name."""
-        line = self._line(node)
+        line = self._line_of(node)
         item_key = f"{key}[{len(items)}]"
         self.key_lines.setdefault(key, line)
         self.key_lines[item_key] = line
@@ -132,28 +132,28 @@
             raise self._node_error(node, key, "expected one name followed by properties")
         children = self.group(node.nodes, model, item_key)
         fields = _field_types(model)
-        properties = {name: _exact(value, fields.get(name)) for name, value in node.props.items()}
+        properties = {name: _convert_integer(value, fields.get(name)) for name, value in node.props.items()}
         items.append({"name": node.args[0], **properties, **children})
 
-    def _single(self, node: Any, field_type: Any, key: str) -> Any:
+    def _convert_single(self, node: Any, field_type: Any, key: str) -> Any:
         """Convert a group or value that may occur only once."""
-        self.key_lines[key] = self._line(node)
+        self.key_lines[key] = self._line_of(node)
         if isinstance(field_type, type) and issubclass(field_type, Group):
             if node.args or node.props:
                 raise self._node_error(node, key, "is a group, expected its values in braces")
             return self.group(node.nodes, field_type, key)
         if len(node.args) != 1 or node.props or node.nodes:
             raise self._node_error(node, key, "expected one value")
-        return _exact(node.args[0], field_type)
+        return _convert_integer(node.args[0], field_type)
 
-    def _line(self, node: Any) -> int:
+    def _line_of(self, node: Any) -> int:
         return self.node_lines.get(id(node), 0)
 
     def _node_error(self, node: Any, key: str, message: str) -> OperatorFileError:
-        return OperatorFileError(f"{self.file_name}: line {self._line(node)}: {key}: {message}")
+        return OperatorFileError(f"{self.file_name}: line {self._line_of(node)}: {key}: {message}")
 
 
-def _exact(value: Any, field_type: Any) -> Any:
+def _convert_integer(value: Any, field_type: Any) -> Any:
     """Convert the value of an integer field to int: the library reads every decimal number as a float."""
     is_whole = field_type is int and isinstance(value, float) and value.is_integer()
     return int(value) if is_whole else value
--- a/shaletiller/config/reader.py
+++ b/shaletiller/config/reader.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from shaletiller.config.address import read_address
-from shaletiller.config.errors import ConfigError, OperatorFileError, describe
+from shaletiller.config.errors import ConfigError, OperatorFileError, describe_error
 from shaletiller.config.model import Config, Limits, ServerList, TelemetryConfig
 from shaletiller.config.nvme import check_nvme, read_nvme
 from shaletiller.settings.decoder import read_settings
@@ -28,7 +28,7 @@
 # Maximum bytes of a gateway's name.  File systems allow file names of 255 bytes, and a file named after the
 # gateway has a prefix and a suffix.
 MAX_NAME_BYTES = 200
-MAX_ECHOED_NAME = 64  # maximum characters of an invalid name in the error message
+MAX_ECHOED_NAME_CHARS = 64  # maximum characters of an invalid name in the error message
 # The environment variable and the default of each field of `TelemetryConfig`.
 TELEMETRY_VARIABLES = {
     "endpoint": ("OTEL_EXPORTER_OTLP_ENDPOINT", ""),
@@ -108,7 +108,7 @@
     try:
         return msgspec.json.decode(raw, type=ConfigFile)
     except msgspec.MsgspecError as error:
-        raise ConfigError(f"EDGE_CONFIG: {describe(error)}") from error
+        raise ConfigError(f"EDGE_CONFIG: {describe_error(error)}") from error
 
 
 def _read_settings(file: ConfigFile) -> Settings:
@@ -127,7 +127,7 @@
     if "/" in name or not name.isprintable() or len(name.encode()) > MAX_NAME_BYTES:
         raise ConfigError(
             f"EDGE_NAME: expected at most {MAX_NAME_BYTES} printable bytes, no '/', "
-            f"got {name[:MAX_ECHOED_NAME]!r}"
+            f"got {name[:MAX_ECHOED_NAME_CHARS]!r}"
         )
     return name
 
@@ -144,7 +144,7 @@
     try:
         return msgspec.convert(raw, TelemetryConfig, strict=False)
     except msgspec.ValidationError as error:
-        field, _, message = describe(error).partition(":")
+        field, _, message = describe_error(error).partition(":")
         key = TELEMETRY_VARIABLES[field][0] if field in TELEMETRY_VARIABLES else field
         raise ConfigError(f"{key}:{message}") from error
 
--- a/shaletiller/core/accept.py
+++ b/shaletiller/core/accept.py
@@ -16,7 +16,7 @@
 DEADLINE_MULTIPLE = 2
 
 
-class AcceptRequest:
+class RequestAcceptor:
     """Validates client requests and creates their exchanges.
 
     :param exchanges: the requests in flight by id, shared with the engine.
--- a/shaletiller/core/admit.py
+++ b/shaletiller/core/admit.py
@@ -8,7 +8,7 @@
 from shaletiller.messages.events import Event, Request
 
 
-class AdmitRequest:
+class RequestAdmitter:
     """Notifies the scheduler of accepted requests.
 
     :param notify: called with the event of each request.
--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from shaletiller.clock import Clock
-from shaletiller.core.accept import AcceptRequest
-from shaletiller.core.admit import AdmitRequest
+from shaletiller.core.accept import RequestAcceptor
+from shaletiller.core.admit import RequestAdmitter
 from shaletiller.core.forward import AttemptSender
 from shaletiller.core.interfaces import EngineServices, NoServices
 from shaletiller.core.metrics import SCHEDULER_FAILURES, Counters, GuardReason
@@ -90,16 +90,16 @@
         self._clock = clock
         self._scheduler = Scheduler(settings, seed)
         self._events: deque[Event] = deque()
-        self._handling = False
-        self._background: set[asyncio.Task[None]] = set()
+        self._processing_events = False
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self._counted_classes = {spec.name for spec in settings.classes}
-        self.respond = Responder(self.exchanges, self.counters, self._services.request_ended)
-        self.admit = AdmitRequest(self.notify)
+        self.respond = Responder(self.exchanges, self.counters, self._services.on_request_ended)
+        self.admit = RequestAdmitter(self.notify)
         self.routes = RouteTable(settings.max_attempts, settings.hedging_allowed)
         self._record = OutcomeRecorder(clock, self.respond, self.notify, self.counters)
         self.attempts = AttemptSender(clock, self._record)
-        self._accept = AcceptRequest(settings, clock, self.exchanges, self.attempts.in_flight)
-        self._performers: dict[type[Action], Callable[[Any], None]] = {
+        self._accept = RequestAcceptor(settings, clock, self.exchanges, self.attempts.in_flight)
+        self._action_handlers: dict[type[Action], Callable[[Any], None]] = {
             SendAttempt: self._send_attempt,
             Reject: self._reject,
             Fail: self._fail,
@@ -121,7 +121,7 @@
         """
         exchange = self._accept(call, respond)
         wait_ms = call.timeout_ms + DEADLINE_GUARD_MS
-        exchange.deadline_timer = self._clock.call_later(wait_ms, self._guard_deadline, exchange)
+        exchange.deadline_timer = self._clock.call_later(wait_ms, self._on_deadline_passed, exchange)
         if not self._services.replicate_intent(exchange):
             self.admit(exchange)
         return exchange
@@ -147,13 +147,13 @@
         """
         if kind is not UpdateKind.FAILED:
             full = kind is not UpdateKind.CHANGES
-            self._list_endpoints(endpoints, full)
-            endpoints = tuple(map(self._masked, endpoints))
-            self.routes.learn(endpoints, full=full)
+            self._update_listed_endpoints(endpoints, full)
+            endpoints = tuple(map(self._with_ejection, endpoints))
+            self.routes.apply_update(endpoints, full=full)
         entries = tuple(endpoint.entry for endpoint in endpoints)
         self.notify(EndpointListUpdate(kind, entries, version, staleness_ms))
 
-    def _list_endpoints(self, endpoints: tuple[Endpoint, ...], full: bool) -> None:
+    def _update_listed_endpoints(self, endpoints: tuple[Endpoint, ...], full: bool) -> None:
         if full:
             self.endpoints = {}
         for endpoint in endpoints:
@@ -162,14 +162,14 @@
             else:
                 self.endpoints[endpoint.entry.node] = endpoint
 
-    def _masked(self, endpoint: Endpoint) -> Endpoint:
+    def _with_ejection(self, endpoint: Endpoint) -> Endpoint:
         """Return an endpoint as routes and scheduler see it: in state GONE if it is manually ejected."""
         if endpoint.entry.node not in self.ejected or endpoint.entry.state is EndpointState.GONE:
             return endpoint
         entry = replace(endpoint.entry, state=EndpointState.GONE)
         return Endpoint(entry, endpoint.address, endpoint.client)
 
-    def eject(self, ejected: frozenset[str], changed: set[str]) -> None:
+    def apply_ejections(self, ejected: frozenset[str], changed: set[str]) -> None:
         """Apply manual ejections by updating the endpoints of the nodes whose ejection has begun or ended.
 
         :param ejected: all nodes that are manually ejected now.
@@ -203,7 +203,7 @@
         """Apply reloaded settings to new requests; requests in flight keep the settings of their class."""
         self.settings = settings
         self._scheduler.apply_settings(settings)
-        self._accept = AcceptRequest(settings, self._clock, self.exchanges, self.attempts.in_flight)
+        self._accept = RequestAcceptor(settings, self._clock, self.exchanges, self.attempts.in_flight)
         self.routes.apply_settings(settings.max_attempts, settings.hedging_allowed)
 
     def notify(self, event: Event) -> None:
@@ -212,18 +212,18 @@
         Events that its actions cause are queued, so that the scheduler handles one event at a time.
         """
         self._events.append(event)
-        if self._handling:
+        if self._processing_events:
             return
-        self._handling = True
+        self._processing_events = True
         try:
             while self._events:
-                self._handle(self._events.popleft())
+                self._process_event(self._events.popleft())
         finally:
-            self._handling = False
+            self._processing_events = False
 
-    def _handle(self, event: Event) -> None:
+    def _process_event(self, event: Event) -> None:
         for next_event in (*self._events_before(event), event):
-            self._schedule(next_event)
+            self._pass_to_scheduler(next_event)
 
     def _events_before(self, event: Event) -> Sequence[Event]:
         try:
@@ -234,7 +234,7 @@
             )
             return ()
 
-    def _schedule(self, event: Event) -> None:
+    def _pass_to_scheduler(self, event: Event) -> None:
         """Let the scheduler handle an event and carry out its actions.
 
         If the scheduler fails, the actions that it had decided before the failure are still carried out: a
@@ -242,38 +242,38 @@
         """
         actions_before = self._scheduler.state.actions
         try:
-            self._perform(self._scheduler.handle(self._clock.now_ms(), event))
+            self._run_actions(self._scheduler.handle(self._clock.now_ms(), event))
         except Exception:
             logger.exception("scheduler failed while handling event %r", event)
             self.counters.increment(SCHEDULER_FAILURES)
             decided = self._scheduler.state.actions
-            self._perform([] if decided is actions_before else decided)
+            self._run_actions([] if decided is actions_before else decided)
             if isinstance(event, Request):
-                self._reject_unsent(event.request)
+                self._end_unscheduled_request(event.request)
 
-    def _perform(self, actions: Sequence[Action]) -> None:
+    def _run_actions(self, actions: Sequence[Action]) -> None:
         for action in actions:
             try:
-                self._performers[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception:
                 logger.exception("action %s failed", type(action).__name__)
 
-    def _reject_unsent(self, request: str) -> None:
+    def _end_unscheduled_request(self, request_id: str) -> None:
         """Respond to a request whose arrival the scheduler failed to handle, unless it has an attempt."""
-        exchange = self.exchanges.get(request)
+        exchange = self.exchanges.get(request_id)
         if exchange is not None and not exchange.attempts:
-            self._end_unanswered(exchange, GuardReason.SCHEDULER_FAILED, "the scheduler failed")
+            self._end_without_decision(exchange, GuardReason.SCHEDULER_FAILED, "the scheduler failed")
 
     def respond_to_all(self) -> None:
         """Respond to all requests in flight, before the process ends."""
         for exchange in list(self.exchanges.values()):
-            self._end_unanswered(exchange, GuardReason.SHUTDOWN, "the process ends")
+            self._end_without_decision(exchange, GuardReason.SHUTDOWN, "the process ends")
 
-    def _guard_deadline(self, exchange: Exchange) -> None:
+    def _on_deadline_passed(self, exchange: Exchange) -> None:
         """Respond to a request whose deadline has passed without a response."""
-        self._end_unanswered(exchange, GuardReason.DEADLINE_GUARD, "its deadline has passed")
+        self._end_without_decision(exchange, GuardReason.DEADLINE_GUARD, "its deadline has passed")
 
-    def _end_unanswered(self, exchange: Exchange, reason: GuardReason, explanation: str) -> None:
+    def _end_without_decision(self, exchange: Exchange, reason: GuardReason, explanation: str) -> None:
         if exchange.ended:
             return
         self.respond.give_up(exchange)
@@ -292,10 +292,10 @@
 
     def _send_attempt(self, action: SendAttempt) -> None:
         exchange, now_ms = self.exchanges.get(action.request), self._clock.now_ms()
-        endpoint = self.routes.route(exchange, action.node, now_ms)
+        endpoint = self.routes.endpoint_for_attempt(exchange, action.node, now_ms)
         if exchange is None:
             logger.warning("request %s: no attempt, the request has ended", action.request)
-            self._end_unsent(action)
+            self._report_unsent_attempt(action)
             return
         attempt = Attempt(len(exchange.attempts), action.node, now_ms)
         exchange.attempts.append(attempt)
@@ -304,7 +304,7 @@
         else:
             self.attempts(exchange, attempt, endpoint, action.timeout_ms, action.start_within_ms)
 
-    def _end_unsent(self, action: SendAttempt) -> None:
+    def _report_unsent_attempt(self, action: SendAttempt) -> None:
         """Notify the scheduler of the outcome of an attempt whose exchange has ended, to free its slot."""
         numbers = [number for request, number in self._scheduler.state.attempts if request == action.request]
         if numbers:
@@ -313,17 +313,17 @@
 
     def _reject(self, action: Reject) -> None:
         response = FinalResponse(FinalResult.REJECTED, retry_after_ms=action.retry_after_ms)
-        self._end(action.request, response, action.reason)
+        self._end_by_decision(action.request, response, action.reason)
 
     def _fail(self, action: Fail) -> None:
-        self._end(action.request, FinalResponse(FinalResult.FAILED), action.reason)
+        self._end_by_decision(action.request, FinalResponse(FinalResult.FAILED), action.reason)
 
-    def _end(self, request: str, response: FinalResponse, reason: GiveUpReason) -> None:
-        exchange = self.exchanges.get(request)
+    def _end_by_decision(self, request_id: str, response: FinalResponse, reason: GiveUpReason) -> None:
+        exchange = self.exchanges.get(request_id)
         if exchange is None or exchange.finished:
             return
         self.counters.count_reason(response.result, reason)
-        logger.debug("request %s: %s: %s", request, response.result.name.lower(), reason)
+        logger.debug("request %s: %s: %s", request_id, response.result.name.lower(), reason)
         self.respond(exchange, response)
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
@@ -355,28 +355,28 @@
     def _send_health_check(self, action: SendHealthCheck) -> None:
         endpoint = self.routes.find(action.node)
         if endpoint is not None:
-            self.spawn(self._health_check(endpoint))
+            self.spawn(self._run_health_check(endpoint))
 
-    async def _health_check(self, endpoint: Endpoint) -> None:
+    async def _run_health_check(self, endpoint: Endpoint) -> None:
         sent_ms = self._clock.now_ms()
         result = await endpoint.client.probe(endpoint.address)
         latency_ms = self._clock.now_ms() - sent_ms
         self.notify(HealthCheckEnded(endpoint.entry.node, result.outcome, latency_ms, result.load_report))
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run a coroutine in the background; if it raises an exception, the exception is logged."""
-        task = asyncio.ensure_future(work)
-        self._background.add(task)
-        task.add_done_callback(self._background_ended)
+        task = asyncio.ensure_future(coroutine)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._on_background_task_done)
         return task
 
-    def _background_ended(self, task: asyncio.Task[None]) -> None:
-        self._background.discard(task)
+    def _on_background_task_done(self, task: asyncio.Task[None]) -> None:
+        self._background_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.error("background task %s failed: %r", task.get_name(), task.exception())
 
     async def close(self) -> None:
         """Cancel the background tasks and wait until they have ended."""
-        for task in list(self._background):
+        for task in list(self._background_tasks):
             task.cancel()
-        await asyncio.gather(*self._background, return_exceptions=True)
+        await asyncio.gather(*self._background_tasks, return_exceptions=True)
--- a/shaletiller/core/interfaces.py
+++ b/shaletiller/core/interfaces.py
@@ -68,7 +68,7 @@
         :returns: whether the replication was started; it then admits the request when it is complete.
         """
 
-    def request_ended(self, exchange: Exchange) -> None:
+    def on_request_ended(self, exchange: Exchange) -> None:
         """Handle that a request has its final result or that its client has disconnected."""
 
 
@@ -89,5 +89,5 @@
         """Return False: no write is replicated."""
         return False
 
-    def request_ended(self, exchange: Exchange) -> None:
+    def on_request_ended(self, exchange: Exchange) -> None:
         """Do nothing on the end of a request."""
--- a/shaletiller/core/manual_ejection.py
+++ b/shaletiller/core/manual_ejection.py
@@ -28,23 +28,23 @@
     def __init__(self, path: Path, on_change: Callable[[set[str]], None]) -> None:
         self._path = path
         self._on_change = on_change
-        self._stamp: FileStamp | None = None
+        self._file_stamp: FileStamp | None = None
         self.nodes: frozenset[str] = frozenset()
 
     def add(self, node: str) -> None:
         """Eject a node."""
-        self._store(self.nodes | {node})
+        self._save(self.nodes | {node})
 
     def remove(self, node: str) -> None:
         """Lift a node's ejection."""
-        self._store(self.nodes - {node})
+        self._save(self.nodes - {node})
 
     def reload(self) -> None:
         """Read the file again and apply it, if another process of the gateway has changed it."""
-        stamp = self._current_stamp()
-        if stamp == self._stamp:
+        stamp = self._read_stamp()
+        if stamp == self._file_stamp:
             return
-        self._stamp = stamp
+        self._file_stamp = stamp
         nodes: frozenset[str] = frozenset()
         if stamp is not None:
             try:
@@ -56,7 +56,7 @@
                 return
         self._replace(nodes)
 
-    def _store(self, nodes: frozenset[str]) -> None:
+    def _save(self, nodes: frozenset[str]) -> None:
         # The file is written under a temporary name and then renamed, so that another process never reads an
         # incomplete file.
         temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}")
@@ -64,7 +64,7 @@
         try:
             temporary.write_bytes(msgspec.json.encode(sorted(nodes)))
             temporary.replace(self._path)
-            self._stamp = self._current_stamp()
+            self._file_stamp = self._read_stamp()
         except OSError as error:
             logger.warning("cannot store the manual ejections for the next process: %s", error)
         self._notify(previous)
@@ -78,7 +78,7 @@
         if changed:
             self._on_change(set(changed))
 
-    def _current_stamp(self) -> FileStamp | None:
+    def _read_stamp(self) -> FileStamp | None:
         try:
             status = self._path.stat()
         except OSError:
--- a/shaletiller/core/metrics.py
+++ b/shaletiller/core/metrics.py
@@ -8,7 +8,7 @@
 from shaletiller.messages.actions import GiveUpReason
 
 # The names of the results in STATS lines.
-RESULT_WORDS = {
+RESULT_NAMES = {
     FinalResult.SERVED: "succeeded",
     FinalResult.REJECTED: "declined",
     FinalResult.FAILED: "aborted",
@@ -40,11 +40,11 @@
 
     def count_result(self, request_class: str, result: FinalResult) -> None:
         """Count one final result of a request class."""
-        self.increment(f"{RESULTS_PREFIX}{request_class}.{RESULT_WORDS[result]}")
+        self.increment(f"{RESULTS_PREFIX}{request_class}.{RESULT_NAMES[result]}")
 
     def count_reason(self, result: FinalResult, reason: GiveUpReason | GuardReason) -> None:
         """Count why one request was rejected or failed."""
-        self.increment(f"{REASONS_PREFIX}{RESULT_WORDS[result]}.{reason}")
+        self.increment(f"{REASONS_PREFIX}{RESULT_NAMES[result]}.{reason}")
 
 
 def stats_lines(counters: Counters, classes: list[str], gauges: dict[str, int]) -> list[str]:
@@ -55,7 +55,7 @@
     counted = [name.split(".")[1] for name in counters if name.startswith(RESULTS_PREFIX)]
     lines = []
     for request_class in dict.fromkeys([*classes, *counted]):
-        for result_name in RESULT_WORDS.values():
+        for result_name in RESULT_NAMES.values():
             name = f"{RESULTS_PREFIX}{request_class}.{result_name}"
             lines.append(f"edge.{name}={counters.get(name, 0)}")
     lines += [f"edge.{name}={value}" for name, value in gauges.items()]
--- a/shaletiller/core/respond.py
+++ b/shaletiller/core/respond.py
@@ -14,18 +14,18 @@
 class Responder:
     """Ends each exchange exactly once.
 
-    :param request_ended: called with each exchange when it ends.
+    :param on_request_ended: called with each exchange when it ends.
     """
 
     def __init__(
         self,
         exchanges: dict[str, Exchange],
         counters: Counters,
-        request_ended: Callable[[Exchange], None],
+        on_request_ended: Callable[[Exchange], None],
     ) -> None:
         self._exchanges = exchanges
         self._counters = counters
-        self._request_ended = request_ended
+        self._on_request_ended = on_request_ended
 
     def __call__(self, exchange: Exchange, response: FinalResponse, replicated: bool = False) -> None:
         """Give a request its final response; does nothing if it has one or its client has disconnected.
@@ -73,5 +73,5 @@
     def _end(self, exchange: Exchange) -> None:
         if exchange.deadline_timer is not None:
             exchange.deadline_timer.cancel()
-        self._request_ended(exchange)
+        self._on_request_ended(exchange)
         self._exchanges.pop(exchange.call.id, None)
--- a/shaletiller/core/route.py
+++ b/shaletiller/core/route.py
@@ -32,7 +32,7 @@
         self._max_attempts = max_attempts
         self._hedging_allowed = hedging_allowed
 
-    def learn(self, endpoints: Sequence[Endpoint], full: bool) -> None:
+    def apply_update(self, endpoints: Sequence[Endpoint], full: bool) -> None:
         """Apply an update of the endpoint list.
 
         Idle connections to endpoints that are removed or have a new address are closed.
@@ -62,7 +62,7 @@
         """Return the endpoint of a node, or None if the endpoint list does not contain it."""
         return self._endpoints.get(node)
 
-    def route(self, exchange: Exchange | None, node: str, now_ms: float) -> Endpoint | None:
+    def endpoint_for_attempt(self, exchange: Exchange | None, node: str, now_ms: float) -> Endpoint | None:
         """Return the endpoint for the next attempt of a request, or None if the attempt must not start.
 
         This enforces rules that the scheduler also follows (one response, the maximum number of attempts, no
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -46,11 +46,11 @@
 # The shutdown ends this long before SIGKILL.  A larger value leaves more time for the last responses to reach
 # the clients; a smaller value leaves more time to requests in flight.
 KILL_MARGIN_MS = 250.0
-SHUTDOWN_POLL_S = 0.02  # how often the shutdown checks whether clients are still connected
+SHUTDOWN_POLL_INTERVAL_S = 0.02  # how often the shutdown checks whether clients are still connected
 # How often the file of manual ejections is checked for changes.  While one process replaces another,
 # the other process may change it.  A larger value delays the effect of an operator's call; a smaller
 # value costs more `stat` calls, which are cheap.
-EJECTIONS_POLL_S = 0.2
+EJECTIONS_POLL_INTERVAL_S = 0.2
 # Configuration keys that a reload does not apply: their sockets and components are created at the start.
 RESTART_KEYS = (
     "name",
@@ -108,12 +108,12 @@
         self.peers = PeerEndpoint(
             config.peers,
             config.peers_all,
-            self._receive_peer_message,
+            self._on_peer_message,
             self.fleet.receive if self.fleet is not None else None,
         )
         self.nvme = self._make_nvme_target()
         ejections_file = Path(config.state_dir) / f"shaletiller-{config.name or 'gateway'}-bans.json"
-        self.ejections = ManualEjections(ejections_file, self._apply_ejections)
+        self.ejections = ManualEjections(ejections_file, self._on_ejections_changed)
         self.replication = self._make_replication_agent()
         self.admin = self._make_admin_server()
 
@@ -173,12 +173,12 @@
             self.http_server,
             self.ejections,
             self._clock,
-            self._ready,
+            self._is_ready,
             self.reload_counts,
             self.fleet,
             self.replication,
         )
-        return AdminServer(calls.by_name())
+        return AdminServer(calls.commands_by_name())
 
     def _make_telemetry(self) -> OtlpExporter | None:
         if not self.config.telemetry.endpoint:
@@ -187,7 +187,7 @@
 
         return OtlpExporter(self.config.telemetry, self.config.name, self.engine, self._clock)
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         return self.discovery.ready and not self._stopping
 
     def _upstream_client(self, node: str) -> UpstreamClient:
@@ -197,7 +197,7 @@
     def _upstream_clients(self) -> tuple[UpstreamClient, ...]:
         return (self._http, *self._nvme_clients.values())
 
-    def _receive_peer_message(self, peer: int, data: str) -> None:
+    def _on_peer_message(self, peer: int, data: str) -> None:
         self.engine.notify(PeerMessageReceived(peer, data))
 
     def _publish_departure(self, node: str, incarnation: int, version: int, state: EndpointState) -> None:
@@ -211,8 +211,8 @@
             stored = ServerList(version, True, tuple(rows.values()))
             self.replication.endpoint_lists.update(stored)
 
-    def _apply_ejections(self, changed: set[str]) -> None:
-        self.engine.eject(self.ejections.nodes, changed)
+    def _on_ejections_changed(self, changed: set[str]) -> None:
+        self.engine.apply_ejections(self.ejections.nodes, changed)
 
     def _load_stored_list(self, stored: ServerList) -> None:
         """Use a stored endpoint list until discovery sends a newer one.
@@ -222,9 +222,9 @@
         if self.discovery.load_stored_list(stored):
             logger.info("loaded endpoint list version %d from the store or its replicas", stored.version)
 
-    async def _watch_ejections(self) -> None:
+    async def _poll_ejections(self) -> None:
         while True:
-            await asyncio.sleep(EJECTIONS_POLL_S)
+            await asyncio.sleep(EJECTIONS_POLL_INTERVAL_S)
             self.ejections.reload()
 
     async def start(self) -> None:
@@ -240,7 +240,7 @@
         self.http_server.start(*self.config.listen)
         await self._start_nvme_target()
         self._discovery_watch = self.engine.spawn(self.discovery.run())
-        self.engine.spawn(self._watch_ejections())
+        self.engine.spawn(self._poll_ejections())
         logger.info("gateway %s listens on %s:%d", self.config.name, *self.http_server.address)
 
     async def _start_admin_server(self) -> None:
@@ -283,15 +283,15 @@
         Requests in flight and the present endpoint list are kept.  Changes of other keys require a restart
         and are logged, except those of `seed` and `known`, which are only used at the start.
         """
-        needs_restart = [key for key in RESTART_KEYS if getattr(config, key) != getattr(self.config, key)]
-        if needs_restart:
-            logger.warning("reload: not applied before a restart: %s", ", ".join(needs_restart))
+        changed_keys = [key for key in RESTART_KEYS if getattr(config, key) != getattr(self.config, key)]
+        if changed_keys:
+            logger.warning("reload: not applied before a restart: %s", ", ".join(changed_keys))
         previous = self.config
         if config.settings != previous.settings:
             self._apply_settings(config.settings)
         self.config = msgspec.structs.replace(previous, discovery=config.discovery, settings=config.settings)
         if config.discovery != previous.discovery:
-            self._move_discovery(config.discovery)
+            self._change_discovery_address(config.discovery)
         else:
             logger.info("reload: discovery address unchanged: %s:%d", *config.discovery)
 
@@ -305,7 +305,7 @@
         names = ", ".join(spec.name for spec in settings.classes)
         logger.info("reload: new settings applied to new requests; classes: %s", names)
 
-    def _move_discovery(self, address: tuple[str, int]) -> None:
+    def _change_discovery_address(self, address: tuple[str, int]) -> None:
         """Watch the endpoint list at a new address at once; the old address may no longer respond."""
         self.discovery.set_address(address)  # a watch that has not started will use the new address
         if self._discovery_watch is not None and not self._discovery_watch.done():
@@ -323,29 +323,29 @@
         if self.fleet is not None:
             self.fleet.stop()
         grace_ms = min(MAX_KILL_DEADLINE_MS, self._longest_deadline_ms) + KILL_GRACE_MS - KILL_MARGIN_MS
-        ends_ms = self._clock.now_ms() + grace_ms
-        self.http_server.shutdown_deadline_ms = ends_ms
+        end_ms = self._clock.now_ms() + grace_ms
+        self.http_server.shutdown_deadline_ms = end_ms
         await self._clock.sleep(min(ACCEPT_AFTER_SIGTERM_MS, grace_ms))
         self.http_server.stop_accepting()
         if self.nvme is not None:
             self.nvme.shut()
-        await self._stop_servers(ends_ms)
-        await self._close_parts()
+        await self._stop_servers(end_ms)
+        await self._close_components()
 
-    async def _stop_servers(self, ends_ms: float) -> None:
-        while self._clock.now_ms() < ends_ms and self._serving:
-            await asyncio.sleep(SHUTDOWN_POLL_S)
+    async def _stop_servers(self, end_ms: float) -> None:
+        while self._clock.now_ms() < end_ms and self._is_serving:
+            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
         self.http_server.close_after_responses()
         self.engine.respond_to_all()  # before the servers stop, which still have to send the responses
         servers = (self.http_server, self.nvme) if self.nvme else (self.http_server,)
         await asyncio.gather(*(server.stop(KILL_MARGIN_MS / 2000) for server in servers))
 
     @property
-    def _serving(self) -> bool:
+    def _is_serving(self) -> bool:
         """Whether HTTP clients are connected or commands of NVMe hosts are not completed."""
         return bool(self.http_server.connections or (self.nvme and self.nvme.busy))
 
-    async def _close_parts(self) -> None:
+    async def _close_components(self) -> None:
         await self.engine.close()
         for client in self._upstream_clients:
             await client.close()
--- a/shaletiller/gateway_services.py
+++ b/shaletiller/gateway_services.py
@@ -40,8 +40,8 @@
         replication = self._gateway.replication
         return replication is not None and replication.writes.replicate_intent(exchange)
 
-    def request_ended(self, exchange: Exchange) -> None:
+    def on_request_ended(self, exchange: Exchange) -> None:
         """Report the end of a request to the telemetry."""
         telemetry = self._gateway.telemetry
         if telemetry is not None:
-            telemetry.request_ended(exchange)
+            telemetry.record_request(exchange)
--- a/shaletiller/operator_calls.py
+++ b/shaletiller/operator_calls.py
@@ -22,7 +22,7 @@
     from shaletiller.net.replication.agent import ReplicationAgent
 
 # Maximum characters of an unknown node id, which is the caller's input, in a response.
-MAX_ECHOED_NODE = 64
+MAX_ECHOED_NODE_CHARS = 64
 
 
 class OperatorCalls:
@@ -51,12 +51,12 @@
         self._http_server = http_server
         self._ejections = ejections
         self._clock = clock
-        self._ready = ready
+        self._is_ready = ready
         self._reload_counts = reload_counts
         self._fleet = fleet
         self._replication = replication
 
-    def by_name(self) -> dict[str, Command]:
+    def commands_by_name(self) -> dict[str, Command]:
         """Return the calls by name, the first word of an operator's line."""
         return {
             "READY": self.ready,
@@ -72,7 +72,7 @@
 
         :raises AdminCommandError: if it cannot.
         """
-        if not self._ready():
+        if not self._is_ready():
             raise AdminCommandError("no: not ready")
         return ["yes"]
 
@@ -117,7 +117,7 @@
             raise AdminCommandError("wants the id of one storage node")
         node = arguments[0]
         if node not in self._engine.endpoints and node not in self._ejections.nodes:
-            raise AdminCommandError(f"no: no storage node {node[:MAX_ECHOED_NODE]} on the list")
+            raise AdminCommandError(f"no: no storage node {node[:MAX_ECHOED_NODE_CHARS]} on the list")
         return node
 
     def _publish_ejection(self, node: str, ejected: bool) -> list[str] | Awaitable[list[str]]:
@@ -125,16 +125,16 @@
             self._fleet.publish_ejection(node, ejected)
         if self._replication is None:
             return [node]
-        return self._replicated(self._replication.commands.replicate_ejection(node), node)
+        return self._await_replication(self._replication.commands.replicate_ejection(node), node)
 
     def _set_draining(self, draining: bool) -> list[str] | Awaitable[list[str]]:
         """DRAIN and UNDRAIN: reject HTTP clients, or accept them again."""
         self._http_server.set_draining(draining)
         if self._replication is None:
             return []
-        return self._replicated(self._replication.commands.replicate_drain(draining), "")
+        return self._await_replication(self._replication.commands.replicate_drain(draining), "")
 
-    async def _replicated(self, replication: Awaitable[None], first_line: str) -> list[str]:
+    async def _await_replication(self, replication: Awaitable[None], first_line: str) -> list[str]:
         """Wait until a majority of the replicas has stored the call.
 
         :param first_line: the first line of the response to the operator.
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -43,7 +43,7 @@
 
 ATTEMPT_PREFIX = "attempt."  # prefix of the engine's counters of attempts by outcome
 FORWARDS = "forwards"  # a counter for STATS, which is not exported
-CLIENT_GONE = "left"  # the label of a request whose client disconnected before its response
+CLIENT_DISCONNECTED = "left"  # the label of a request whose client disconnected before its response
 
 
 def _request_counts(counters: Mapping[str, int]) -> Iterator[Observation]:
@@ -80,29 +80,29 @@
 
     def _observe_engine(self, meter: Meter) -> None:
         meter.create_observable_counter(
-            "shaletiller.requests", [self._requests], description="Requests by final answer"
+            "shaletiller.requests", [self._observe_requests], description="Requests by final answer"
         )
         meter.create_observable_counter(
-            "shaletiller.attempts", [self._attempts], description="Attempts by outcome"
+            "shaletiller.attempts", [self._observe_attempts], description="Attempts by outcome"
         )
         meter.create_observable_gauge(
-            "shaletiller.requests.held", [self._in_flight], description="Requests without a final answer"
+            "shaletiller.requests.held", [self._observe_in_flight], description="Requests without a final answer"
         )
 
-    def _requests(self, _: CallbackOptions) -> Iterable[Observation]:
+    def _observe_requests(self, _: CallbackOptions) -> Iterable[Observation]:
         return _request_counts(self._engine.counters)
 
-    def _attempts(self, _: CallbackOptions) -> Iterable[Observation]:
+    def _observe_attempts(self, _: CallbackOptions) -> Iterable[Observation]:
         return _attempt_counts(self._engine.counters)
 
-    def _in_flight(self, _: CallbackOptions) -> Iterable[Observation]:
+    def _observe_in_flight(self, _: CallbackOptions) -> Iterable[Observation]:
         return [Observation(len(self._engine.exchanges))]
 
-    def request_ended(self, exchange: Exchange) -> None:
+    def record_request(self, exchange: Exchange) -> None:
         """Record the duration of a request and, if it is sampled, its span with a child for each attempt."""
         now_ms = self._clock.now_ms()
         call = exchange.call
-        result = CLIENT_GONE if exchange.result is None else exchange.result.value
+        result = CLIENT_DISCONNECTED if exchange.result is None else exchange.result.value
         labels = {"class": call.request_class, "plan": call.plan, "answer": result}
         self._duration.record(now_ms - exchange.accepted_ms, labels)
         span = self._tracer.start_span(
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -77,7 +77,7 @@
 
         self.engine._scheduler.handle = record  # type: ignore[method-assign]
 
-    async def call(self, call: ClientCall) -> Exchange:
+    async def submit(self, call: ClientCall) -> Exchange:
         exchange = self.engine.submit(call, self.responses.append)
         await self.settle()
         return exchange
@@ -94,7 +94,7 @@
 
         The client receives the node's body, and the scheduler is notified of the latency.
         """
-        await self.call(CALL)
+        await self.submit(CALL)
         self.clock.advance(30)
         self.upstream.attempts[0].set_result(AttemptResult(Outcome.OK, b"data", usage_percent_plus_one=87))
         await self.settle()
@@ -109,7 +109,7 @@
 
         At its deadline and not before, the write fails once and its attempt is cancelled.
         """
-        await self.call(WRITE)
+        await self.submit(WRITE)
         self.clock.advance(399)
         await self.settle()
         self.assertEqual(self.responses, [])
@@ -135,7 +135,7 @@
 
         The node may have executed the write: the attempt is recorded as reset and the write fails.
         """
-        await self.call(WRITE)
+        await self.submit(WRITE)
         self.upstream.attempts[0].set_exception(RuntimeError("broken on purpose"))
         await self.settle()
         self.assertEqual(
@@ -144,14 +144,14 @@
 
     async def test_no_second_attempt_while_one_is_in_flight(self) -> None:
         """The scheduler sends a second attempt while one is in flight, which the settings do not allow."""
-        await self.call(CALL)
+        await self.submit(CALL)
         self.engine._send_attempt(SendAttempt("r1", "n1"))
         await self.settle()
         self.assertEqual((len(self.upstream.attempts), self.outcomes()), (1, [Outcome.NOT_SENT]))
 
     async def test_a_send_to_another_shard_or_an_unknown_node_is_moot(self) -> None:
         """The scheduler selects a node of another shard, and one that is not listed: nothing is sent."""
-        await self.call(replace(CALL, shard=7))
+        await self.submit(replace(CALL, shard=7))
         self.engine._send_attempt(SendAttempt("r1", "n1"))
         self.engine._send_attempt(SendAttempt("r1", "n9"))
         await self.settle()
@@ -159,7 +159,7 @@
 
     async def test_the_first_final_response_is_the_only_one(self) -> None:
         """A request is rejected, then failed, then served: the client receives only the first response."""
-        await self.call(CALL)
+        await self.submit(CALL)
         self.engine._reject(Reject("r1", 250))
         self.engine._fail(Fail("r1"))
         self.upstream.attempts[0].set_result(AttemptResult(Outcome.OK, b"late"))
@@ -173,8 +173,8 @@
 
         The deadline guard fails the write that was sent and rejects the write that was not sent.
         """
-        await self.call(WRITE)
-        await self.call(replace(WRITE, id="w2", shard=5))
+        await self.submit(WRITE)
+        await self.submit(replace(WRITE, id="w2", shard=5))
         self.engine._scheduler.handle = lambda now_ms, event: []  # type: ignore[method-assign]
         self.clock.advance(420)
         await self.settle()
@@ -187,10 +187,10 @@
 
         Each request is counted once, with its reason.  Guards against rejections without a known reason.
         """
-        await self.call(CALL)
+        await self.submit(CALL)
         self.engine._reject(Reject("r1", 250, GiveUpReason.LATE))
         self.engine._fail(Fail("r1", GiveUpReason.DEADLINE))
-        await self.call(WRITE)
+        await self.submit(WRITE)
         self.engine._scheduler.handle = lambda now_ms, event: []  # type: ignore[method-assign]
         self.clock.advance(420)
         await self.settle()
@@ -205,7 +205,7 @@
 
         The retry must be sent in the next round.  Guards against a gateway that runs no further rounds.
         """
-        await self.call(CALL)
+        await self.submit(CALL)
         self.upstream.attempts[0].set_result(AttemptResult(Outcome.FULL))
         await self.settle()
         scheduler = self.engine._scheduler
@@ -223,16 +223,16 @@
 
         Guards against nodes whose capacity is occupied by requests that were never sent.
         """
-        exchange = await self.call(CALL)
+        exchange = await self.submit(CALL)
         self.upstream.attempts[0].set_result(AttemptResult(Outcome.FULL))
         await self.settle()
-        state, start_timer = self.engine._scheduler.state, self.engine._performers[StartTimer]
+        state, start_timer = self.engine._scheduler.state, self.engine._action_handlers[StartTimer]
 
         def disconnect_first(action: StartTimer) -> None:
             self.engine.client_disconnected(exchange)
             start_timer(action)
 
-        self.engine._performers[StartTimer] = disconnect_first
+        self.engine._action_handlers[StartTimer] = disconnect_first
         self.clock.advance(state.next_round_ms - self.clock.now_ms())
         await self.settle()
         self.assertEqual((len(self.upstream.attempts), state.attempts, state.pending), (1, {}, {}))
@@ -248,7 +248,7 @@
         """
         admission = type(self.engine._scheduler.admission)
         with unittest.mock.patch.object(admission, "admit", side_effect=ValueError("once")):
-            await self.call(WRITE)
+            await self.submit(WRITE)
         self.assertEqual(self.responses, [FinalResponse(FinalResult.REJECTED)])
         self.clock.advance(1000)
         await self.settle()
@@ -289,13 +289,13 @@
         Until the attempt has ended, the other request is a bad request: the outcome of the attempt would be
         attributed to it.
         """
-        await self.call(WRITE)
+        await self.submit(WRITE)
         self.engine._reject(Reject("w1"))
         with self.assertRaises(BadRequestError):
             self.engine.submit(replace(WRITE), self.responses.append)
         self.upstream.attempts[0].set_result(AttemptResult(Outcome.OK))
         await self.settle()
-        await self.call(WRITE)
+        await self.submit(WRITE)
         self.assertEqual(len(self.upstream.attempts), 2)
 
 
--- a/tests/gateway/test_operators.py
+++ b/tests/gateway/test_operators.py
@@ -116,10 +116,10 @@
             send a1 STATS
         """)
         operator = await self.party("a1")
-        figures = dict(line.split("=") for line in operator.lines[1:-1])
+        stats = dict(line.split("=") for line in operator.lines[1:-1])
         self.assertEqual((operator.lines[0], operator.lines[-1]), ("done", "end"))
-        self.assertEqual(figures["edge.outstanding"], "1")
-        self.assertEqual(figures["edge.forwards"], "1")  # in flight
+        self.assertEqual(stats["edge.outstanding"], "1")
+        self.assertEqual(stats["edge.forwards"], "1")  # in flight
         await self.play("""
             send n1 200 here
             expect c1 200 here
@@ -129,9 +129,9 @@
             expect c1 502
             send a1 STATS
         """)
-        figures = dict(line.split("=") for line in operator.lines[1:-1])
+        stats = dict(line.split("=") for line in operator.lines[1:-1])
         self.assertEqual(
-            figures,
+            stats,
             {
                 "edge.results.read.succeeded": "1",
                 "edge.results.read.declined": "0",
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -109,7 +109,7 @@
             path.write_text(json.dumps(config_document))
             process = await start_gateway(path, asyncio.subprocess.PIPE)
             try:
-                self.assertEqual(await self.up(port, 20.0), "HTTP/1.1 200 OK")
+                self.assertEqual(await self.wait_until_up(port, 20.0), "HTTP/1.1 200 OK")
                 assert process.stderr is not None
                 log_lines = b"".join(
                     [await asyncio.wait_for(process.stderr.readline(), 3.0) for _ in range(2)]
@@ -122,7 +122,7 @@
                 process.send_signal(signal.SIGTERM)
                 await asyncio.sleep(0.2)  # with the reload 0.4 of 0.75 s, to tolerate slow machines
                 await self.reload(process, path, config_document)
-                self.assertEqual(await self.up(port, 0.1), "HTTP/1.1 200 OK")  # still accepting
+                self.assertEqual(await self.wait_until_up(port, 0.1), "HTTP/1.1 200 OK")  # still accepting
                 self.assertEqual(await asyncio.wait_for(process.wait(), 10.0), 0)
                 self.assertGreater(time.monotonic() - sent, 0.7)
             finally:
@@ -173,7 +173,7 @@
         process = await start_gateway(path, asyncio.subprocess.DEVNULL)
         clients: dict[str, RawClient] = {}
         try:
-            await self.up(port, 20.0)
+            await self.wait_until_up(port, 20.0)
             for name in ("waits", "hangs", "body", "half"):
                 clients[name] = await RawClient.open(("127.0.0.1", port))
             clients["waits"].send(
@@ -244,17 +244,17 @@
         await asyncio.wait_for(called.wait(), 3.0)
         agent.close()
 
-    async def up(self, port: int, patience_s: float) -> str:
-        until = time.monotonic() + patience_s
+    async def wait_until_up(self, port: int, timeout_s: float) -> str:
+        deadline_s = time.monotonic() + timeout_s
         while True:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-                first, _, _ = await read_message(reader)
+                status_line, _, _ = await read_message(reader)
                 writer.close()
-                return first
+                return status_line
             except OSError:
-                if time.monotonic() > until:
+                if time.monotonic() > deadline_s:
                     raise
                 await asyncio.sleep(0.05)
 
