--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -126,14 +126,14 @@
             self.admit(exchange)
         return exchange
 
-    def client_disconnected(self, exchange: Exchange) -> None:
+    def on_client_disconnected(self, exchange: Exchange) -> None:
         """Cancel the attempts of a request whose client has closed its connection; it gets no response.
 
         Does nothing if the exchange is finished.
         """
         if exchange.finished:
             return
-        self.respond.client_disconnected(exchange)
+        self.respond.on_client_disconnected(exchange)
         for attempt in exchange.attempts:
             self.attempts.stop(attempt, Outcome.CANCELLED)
         self.notify(ClientDisconnected(exchange.call.id))
--- a/shaletiller/core/interfaces.py
+++ b/shaletiller/core/interfaces.py
@@ -17,7 +17,7 @@
     def submit(self, call: ClientCall, respond: Callable[[FinalResponse], None]) -> Exchange:
         """Accept a client request; `respond` is called exactly once unless the client disconnects first."""
 
-    def client_disconnected(self, exchange: Exchange) -> None:
+    def on_client_disconnected(self, exchange: Exchange) -> None:
         """Handle that the client has closed its connection; the request gets no response."""
 
 
--- a/shaletiller/core/respond.py
+++ b/shaletiller/core/respond.py
@@ -53,7 +53,7 @@
         if on_result is not None:
             on_result(response)
 
-    def client_disconnected(self, exchange: Exchange) -> None:
+    def on_client_disconnected(self, exchange: Exchange) -> None:
         """End an exchange whose client has closed its connection."""
         exchange.client_gone = True
         self._end(exchange)
--- a/shaletiller/net/http_server.py
+++ b/shaletiller/net/http_server.py
@@ -165,7 +165,7 @@
         except (BadRequestError, RequestExpiredError):
             return False
         if connection.fast_path_pending:
-            connection.on_client_gone = functools.partial(self._engine.client_disconnected, exchange)
+            connection.on_client_gone = functools.partial(self._engine.on_client_disconnected, exchange)
         return True
 
     def _encode(self, response: FinalResponse, close: bool) -> bytes:
@@ -275,7 +275,7 @@
         try:
             return await pending
         finally:
-            self._engine.client_disconnected(exchange)  # does nothing if the exchange is over
+            self._engine.on_client_disconnected(exchange)  # does nothing if the exchange is over
 
     # ---- responses
 
--- a/shaletiller/net/nvme/queue.py
+++ b/shaletiller/net/nvme/queue.py
@@ -230,4 +230,4 @@
     def cancel_requests(self, pending: PendingCommand) -> None:
         """Cancel the client requests of a command's blocks."""
         for exchange in pending.exchanges:
-            self.target.requests.client_disconnected(exchange)
+            self.target.requests.on_client_disconnected(exchange)
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -125,7 +125,7 @@
         The attempt is recorded as cancelled.
         """
         exchange = self.engine.submit(WRITE, self.responses.append)
-        self.engine.client_disconnected(exchange)
+        self.engine.on_client_disconnected(exchange)
         await self.settle()
         self.assertEqual(self.outcomes(), [Outcome.CANCELLED])
         self.assertEqual(self.engine.attempts.in_flight, {})
@@ -229,7 +229,7 @@
         state, start_timer = self.engine._scheduler.state, self.engine._action_handlers[StartTimer]
 
         def disconnect_first(action: StartTimer) -> None:
-            self.engine.client_disconnected(exchange)
+            self.engine.on_client_disconnected(exchange)
             start_timer(action)
 
         self.engine._action_handlers[StartTimer] = disconnect_first
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -672,7 +672,7 @@
         self.at(
             UpstreamProtocol,
             "connection_made",
-            lambda: [engine.client_disconnected(each) for each in list(engine.exchanges.values())],
+            lambda: [engine.on_client_disconnected(each) for each in list(engine.exchanges.values())],
         )
         wire.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await until(lambda: engine.counters.get("left"), "the close")
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -367,7 +367,7 @@
             self.received.put_nowait((call, respond))
         return Exchange(call, respond, 0, 0)
 
-    def client_disconnected(self, exchange: Exchange) -> None:
+    def on_client_disconnected(self, exchange: Exchange) -> None:
         self.disconnected.append(exchange.call.key)
 
     async def expect(self, what: str, *rest: str) -> None:
