--- a/shaletiller/core/model.py
+++ b/shaletiller/core/model.py
@@ -104,7 +104,7 @@
     idempotent: bool = False  # according to the settings of its class when it was accepted
     deadline_timer: Timer | None = None
     result: FinalResult | None = None
-    client_gone: bool = False
+    client_disconnected: bool = False
     attempts: list[Attempt] = field(default_factory=list)
     replicating_outcome: bool = False  # the response waits for the replication; no new attempt starts
     on_result: Callable[[FinalResponse | None], None] | None = None
@@ -112,7 +112,7 @@
     @property
     def ended(self) -> bool:
         """Whether the final response was given or the client has disconnected."""
-        return self.client_gone or self.result is not None
+        return self.client_disconnected or self.result is not None
 
     @property
     def finished(self) -> bool:
--- a/shaletiller/core/respond.py
+++ b/shaletiller/core/respond.py
@@ -55,7 +55,7 @@
 
     def on_client_disconnected(self, exchange: Exchange) -> None:
         """End an exchange whose client has closed its connection."""
-        exchange.client_gone = True
+        exchange.client_disconnected = True
         self._end(exchange)
         self._counters.increment("left")
         if exchange.on_result is not None:
