--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -281,7 +281,7 @@
         if exchange.result is not None:
             self.counters.count_reason(exchange.result, reason)
         logger.warning(
-            "request %s: ended without a decision by the scheduler (%s): %s",
+            "request %s: ended without a final decision by the scheduler (%s): %s",
             exchange.call.id,
             explanation,
             result,
--- a/shaletiller/core/metrics.py
+++ b/shaletiller/core/metrics.py
@@ -26,7 +26,7 @@
     SHUTDOWN = "shutdown"
     """It arrived too shortly before the process ends, or the process ended before its response."""
     DEADLINE_GUARD = "deadline_guard"
-    """The scheduler had made no decision by its deadline."""
+    """The scheduler had made no final decision by its deadline."""
     SCHEDULER_FAILED = "scheduler_failed"
     """The scheduler raised an exception while handling its arrival."""
 
--- a/shaletiller/core/respond.py
+++ b/shaletiller/core/respond.py
@@ -62,7 +62,7 @@
             exchange.on_result(None)
 
     def give_up(self, exchange: Exchange) -> None:
-        """Respond to a request for which the scheduler has made no decision.
+        """Respond to a request for which the scheduler has made no final decision.
 
         The request is rejected if a retry is safe, otherwise it fails.
         """
