--- a/shaletiller/config/reader.py
+++ b/shaletiller/config/reader.py
@@ -73,9 +73,7 @@
         seed=_read_seed(file.seed),
         limits=file.limits,
         peer_listen=_read_optional_address(file.peer_listen, "peer_listen"),
-        peers=tuple(
-            read_address(peer, f"peers[{index}]") for index, peer in enumerate(file.peers or ())
-        ),
+        peers=tuple(read_address(peer, f"peers[{index}]") for index, peer in enumerate(file.peers or ())),
         peers_all=_read_optional_address(file.peers_all, "peers_all"),
         known=file.known or ServerList(),
         settings=settings,
@@ -159,7 +157,7 @@
         file = read_operator_file(Path(path))
     except OperatorFileError as error:
         raise ConfigError(f"EDGE_OPERATOR: {error}") from error
-    own_name = file.fleet.me or gateway_name
-    if file.fleet.member and own_name not in [member.name for member in file.fleet.member]:
-        raise ConfigError(f"EDGE_OPERATOR: {Path(path).name}: fleet.me: no member {own_name!r}")
+    me = file.fleet.me or gateway_name
+    if file.fleet.member and me not in [member.name for member in file.fleet.member]:
+        raise ConfigError(f"EDGE_OPERATOR: {Path(path).name}: fleet.me: no member {me!r}")
     return file
--- a/shaletiller/core/model.py
+++ b/shaletiller/core/model.py
@@ -122,6 +122,4 @@
     @property
     def never_ran(self) -> bool:
         """Whether it is certain that no storage node has executed any of the attempts."""
-        return all(
-            attempt.outcome is not None and attempt.outcome.never_ran for attempt in self.attempts
-        )
+        return all(attempt.outcome is not None and attempt.outcome.never_ran for attempt in self.attempts)
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -86,7 +86,9 @@
             "shaletiller.attempts", [self._observe_attempts], description="Attempts by outcome"
         )
         meter.create_observable_gauge(
-            "shaletiller.requests.held", [self._observe_in_flight], description="Requests without a final answer"
+            "shaletiller.requests.held",
+            [self._observe_in_flight],
+            description="Requests without a final answer",
         )
 
     def _observe_requests(self, _: CallbackOptions) -> Iterable[Observation]:
