--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -63,7 +63,7 @@
         for source in (ROOT / "shaletiller").rglob("*.py"):
             alone = source.parent == ROOT / "shaletiller" and source.name in ("__init__.py", "adapter.py")
             alone = alone or ROOT / "shaletiller" / "lab" in source.parents  # no gateway loads it
-            self.assertTrue(alone or any(each in (source, *source.parents) for each in listed), source)
+            self.assertTrue(alone or any(path in (source, *source.parents) for path in listed), source)
 
 
 class StartTest(unittest.TestCase):
@@ -84,10 +84,10 @@
             "       'shaletiller.fleet.core', 'opentelemetry', 'requests')\n"
             "print(len(made), [name for name in sys.modules if name.startswith(off)])\n"
         )
-        found = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-c", code], cwd=ROOT, check=True, capture_output=True, text=True
         )
-        self.assertEqual(found.stdout.split(), ["0", "[]"])
+        self.assertEqual(process.stdout.split(), ["0", "[]"])
 
 
 class ProcessTest(unittest.IsolatedAsyncioTestCase):
@@ -201,7 +201,7 @@
             clients["body"].send(request[-4:])
             name, writer = await asyncio.wait_for(requests_received.get(), 3.0)
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nbody")
-            found = {name: await client.answer() for name, client in clients.items()}
+            responses = {name: await client.answer() for name, client in clients.items()}
             self.assertEqual(await asyncio.wait_for(process.wait(), 10.0), 0)
             await asyncio.gather(*senders)
         finally:
@@ -211,9 +211,9 @@
             for client in clients.values():
                 client.close()
         self.assertEqual(name, "body")
-        self.assertEqual(found["half"], (200, b"half"))
-        self.assertEqual(found["body"], (200, b"body"))
-        self.assertEqual((found["hangs"][0], found["waits"][0]), (502, 503))
+        self.assertEqual(responses["half"], (200, b"half"))
+        self.assertEqual(responses["body"], (200, b"body"))
+        self.assertEqual((responses["hangs"][0], responses["waits"][0]), (502, 503))
         self.assertEqual(len(unread), 3)
         self.assertEqual(request_ids.intersection(unread), set())  # none was forwarded and lost its response
 
--- a/tests/settings/test_config.py
+++ b/tests/settings/test_config.py
@@ -65,18 +65,22 @@
 
 def test_a_complete_file_is_read(tmp_path: Path) -> None:
     """A complete file is read. EDGE_LISTEN overrides it, and without an NVMe file NVMe is disabled."""
-    found = read_config(env(tmp_path, GOOD) | {"EDGE_LISTEN": "127.0.0.9:1"}, tmp_path / "none.toml")
-    assert (found.name, found.listen, found.discovery) == ("n3", ("127.0.0.9", 1), ("127.0.0.1", 8500))
-    assert (found.seed, found.peers, found.known.version) == (0x8C1F30D27A5BE964, (("127.0.0.1", 7946),), 41)
-    assert found.settings.classes[1].writes
-    assert (found.nvme.target.listen, found.telemetry.endpoint) == ("", "")
-    assert found.client_sockets + found.upstream_sockets < 1024
+    config = read_config(env(tmp_path, GOOD) | {"EDGE_LISTEN": "127.0.0.9:1"}, tmp_path / "none.toml")
+    assert (config.name, config.listen, config.discovery) == ("n3", ("127.0.0.9", 1), ("127.0.0.1", 8500))
+    assert (config.seed, config.peers, config.known.version) == (
+        0x8C1F30D27A5BE964,
+        (("127.0.0.1", 7946),),
+        41,
+    )
+    assert config.settings.classes[1].writes
+    assert (config.nvme.target.listen, config.telemetry.endpoint) == ("", "")
+    assert config.client_sockets + config.upstream_sockets < 1024
 
 
 def test_nvme_is_off_in_the_deploy_file(tmp_path: Path) -> None:
     """The repository's deploy/nvme.toml offers no target and names no storage node."""
-    found = read_config(env(tmp_path, GOOD))
-    assert (found.nvme.target.listen, found.nvme.upstreams) == ("", ())
+    config = read_config(env(tmp_path, GOOD))
+    assert (config.nvme.target.listen, config.nvme.upstreams) == ("", ())
 
 
 @pytest.mark.parametrize(
@@ -188,8 +192,8 @@
 def test_what_may_be_absent_may_be_null(tmp_path: Path) -> None:
     """The platform writes null for optional values that a site does not have."""
     bare = GOOD | {"peer_listen": None, "peers": None, "peers_all": None, "known": None}
-    found = read_config(env(tmp_path, bare), tmp_path / "none.toml")
-    assert (found.peer_listen, found.peers, found.peers_all, found.known.servers) == (None, (), None, ())
+    config = read_config(env(tmp_path, bare), tmp_path / "none.toml")
+    assert (config.peer_listen, config.peers, config.peers_all, config.known.servers) == (None, (), None, ())
 
 
 @pytest.mark.parametrize("name", ["carrasco-campus", "bronze.1", "silver 2", "Köln_3"])
