--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -1,8 +1,8 @@
-"""The engine: it notifies the scheduler of what happens and carries out what the scheduler asks for.
+"""The engine passes events to the scheduler and carries out the actions that the scheduler returns.
 
-It owns the exchanges of all servers from acceptance to their one final response.  Decisions are the
-scheduler's; the engine guards what must hold even if the scheduler fails: every request gets a response by
-its deadline, and one fault ends neither the process nor another request.
+It owns the exchanges of all servers from their acceptance to their final response.  The scheduler makes the
+decisions.  The engine guarantees what must hold even if the scheduler fails: every request gets a response by
+its deadline, and an error in one request ends neither the process nor another request.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from typing import Any
 
 from shaletiller.clock import Clock
-from shaletiller.core.accept import AcceptRequest
-from shaletiller.core.admit import AdmitRequest
+from shaletiller.core.accept import RequestAcceptor
+from shaletiller.core.admit import RequestAdmitter
 from shaletiller.core.forward import AttemptSender
 from shaletiller.core.interfaces import EngineServices, NoServices
 from shaletiller.core.metrics import SCHEDULER_FAILURES, Counters, GuardReason
@@ -62,18 +62,20 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_COUNTED_CLASSES = 64  # clients choose class names: they must not grow the counters without end
-# A request without a response gets one so long after its deadline: the scheduler's own response comes first,
-# and the platform allows 50 ms after the deadline.
+# Maximum number of request classes with counters.  Clients choose the class names, so the number must be
+# bounded.
+MAX_COUNTED_CLASSES = 64
+# How long after its deadline the engine responds to a request that has no response.  The delay lets the
+# scheduler respond first; the platform allows 50 ms after the deadline.
 DEADLINE_GUARD_MS = 15.0
 
 
 class Engine:
-    """One gateway's requests, from all servers, under one scheduler.
+    """Handles the requests of all servers of one gateway with one scheduler.
 
     :param settings: the settings in force.
-    :param seed: of the scheduler's random numbers.
-    :param services: what the gateway does for the engine beside sending attempts.
+    :param seed: the seed of the scheduler's random number generator.
+    :param services: operations that the gateway provides to the engine; by default they do nothing.
     """
 
     def __init__(
@@ -82,22 +84,22 @@
         self.settings = settings
         self.counters = Counters()
         self.exchanges: dict[str, Exchange] = {}  # the requests in flight, by id
-        self.endpoints: dict[str, Endpoint] = {}  # as listed, ejected by hand or not
-        self.ejected: frozenset[str] = frozenset()  # by hand: reported to the rest as gone
+        self.endpoints: dict[str, Endpoint] = {}  # the endpoint list, with ejected nodes
+        self.ejected: frozenset[str] = frozenset()  # manually; routes and scheduler treat them as gone
         self._services: EngineServices = services or NoServices()
         self._clock = clock
         self._scheduler = Scheduler(settings, seed)
         self._events: deque[Event] = deque()
-        self._handling = False
-        self._background: set[asyncio.Task[None]] = set()
+        self._processing_events = False
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self._counted_classes = {spec.name for spec in settings.classes}
-        self.respond = Responder(self.exchanges, self.counters, self._services.request_ended)
-        self.admit = AdmitRequest(self.notify)
+        self.respond = Responder(self.exchanges, self.counters, self._services.on_request_ended)
+        self.admit = RequestAdmitter(self.notify)
         self.routes = RouteTable(settings.max_attempts, settings.hedging_allowed)
         self._record = OutcomeRecorder(clock, self.respond, self.notify, self.counters)
         self.attempts = AttemptSender(clock, self._record)
-        self._accept = AcceptRequest(settings, clock, self.exchanges, self.attempts.in_flight)
-        self._performers: dict[type[Action], Callable[[Any], None]] = {
+        self._accept = RequestAcceptor(settings, clock, self.exchanges, self.attempts.in_flight)
+        self._action_handlers: dict[type[Action], Callable[[Any], None]] = {
             SendAttempt: self._send_attempt,
             Reject: self._reject,
             Fail: self._fail,
@@ -111,29 +113,27 @@
             WriteLog: self._write_log,
         }
 
-    # ---- what happens
-
     def submit(self, call: ClientCall, respond: Callable[[FinalResponse], None]) -> Exchange:
         """Accept a client request.
 
-        :param respond: called once with the final response, perhaps before this method returns.
-        :raises BadRequestError: where no storage node may see the request; `respond` is not called.
+        :param respond: called once with the final response, possibly before this method returns.
+        :raises BadRequestError: if the request is malformed or not allowed; `respond` is not called.
         """
         exchange = self._accept(call, respond)
         wait_ms = call.timeout_ms + DEADLINE_GUARD_MS
-        exchange.deadline_timer = self._clock.call_later(wait_ms, self._guard_deadline, exchange)
+        exchange.deadline_timer = self._clock.call_later(wait_ms, self._on_deadline_passed, exchange)
         if not self._services.replicate_intent(exchange):
             self.admit(exchange)
         return exchange
 
-    def client_disconnected(self, exchange: Exchange) -> None:
-        """Cancel the attempts of a request whose client has closed its connection: no response is owed.
+    def on_client_disconnected(self, exchange: Exchange) -> None:
+        """Cancel the attempts of a request whose client has closed its connection; it gets no response.
 
-        Without effect where the exchange is finished.
+        Does nothing if the exchange is finished.
         """
         if exchange.finished:
             return
-        self.respond.client_disconnected(exchange)
+        self.respond.on_client_disconnected(exchange)
         for attempt in exchange.attempts:
             self.attempts.stop(attempt, Outcome.CANCELLED)
         self.notify(ClientDisconnected(exchange.call.id))
@@ -141,19 +141,19 @@
     def update_endpoints(
         self, kind: UpdateKind, version: int, endpoints: tuple[Endpoint, ...], staleness_ms: float = 0.0
     ) -> None:
-        """Apply an update of the endpoint list; nodes ejected by hand stay gone to routes and scheduler.
+        """Apply an update of the endpoint list; routes and scheduler treat manually ejected nodes as gone.
 
-        :param staleness_ms: the longest time since discovery may have announced the update.
+        :param staleness_ms: the maximum time that may have passed since discovery announced the update.
         """
         if kind is not UpdateKind.FAILED:
             full = kind is not UpdateKind.CHANGES
-            self._list_endpoints(endpoints, full)
-            endpoints = tuple(map(self._masked, endpoints))
-            self.routes.learn(endpoints, full=full)
+            self._update_listed_endpoints(endpoints, full)
+            endpoints = tuple(map(self._with_ejection, endpoints))
+            self.routes.apply_update(endpoints, full=full)
         entries = tuple(endpoint.entry for endpoint in endpoints)
         self.notify(EndpointListUpdate(kind, entries, version, staleness_ms))
 
-    def _list_endpoints(self, endpoints: tuple[Endpoint, ...], full: bool) -> None:
+    def _update_listed_endpoints(self, endpoints: tuple[Endpoint, ...], full: bool) -> None:
         if full:
             self.endpoints = {}
         for endpoint in endpoints:
@@ -162,18 +162,18 @@
             else:
                 self.endpoints[endpoint.entry.node] = endpoint
 
-    def _masked(self, endpoint: Endpoint) -> Endpoint:
-        """An endpoint as the rest sees it: gone, where it is ejected by hand."""
+    def _with_ejection(self, endpoint: Endpoint) -> Endpoint:
+        """Return an endpoint as routes and scheduler see it: in state GONE if it is manually ejected."""
         if endpoint.entry.node not in self.ejected or endpoint.entry.state is EndpointState.GONE:
             return endpoint
         entry = replace(endpoint.entry, state=EndpointState.GONE)
         return Endpoint(entry, endpoint.address, endpoint.client)
 
-    def eject(self, ejected: frozenset[str], changed: set[str]) -> None:
-        """Apply the list entries of nodes anew that operators have ejected or whose ejection they lifted.
+    def apply_ejections(self, ejected: frozenset[str], changed: set[str]) -> None:
+        """Apply manual ejections by updating the endpoints of the nodes whose ejection has begun or ended.
 
-        :param ejected: all nodes that are ejected by hand now.
-        :param changed: the nodes for which that has changed.
+        :param ejected: all nodes that are manually ejected now.
+        :param changed: the nodes whose ejection has begun or ended.
         """
         self.ejected = ejected
         endpoints = tuple(self.endpoints[node] for node in sorted(changed) if node in self.endpoints)
@@ -181,9 +181,10 @@
             self.update_endpoints(UpdateKind.CHANGES, 0, endpoints)
 
     def note_restart(self, node: str, started_ms: float) -> None:
-        """Treat a node as warming up, of which another gateway's list has a newer incarnation.
+        """Start the slow start of a node of which another gateway has listed a newer incarnation.
 
-        Nothing else is taken from that list: a node's address may differ from one gateway to the next.
+        Only the start time is taken from the other gateway, because a node's address may differ between
+        gateways.
         """
         endpoint = self.endpoints.get(node)
         if endpoint is not None and started_ms > endpoint.entry.started_ms:
@@ -192,101 +193,109 @@
             self.update_endpoints(UpdateKind.CHANGES, 0, (restarted,))
 
     def count_result(self, request_class: str, result: FinalResult) -> None:
-        """Count a final response that a server gave by itself to a request that named its class."""
+        """Count a final response that a server gave without submitting the request to the engine."""
         known = request_class in self._counted_classes
         if request_class and (known or len(self._counted_classes) < MAX_COUNTED_CLASSES):
             self._counted_classes.add(request_class)
             self.counters.count_result(request_class, result)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings (SIGHUP) to new requests; those in flight keep their class."""
+        """Apply reloaded settings to new requests; requests in flight keep the settings of their class."""
         self.settings = settings
         self._scheduler.apply_settings(settings)
-        self._accept = AcceptRequest(settings, self._clock, self.exchanges, self.attempts.in_flight)
+        self._accept = RequestAcceptor(settings, self._clock, self.exchanges, self.attempts.in_flight)
         self.routes.apply_settings(settings.max_attempts, settings.hedging_allowed)
 
     def notify(self, event: Event) -> None:
-        """Notify the scheduler; events that its actions cause follow in turn, never amid another one."""
+        """Pass an event to the scheduler.
+
+        Events that its actions cause are queued, so that the scheduler handles one event at a time.
+        """
         self._events.append(event)
-        if self._handling:
+        if self._processing_events:
             return
-        self._handling = True
+        self._processing_events = True
         try:
             while self._events:
-                self._handle(self._events.popleft())
+                self._process_event(self._events.popleft())
         finally:
-            self._handling = False
+            self._processing_events = False
 
-    def _handle(self, event: Event) -> None:
-        for each in (*self._events_before(event), event):
-            self._schedule(each)
+    def _process_event(self, event: Event) -> None:
+        for next_event in (*self._events_before(event), event):
+            self._pass_to_scheduler(next_event)
 
     def _events_before(self, event: Event) -> Sequence[Event]:
         try:
             return self._services.events_before(event, self._clock.now_ms())
         except Exception:
-            logger.exception("%s: the fleet failed, scheduled without it", type(event).__name__)
+            logger.exception(
+                "event %s: fleet failed; handled without the fleet's events", type(event).__name__
+            )
             return ()
 
-    def _schedule(self, event: Event) -> None:
-        """Have the scheduler handle an event, and carry out what it decides.
+    def _pass_to_scheduler(self, event: Event) -> None:
+        """Let the scheduler handle an event and carry out its actions.
 
-        If it fails, what it had decided by then is carried out all the same: a round starts the next round's
-        timer first, and without that no round would ever follow.
+        If the scheduler fails, the actions that it had decided before the failure are still carried out: a
+        round first starts the timer of the next round, and without this timer no further round would run.
         """
         actions_before = self._scheduler.state.actions
         try:
-            self._perform(self._scheduler.handle(self._clock.now_ms(), event))
+            self._run_actions(self._scheduler.handle(self._clock.now_ms(), event))
         except Exception:
-            logger.exception("the scheduler failed at %r", event)
+            logger.exception("scheduler failed while handling event %r", event)
             self.counters.increment(SCHEDULER_FAILURES)
             decided = self._scheduler.state.actions
-            self._perform([] if decided is actions_before else decided)
+            self._run_actions([] if decided is actions_before else decided)
             if isinstance(event, Request):
-                self._reject_unsent(event.request)
+                self._end_unscheduled_request(event.request)
 
-    def _perform(self, actions: Sequence[Action]) -> None:
+    def _run_actions(self, actions: Sequence[Action]) -> None:
         for action in actions:
             try:
-                self._performers[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception:
                 logger.exception("action %s failed", type(action).__name__)
 
-    def _reject_unsent(self, request: str) -> None:
-        """Answer a request at which the scheduler failed, unless it is on its way to a node."""
-        exchange = self.exchanges.get(request)
+    def _end_unscheduled_request(self, request_id: str) -> None:
+        """Respond to a request whose arrival the scheduler failed to handle, unless it has an attempt."""
+        exchange = self.exchanges.get(request_id)
         if exchange is not None and not exchange.attempts:
-            self._end_unanswered(exchange, GuardReason.SCHEDULER_FAILED, "the scheduler failed")
+            self._end_without_decision(exchange, GuardReason.SCHEDULER_FAILED, "the scheduler failed")
 
     def respond_to_all(self) -> None:
-        """Respond to every request that is in flight, for the process ends."""
+        """Respond to all requests in flight, before the process ends."""
         for exchange in list(self.exchanges.values()):
-            self._end_unanswered(exchange, GuardReason.SHUTDOWN, "the process ends")
+            self._end_without_decision(exchange, GuardReason.SHUTDOWN, "the process ends")
 
-    def _guard_deadline(self, exchange: Exchange) -> None:
-        """Respond to a request that has no response when its deadline has passed."""
-        self._end_unanswered(exchange, GuardReason.DEADLINE_GUARD, "its deadline has passed")
+    def _on_deadline_passed(self, exchange: Exchange) -> None:
+        """Respond to a request whose deadline has passed without a response."""
+        self._end_without_decision(exchange, GuardReason.DEADLINE_GUARD, "its deadline has passed")
 
-    def _end_unanswered(self, exchange: Exchange, reason: GuardReason, explanation: str) -> None:
+    def _end_without_decision(self, exchange: Exchange, reason: GuardReason, explanation: str) -> None:
         if exchange.ended:
             return
         self.respond.give_up(exchange)
         result = exchange.result.name.lower() if exchange.result is not None else "unknown"
         if exchange.result is not None:
             self.counters.count_reason(exchange.result, reason)
-        logger.warning("request %s: no response but %s: %s", exchange.call.id, explanation, result)
+        logger.warning(
+            "request %s: ended without a final decision by the scheduler (%s): %s",
+            exchange.call.id,
+            explanation,
+            result,
+        )
         for attempt in exchange.attempts:
             self.attempts.stop(attempt, Outcome.TIMEOUT)
         self.notify(ClientDisconnected(exchange.call.id))
 
-    # ---- what the scheduler asks for
-
     def _send_attempt(self, action: SendAttempt) -> None:
         exchange, now_ms = self.exchanges.get(action.request), self._clock.now_ms()
-        endpoint = self.routes.route(exchange, action.node, now_ms)
+        endpoint = self.routes.endpoint_for_attempt(exchange, action.node, now_ms)
         if exchange is None:
             logger.warning("request %s: no attempt, the request has ended", action.request)
-            self._end_unsent(action)
+            self._report_unsent_attempt(action)
             return
         attempt = Attempt(len(exchange.attempts), action.node, now_ms)
         exchange.attempts.append(attempt)
@@ -295,8 +304,8 @@
         else:
             self.attempts(exchange, attempt, endpoint, action.timeout_ms, action.start_within_ms)
 
-    def _end_unsent(self, action: SendAttempt) -> None:
-        """Give the scheduler the outcome of an attempt that no exchange stands for, to free its slot."""
+    def _report_unsent_attempt(self, action: SendAttempt) -> None:
+        """Notify the scheduler of the outcome of an attempt whose exchange has ended, to free its slot."""
         numbers = [number for request, number in self._scheduler.state.attempts if request == action.request]
         if numbers:
             newest = max(numbers)
@@ -304,21 +313,21 @@
 
     def _reject(self, action: Reject) -> None:
         response = FinalResponse(FinalResult.REJECTED, retry_after_ms=action.retry_after_ms)
-        self._end(action.request, response, action.reason)
+        self._end_by_decision(action.request, response, action.reason)
 
     def _fail(self, action: Fail) -> None:
-        self._end(action.request, FinalResponse(FinalResult.FAILED), action.reason)
+        self._end_by_decision(action.request, FinalResponse(FinalResult.FAILED), action.reason)
 
-    def _end(self, request: str, response: FinalResponse, reason: GiveUpReason) -> None:
-        exchange = self.exchanges.get(request)
+    def _end_by_decision(self, request_id: str, response: FinalResponse, reason: GiveUpReason) -> None:
+        exchange = self.exchanges.get(request_id)
         if exchange is None or exchange.finished:
             return
         self.counters.count_reason(response.result, reason)
-        logger.debug("request %s: %s: %s", request, response.result.name.lower(), reason)
+        logger.debug("request %s: %s: %s", request_id, response.result.name.lower(), reason)
         self.respond(exchange, response)
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
-        # Found among the attempts in flight: one may be cancelled after its request has ended.
+        # The attempt is looked up in flight and not in its exchange, which may have ended before.
         attempt = self.attempts.in_flight.get((action.request, action.attempt))
         if attempt is not None:
             self.attempts.stop(attempt, Outcome.CANCELLED)
@@ -330,7 +339,7 @@
         self._services.send_peer_message(action.peer, action.data)
 
     def _watch_endpoints(self, action: WatchEndpoints) -> None:
-        """Nothing to do: discovery watches the list all the time."""
+        """Do nothing: discovery always watches the endpoint list."""
 
     def _fetch_endpoint_list(self, action: FetchEndpointList) -> None:
         self._services.fetch_endpoint_list()
@@ -346,30 +355,28 @@
     def _send_health_check(self, action: SendHealthCheck) -> None:
         endpoint = self.routes.find(action.node)
         if endpoint is not None:
-            self.spawn(self._health_check(endpoint))
+            self.spawn(self._run_health_check(endpoint))
 
-    async def _health_check(self, endpoint: Endpoint) -> None:
+    async def _run_health_check(self, endpoint: Endpoint) -> None:
         sent_ms = self._clock.now_ms()
         result = await endpoint.client.probe(endpoint.address)
         latency_ms = self._clock.now_ms() - sent_ms
         self.notify(HealthCheckEnded(endpoint.entry.node, result.outcome, latency_ms, result.load_report))
 
-    # ---- background tasks
-
-    def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine beside the requests; its exception is logged and ends nothing else."""
-        task = asyncio.ensure_future(work)
-        self._background.add(task)
-        task.add_done_callback(self._background_ended)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Run a coroutine in the background; if it raises an exception, the exception is logged."""
+        task = asyncio.ensure_future(coroutine)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._on_background_task_done)
         return task
 
-    def _background_ended(self, task: asyncio.Task[None]) -> None:
-        self._background.discard(task)
+    def _on_background_task_done(self, task: asyncio.Task[None]) -> None:
+        self._background_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.error("background task %s failed: %r", task.get_name(), task.exception())
 
     async def close(self) -> None:
-        """End the background tasks."""
-        for task in list(self._background):
+        """Cancel the background tasks and wait until they have ended."""
+        for task in list(self._background_tasks):
             task.cancel()
-        await asyncio.gather(*self._background, return_exceptions=True)
+        await asyncio.gather(*self._background_tasks, return_exceptions=True)
