--- a/shaletiller/core/accept.py
+++ b/shaletiller/core/accept.py
@@ -64,10 +64,10 @@
         if not 0 < call.units <= self._max_units:
             raise BadRequestError("units out of range")
         if self._site_marks_writes and spec.writes != call.write:
-            raise BadRequestError(f"class {call.request_class!r} does not match the request method")
+            raise BadRequestError(f"class {call.request_class!r} is not for this method")
         if spec.effect is Idempotency.KEYED and not call.idempotency_key:
             # Without a key, storage nodes treat each retry as a new request and execute it again.
-            raise BadRequestError(f"class {call.request_class!r} requires an Idempotency-Key")
+            raise BadRequestError(f"class {call.request_class!r} wants an Idempotency-Key")
         if call.shard < -1 or call.volume_gateways < 1 or 0 < self._shards <= call.shard:
             raise BadRequestError("shard or hosts out of range")
         self._check_timeout(call, spec)
@@ -78,7 +78,7 @@
     def _check_timeout(call: ClientCall, spec: ClassSpec) -> None:
         max_timeout_ms = max(MAX_TIMEOUT_MS, DEADLINE_MULTIPLE * spec.deadline_ms)
         if not 0 < call.timeout_ms <= max_timeout_ms:
-            raise BadRequestError("timeout out of range")
+            raise BadRequestError("time-out out of range")
 
     def _check_id(self, call: ClientCall) -> None:
         """Reject a request id that is in use.
@@ -89,4 +89,4 @@
         numbers = range(self._max_attempts)
         in_flight = any((call.id, number) in self._attempts_in_flight for number in numbers)
         if call.id in self._exchanges or in_flight:
-            raise BadRequestError("a request with this id is in progress")
+            raise BadRequestError("a request of this id is being served")
