--- a/shaletiller/store/__init__.py
+++ b/shaletiller/store/__init__.py
@@ -1,1 +1,1 @@
-"""The durable store: a log-structured key-value store in a directory, opened by one process at a time."""
+"""The durable store: a log-structured key-value store in a directory, open in one process at a time."""
--- a/shaletiller/store/cli.py
+++ b/shaletiller/store/cli.py
@@ -1,6 +1,7 @@
-"""`python -m shaletiller store show|verify|compact DIR`: inspect a store, check it, or compact it.
+"""Command line for stores: `python -m shaletiller store show|verify|compact DIR`.
 
-Exit codes: 0 sound, 1 damaged (named), 2 wrong usage, 3 open in another process or not readable.
+Exit codes: 0 success; 1 damaged, with the file and byte offset printed; 2 usage error; 3 store not
+available: open in another process, not readable, or not writable.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes of the command."""
+    """Exit codes for failures."""
 
     DAMAGED = 1
     USAGE = 2
@@ -56,7 +57,7 @@
 
 
 def _read(directory: Path) -> RecoveredContents:
-    """Read the files without opening the store: a running gateway may have it."""
+    """Read and check the files without taking the lock, as a running gateway may have the store open."""
     if not _is_store(directory):
         raise _fail(f"{directory}: no store there", ExitCode.USAGE)
     try:
@@ -69,7 +70,7 @@
 
 
 def _summarize(contents: RecoveredContents) -> dict[str, Any]:
-    """Summarize a store; the keys are a fixed format of the command line."""
+    """Return a summary of a store; its keys are part of the stable output format of `verify`."""
     return {
         "records": len(contents.index),
         "next_sequence": contents.next_sequence,
@@ -84,9 +85,10 @@
 
 @app.command()
 def verify(folder: Directory, as_json: Json = False) -> None:
-    """Read and check every byte.
+    """Read and check all files of the store.
 
-    A torn tail of the last segment is no damage: it was never acknowledged, or is being written right now.
+    A torn tail of the last segment is not damage: either it was never acknowledged, or a running gateway is
+    writing it at this moment.
     """
     summary = _summarize(_read(folder))
     if as_json:
@@ -103,8 +105,8 @@
     as_json: Json = False,
     like: Annotated[str, typer.Option(help="only keys that contain this text")] = "",
 ) -> None:
-    """Show the live records, oldest first: sequence number, kind, key and value."""
-    for record in sorted(_read(folder).index.values(), key=lambda each: each.sequence):
+    """Print the live records in order of their sequence numbers: sequence number, kind, key and value."""
+    for record in sorted(_read(folder).index.values(), key=lambda live: live.sequence):
         row = describe(record.kind, record.key, record.value)
         if like and like not in row["key"]:
             continue
@@ -114,7 +116,7 @@
 
 @app.command()
 def compact(folder: Directory) -> None:
-    """Write the live records into a snapshot, and remove the log before it.
+    """Write the live records to a snapshot, and remove the segments that it replaces.
 
     The gateway must be stopped.
     """
--- a/shaletiller/store/errors.py
+++ b/shaletiller/store/errors.py
@@ -4,7 +4,7 @@
 
 
 class StoreError(Exception):
-    """Base of the errors of the store."""
+    """Base class of the errors of the store."""
 
 
 class StoreLockedError(StoreError):
@@ -12,21 +12,28 @@
 
 
 class StoreFullError(StoreError):
-    """The disk is full: nothing of this commit is stored, a later one may be."""
+    """A write failed, usually because the disk is full.
+
+    No update of this commit is stored; later commits may succeed.
+    """
 
 
 class StoreBrokenError(StoreError):
-    """A sync failed: what the disk holds is unknown, and the store accepts no more commits."""
+    """A sync failed, so the contents of the disk are unknown; the store accepts no further commits.
+
+    A partial write that could not be truncated has the same effect.
+    """
 
 
 class DamagedStoreError(StoreError):
-    """Bytes that were complete have changed, or a file is missing."""
+    """Data that was completely written has changed, or a file is missing."""
 
     def __init__(self, path: str, offset: int, reason: str) -> None:
-        """Name the place.
+        """Create the error.
 
-        :param path: name of the file.
-        :param offset: of the first byte that is wrong.
+        :param path: name of the damaged file.
+        :param offset: offset of the first wrong byte.
+        :param reason: what is wrong there.
         """
         super().__init__(f"{path}: byte {offset}: {reason}")
         self.path, self.offset, self.reason = path, offset, reason
--- a/shaletiller/store/file_system.py
+++ b/shaletiller/store/file_system.py
@@ -1,6 +1,6 @@
-"""Access to the file system: the few calls of the store, each of which can fail or block.
+"""File system operations of the store; each of them may block or fail.
 
-`FaultInjectingFileSystem` injects faults under a real store, for drills and for the laboratory.
+`FaultInjectingFileSystem` injects faults below a real store, for failure drills and for the laboratory.
 """
 
 from __future__ import annotations
@@ -15,14 +15,17 @@
 
 from shaletiller.store.errors import StoreLockedError
 
-FILE_MODE = 0o640  # the operator's group may read a store, others may not: it holds clients' data
+FILE_MODE = 0o640  # a store contains clients' data: readable by the operator's group, but not by others
 
 
 class FileSystem:
-    """The calls of the store; each raises OSError as the operating system does."""
+    """The file system operations of the store.
+
+    Open files are identified by file descriptors.  Each method raises OSError as the operating system does.
+    """
 
     def open_append(self, path: Path) -> int:
-        """Open a file for appending, and create it where it does not exist.
+        """Open a file for appending, and create it if it does not exist.
 
         :returns: a file descriptor.
         """
@@ -31,7 +34,7 @@
     def write(self, file: int, data: bytes) -> None:
         """Write all of `data`.
 
-        :raises OSError: if not all of it could be written; some of it may have been.
+        :raises OSError: if not all of it could be written; a part of it may have been.
         """
         remaining = memoryview(data)
         while remaining:
@@ -46,7 +49,7 @@
         os.ftruncate(file, size)
 
     def close(self, file: int) -> None:
-        """Close a file descriptor, and release its lock."""
+        """Close a file descriptor, which also releases a lock held through it."""
         os.close(file)
 
     def read(self, path: Path) -> bytes:
@@ -54,7 +57,7 @@
         return path.read_bytes()
 
     def list_names(self, directory: Path) -> list[str]:
-        """List the names in a directory, sorted."""
+        """Return the sorted names of the files in a directory."""
         return sorted(os.listdir(directory))
 
     def rename(self, old: Path, new: Path) -> None:
@@ -74,7 +77,7 @@
             os.close(file)
 
     def lock(self, path: Path) -> int:
-        """Lock a file until it is closed or the process ends.
+        """Take an exclusive lock on a file, held until the file is closed or the process ends.
 
         :returns: a file descriptor.
         :raises StoreLockedError: if another process holds the lock.
@@ -89,18 +92,24 @@
 
 
 class InjectedFaults(msgspec.Struct, forbid_unknown_fields=True):
-    """The faults in a drill's JSON file; the names of the fields are its format."""
+    """The contents of a fault injection file (JSON); the field names are its format."""
 
-    slow_ms: float = 0.0  # added to each sync
-    full: bool = False  # writes fail halfway, as on a full disk
-    sync_fails: bool = False
+    slow_ms: float = 0.0  # delay added to each sync
+    full: bool = False  # writes fail halfway with ENOSPC, as on a full disk
+    sync_fails: bool = False  # syncs fail with EIO
 
 
 class FaultInjectingFileSystem(FileSystem):
-    """Injects the faults of a JSON file, read before each call; without the file there are none."""
+    """Injects the faults that a JSON file requests.
+
+    The file is read again before each write and sync.  A missing or malformed file injects no fault.
+    """
 
     def __init__(self, faults: Path) -> None:
-        """Take the faults from the file `faults`."""
+        """Create the file system.
+
+        :param faults: path of the fault injection file.
+        """
         self._path = faults
 
     def _read_faults(self) -> InjectedFaults:
@@ -110,14 +119,14 @@
             return InjectedFaults()
 
     def write(self, file: int, data: bytes) -> None:
-        """Write all of `data`, or half of it and fail as on a full disk."""
+        """Write all of `data`; under the fault `full`, write half of it and raise ENOSPC."""
         if self._read_faults().full:
             super().write(file, data[: len(data) // 2])
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         super().write(file, data)
 
     def sync(self, file: int) -> None:
-        """Make the data of a file durable, late or not at all."""
+        """Make the data of a file durable, subject to the faults `slow_ms` and `sync_fails`."""
         faults = self._read_faults()
         if faults.slow_ms > 0:
             time.sleep(faults.slow_ms / 1000)
--- a/shaletiller/store/record_format.py
+++ b/shaletiller/store/record_format.py
@@ -1,19 +1,20 @@
-"""The bytes of a store's files, version 1; described in docs/store.md.
+"""The file format of the store, version 1; see docs/store.md.
 
-A file is a header followed by records.  All numbers are little-endian.
+A file consists of a header followed by records.  All numbers are little-endian.
 
     header   magic (8 bytes, the last but one is the version), number u64, first u64, checksum u64
     record   head: body length u32, kind u8, deleted u8, key length u16, sequence u64, checksum u64
              body: key, value; then checksum u64
 
-A segment's `number` counts segments from 1, `first` is the sequence number of its first record, and its
-records are numbered from there without a gap.  A snapshot's `number` is that of the first segment it does not
-cover; its records keep their sequence numbers, and a record of kind SNAPSHOT_END closes it.
+Segments are numbered from 1 (`number`).  `first` is the sequence number of a segment's first record, and its
+records are numbered consecutively from there.  A snapshot's `number` is that of the first segment that it
+does not cover, and its `first` is the sequence number of that segment's first record; its records keep their
+sequence numbers, and a record of kind SNAPSHOT_END follows the last one.
 
-The head has a checksum of its own, so that a length can be trusted: a record that extends beyond the end of
-its file was never complete (torn), and one that is complete with a wrong checksum was changed later
-(damaged). Checksums are XXH3-64, seeded with the file's number for a head and with the record's sequence
-number for a body: a record that was moved to another place or file does not pass.
+The head has its own checksum, so that the length in it can be trusted: a record that extends beyond the end
+of its file was never completely written (torn), and a complete record with a wrong checksum was changed later
+(damaged).  Checksums are XXH3-64, seeded with the file's number for a head and with the record's sequence
+number for a body, so a record that was moved to another position or file fails the check.
 """
 
 from __future__ import annotations
@@ -28,15 +29,15 @@
 from shaletiller.store.errors import DamagedStoreError
 
 SEGMENT_MAGIC, SNAPSHOT_MAGIC = b"SHTSEG\x01\n", b"SHTSNP\x01\n"
-SNAPSHOT_END = 255  # the kind of the record that closes a snapshot; its value counts the records before it
-MAX_BODY_BYTES = 1 << 24  # bounds what a wrong length could make a reader allocate
-MAX_KEY_BYTES = (1 << 16) - 1  # of the key length field
+SNAPSHOT_END = 255  # kind of the last record of a snapshot; its value is the number of records before it
+MAX_BODY_BYTES = 1 << 24  # maximum size of key and value; bounds what a reader allocates for one record
+MAX_KEY_BYTES = (1 << 16) - 1  # largest value of the key length field
 _HEADER = struct.Struct("<8sQQ")
 _HEAD = struct.Struct("<IBBHQ")
 _CHECKSUM = struct.Struct("<Q")
 HEADER_BYTES = _HEADER.size + _CHECKSUM.size
 HEAD_BYTES = _HEAD.size + _CHECKSUM.size
-RECORD_OVERHEAD_BYTES = HEAD_BYTES + _CHECKSUM.size  # beside key and value
+RECORD_OVERHEAD_BYTES = HEAD_BYTES + _CHECKSUM.size  # size of a record without its key and value
 
 
 class RecordUpdate(NamedTuple):
@@ -49,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """One record; `deleted` means that its key has no value from here on."""
+    """One record; if `deleted` is set, it deletes its key."""
 
     kind: int
     key: bytes
@@ -59,7 +60,7 @@
 
     @property
     def size(self) -> int:
-        """Size in a file, in bytes."""
+        """Encoded size in bytes."""
         return RECORD_OVERHEAD_BYTES + len(self.key) + len(self.value)
 
 
@@ -78,9 +79,9 @@
 
 
 def encode_record(record: Record, file_number: int) -> bytes:
-    """Encode a record for the file of this number.
+    """Encode a record for the file with this number.
 
-    :raises ValueError: if its key or value is too long.
+    :raises ValueError: if the key is longer than MAX_KEY_BYTES, or key and value than MAX_BODY_BYTES.
     """
     body = record.key + record.value
     if len(record.key) > MAX_KEY_BYTES or len(body) > MAX_BODY_BYTES:
@@ -99,8 +100,8 @@
 def decode_header(path: str, data: bytes, magic: bytes) -> FileHeader | None:
     """Decode the header of a file.
 
-    :returns: None where the file ends before its header does.
-    :raises DamagedStoreError: if it is not a header of this kind and version.
+    :returns: the header, or None if the file ends within it.
+    :raises DamagedStoreError: if the checksum is wrong, or the magic is of another file type or version.
     """
     if len(data) < HEADER_BYTES:
         return None
@@ -109,17 +110,17 @@
     if checksum != xxhash.xxh3_64_intdigest(data[: _HEADER.size]):
         raise DamagedStoreError(path, 0, "the header's checksum is wrong")
     if found != magic:
-        raise DamagedStoreError(path, 0, f"of another version or kind: {found!r}")
+        raise DamagedStoreError(path, 0, f"another file type or format version: magic {found!r}")
     return FileHeader(number, first_sequence)
 
 
 def decode_records(path: str, data: bytes, file_number: int) -> Iterator[tuple[int, Record]]:
     """Decode the complete records of a file.
 
-    Ends where the file ends within a record, or in nothing but zeros, as a file system leaves a file whose
-    length became durable before its data.
+    Stops at an incomplete record at the end of the file, or where only zeros follow: a file system leaves
+    them if the length of a file became durable before its data.
 
-    :returns: the offset behind each record, and the record.
+    :returns: an iterator over each record with the offset of its end.
     :raises DamagedStoreError: for a complete record that has changed.
     """
     offset = HEADER_BYTES
--- a/shaletiller/store/recovery.py
+++ b/shaletiller/store/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery: the files of a store are read and checked, and the index is rebuilt from them.
+"""Recovery: reads and checks the files of a store, and rebuilds the index from them.
 
-A torn tail of the last segment was never acknowledged and is ignored; anything else that is wrong is damage,
-and then nothing of the store is used.
+A torn tail of the last segment is ignored, since it was never acknowledged.  Any other error is damage, and
+the whole store is rejected.
 """
 
 from __future__ import annotations
@@ -26,36 +26,39 @@
 SEGMENT_NAME = re.compile(rf"(\d{{10}})\.{SEGMENT_SUFFIX}")
 SNAPSHOT_NAME = re.compile(rf"(\d{{10}})\.{SNAPSHOT_SUFFIX}")
 
-RecordKey = tuple[int, bytes]  # kind, key
+RecordKey = tuple[int, bytes]  # (kind, key)
 
 
 def file_name(number: int, suffix: str) -> str:
-    """Return the name of a segment or snapshot; sorted names are in the order of their numbers."""
+    """Return the name of a segment or snapshot; names sort in the order of their numbers."""
     return f"{number:010d}.{suffix}"
 
 
 def numbers_of(pattern: re.Pattern[str], names: list[str]) -> list[int]:
-    """Return the numbers of the files whose names match, sorted."""
+    """Return the sorted numbers of the files whose names match a pattern."""
     return sorted(int(match[1]) for name in names if (match := pattern.fullmatch(name)))
 
 
 class RecoveredContents:
-    """The contents of a store's files.  The files are not changed, and may be in use."""
+    """The contents of a store's files.
+
+    The files are only read, and may be in use by another process.
+    """
 
     def __init__(self, directory: Path, file_system: FileSystem) -> None:
         """Read and check all files.
 
-        :raises DamagedStoreError: naming the first thing that is wrong.
+        :raises DamagedStoreError: for the first error found, with its file and offset.
         :raises OSError: if a file cannot be read.
         """
         self.index: dict[RecordKey, Record] = {}
-        self.torn_bytes = 0  # behind the last complete record
+        self.torn_bytes = 0  # bytes after the last complete record
         self.torn_file = ""
         self.next_sequence = 1
-        self.segments: dict[int, int] = {}  # complete bytes by number
-        self.snapshot = 0  # number of the newest, 0: none
+        self.segments: dict[int, int] = {}  # size of each segment without a torn tail, by segment number
+        self.snapshot = 0  # number of the newest snapshot; 0 if there is none
         self.snapshot_bytes = 0
-        self.obsolete_files: list[str] = []  # covered by a snapshot, or unfinished
+        self.obsolete_files: list[str] = []  # files covered by a snapshot, and unfinished snapshots
         self._files, self._directory = file_system, directory
         self._recover(file_system.list_names(directory))
 
@@ -68,7 +71,7 @@
             self.snapshot = snapshots[-1]
             self._read_snapshot(self.snapshot)
         first = self.snapshot or 1
-        self.obsolete_files += [file_name(each, SEGMENT_SUFFIX) for each in segments if each < first]
+        self.obsolete_files += [file_name(covered, SEGMENT_SUFFIX) for covered in segments if covered < first]
         segments = [number for number in segments if number >= first]
         for expected, number in enumerate(segments, first):
             if number != expected:
@@ -76,7 +79,7 @@
                 raise DamagedStoreError(name, 0, "the segment is missing")
             self._read_segment(number, last=number == segments[-1])
         if self.snapshot and not segments:
-            # The first segment of a snapshot is created, and durable, before the snapshot is begun.
+            # The first segment that a snapshot does not cover is durable before the snapshot is begun.
             raise DamagedStoreError(file_name(first, SEGMENT_SUFFIX), 0, "the segment is missing")
 
     def _apply(self, record: Record) -> None:
@@ -90,16 +93,16 @@
         data = self._files.read(self._directory / name)
         header = decode_header(name, data, SNAPSHOT_MAGIC)
         if header is None or header.number != number:
-            raise DamagedStoreError(name, 0, "the header is truncated or of another file")
+            raise DamagedStoreError(name, 0, "the header is truncated or belongs to another file")
         end = HEADER_BYTES
         for count, (end, record) in enumerate(decode_records(name, data, number)):
             if record.kind == SNAPSHOT_END:
                 if int.from_bytes(record.value, "little") != count or end != len(data):
-                    raise DamagedStoreError(name, end, "the snapshot's end does not match its records")
+                    raise DamagedStoreError(name, end, "the snapshot's end record does not match its records")
                 break
             self._apply(record)
         else:
-            raise DamagedStoreError(name, end, "the snapshot has no end")
+            raise DamagedStoreError(name, end, "the snapshot's end record is missing")
         self.next_sequence, self.snapshot_bytes = header.first_sequence, len(data)
 
     def _read_segment(self, number: int, last: bool) -> None:
--- a/shaletiller/store/segment_store.py
+++ b/shaletiller/store/segment_store.py
@@ -1,14 +1,15 @@
-"""A log-structured key-value store: segments of an append-only log, an index in memory, checked recovery.
+"""A log-structured key-value store: an append-only log in segments, an in-memory index and checked recovery.
 
-The structure is that of Rosenblum and Ousterhout, "The design and implementation of a log-structured file
+The structure follows Rosenblum and Ousterhout, "The design and implementation of a log-structured file
 system" (1992), with an in-memory index as in Bitcask (Sheehy and Smith, 2010) and compaction by snapshot.
 
-The guarantee: a record whose `commit` returned is found complete by every later opening, until a later record
-of its key replaces or deletes it.  It rests on a file system that keeps what fdatasync, and the fsync of a
-directory, have returned for.  A record that was not committed may be found or not, but never in part.
+Durability: a record whose `commit` has returned is recovered intact each time the store is opened, until a
+later record of its key replaces or deletes it.  This relies on a file system that preserves all data for
+which fdatasync, or fsync on a directory, has returned.  A record whose `commit` did not return may or may not
+be recovered, but never in part.
 
-Damage is named (`errors.DamagedStoreError`) and nothing of the store is used; a torn tail is cut off, and its
-length is in `torn_bytes`.
+If a file is damaged, opening raises `errors.DamagedStoreError`, which names the place, and no data of the
+store is used.  A torn tail is truncated; `torn_bytes` holds its length.
 """
 
 from __future__ import annotations
@@ -36,32 +37,35 @@
 )
 from shaletiller.store.snapshot import Snapshot
 
-SEGMENT_BYTES = 8 << 20  # empirical: few files against the log that a compaction leaves behind
-# Compaction pays when the log holds more than this beyond the live records: as much again as they have, so
-# that the bytes written stay within twice those committed, and an absolute minimum, so that a small store
-# rests.
+# Default segment size.  A larger value gives fewer files; a smaller value leaves less log after a compaction.
+SEGMENT_BYTES = 8 << 20
+# The log is compacted when its replaced and deleted records exceed MAX_GARBAGE_RATIO times the size of the
+# live records plus MIN_GARBAGE_BYTES.  The ratio of 1 keeps the total of bytes written within twice the bytes
+# committed; the minimum prevents frequent compactions of a small store.
 MAX_GARBAGE_RATIO = 1.0
 MIN_GARBAGE_BYTES = 4 << 20
 
-PlainUpdate = tuple[int, bytes, bytes | None]  # a `record_format.RecordUpdate`, or a tuple in its order
+PlainUpdate = tuple[
+    int, bytes, bytes | None
+]  # (kind, key, value): a `record_format.RecordUpdate` or an equivalent tuple
 
 
 class SegmentStore:
-    """An open store; one process at a time has it.
+    """An open store; only one process at a time can open it.
 
-    Its calls block: `writer.StoreWriter` makes them in another thread than that of the requests.  `index`
-    holds what is committed.
+    Its methods block: `writer.StoreWriter` calls them on a thread of its own, not on the event loop.  `index`
+    holds the committed live records.
     """
 
     def __init__(
         self, directory: Path, file_system: FileSystem | None = None, segment_bytes: int = SEGMENT_BYTES
     ) -> None:
-        """Open a store, and create it where it does not exist.
+        """Open a store, and create it if it does not exist.
 
-        :param segment_bytes: a new segment is begun when the last one has this size.
+        :param segment_bytes: size at which a segment is complete and the next commit begins a new one.
         :raises StoreLockedError: if another process has it open.
         :raises DamagedStoreError: if its files are damaged.
-        :raises OSError: if they cannot be read or written.
+        :raises OSError: if its files cannot be read or written.
         """
         self.directory = directory
         self._files = file_system or FileSystem()
@@ -69,7 +73,7 @@
         directory.mkdir(parents=True, exist_ok=True)
         self._lock = self._files.lock(directory / LOCK_FILE)
         self._file = -1
-        self.failure = ""  # why no commit is accepted any more
+        self.failure = ""  # why the store accepts no further commits; empty while it does
         self.syncs = 0
         try:
             self._open()
@@ -102,7 +106,7 @@
         return self.directory / file_name(number, SEGMENT_SUFFIX)
 
     def _begin_segment(self, number: int) -> None:
-        """Create a segment, and make it durable before a record is written to it."""
+        """Create a segment and make its header durable, so that records can be appended."""
         path = self._segment_path(number)
         file = self._files.open_append(path)
         try:
@@ -123,15 +127,16 @@
         return iter(list(self.index.values()))
 
     def get(self, kind: int, key: bytes) -> bytes | None:
-        """Return the value of a key; None where it has none."""
+        """Return the value of a key, or None if it has none."""
         record = self.index.get((kind, key))
         return None if record is None else record.value
 
     def commit(self, updates: Iterable[PlainUpdate]) -> None:
-        """Append these updates in order, with one sync.  On return they are durable.
+        """Append updates in order with a single sync; they are durable when this returns.
 
-        :raises StoreFullError: none of them is stored.
-        :raises StoreBrokenError: it is unknown whether they are stored; no further commit is accepted.
+        :raises StoreFullError: if the write failed; none of the updates is stored.
+        :raises StoreBrokenError: if this or an earlier sync failed; it is unknown whether the updates of the
+            failed commit are stored, and no further commit is accepted.
         """
         if self.failure:
             raise StoreBrokenError(self.failure)
@@ -157,7 +162,8 @@
         try:
             self._files.sync(self._file)
         except OSError as error:
-            # The kernel may have dropped the pages, and report success for the next sync: never retry.
+            # After a failed sync the kernel may drop the dirty pages and report success for the next sync, so
+            # a sync is never retried.
             self.failure = f"a sync failed: {error}"
             raise StoreBrokenError(self.failure) from error
         self.syncs += 1
@@ -165,7 +171,7 @@
         self.log_bytes += len(data)
 
     def _truncate_partial_write(self, error: OSError) -> None:
-        """Remove what was written of a commit, so that the next one follows complete records."""
+        """Truncate a partly written commit, so that the next one follows a complete record."""
         try:
             self._files.truncate(self._file, self._size)
         except OSError as second:
@@ -183,20 +189,18 @@
         try:
             self._begin_segment(self._number + 1)
         except OSError as error:
-            raise StoreFullError(f"no new segment: {error}") from error
-
-    # ---- compaction
+            raise StoreFullError(f"could not create a new segment: {error}") from error
 
     @property
     def needs_compaction(self) -> bool:
-        """Whether the log holds enough replaced and deleted records for a snapshot to pay."""
+        """Return whether the log holds enough replaced and deleted records to justify a compaction."""
         return self.log_bytes > self.live_bytes * (1 + MAX_GARBAGE_RATIO) + MIN_GARBAGE_BYTES
 
     def begin_snapshot(self) -> Snapshot:
-        """Begin a segment for further commits, and capture what is live before it.
+        """Begin a new segment for further commits, and capture the live records before it.
 
         :raises StoreFullError: if the segment cannot be created.
-        :raises StoreBrokenError: if a sync has failed before.
+        :raises StoreBrokenError: if the store accepts no further commits.
         """
         if self.failure:
             raise StoreBrokenError(self.failure)
@@ -211,11 +215,11 @@
         )
 
     def compact(self) -> None:
-        """Write a snapshot now."""
+        """Compact the log now, blocking until the snapshot is durable."""
         self.end_snapshot(self.begin_snapshot().write())
 
     def end_snapshot(self, snapshot: Snapshot) -> None:
-        """Remove the files that a durable snapshot replaces."""
+        """Remove the segments and older snapshots that a durable snapshot replaces."""
         for name in self._files.list_names(self.directory):
             numbers = numbers_of(SEGMENT_NAME, [name]) or numbers_of(SNAPSHOT_NAME, [name])
             if numbers and numbers[0] < snapshot.number:
@@ -225,7 +229,7 @@
         self.log_bytes = snapshot.size + remaining
 
     def close(self) -> None:
-        """Close the store for the next process; may be called twice."""
+        """Close the store and release its lock; safe to call more than once."""
         if self._file >= 0:
             self._files.close(self._file)
             self._file = -1
--- a/shaletiller/store/snapshot.py
+++ b/shaletiller/store/snapshot.py
@@ -1,4 +1,7 @@
-"""Snapshots: the live records as of one moment, written beside running commits, replace the log before it."""
+"""Snapshots: the live records at a point in the log, which replace the log before that point.
+
+A snapshot can be written while commits continue.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,12 @@
 )
 from shaletiller.store.recovery import SNAPSHOT_SUFFIX, UNFINISHED_SUFFIX, file_name
 
-CHUNK_BYTES = 1 << 18  # empirical: few calls against memory
+# Bytes per write call.  A larger value makes fewer calls; a smaller value needs less memory.
+CHUNK_BYTES = 1 << 18
 
 
 class Snapshot:
-    """The live records of a store as of its segment `number`, which the snapshot does not cover."""
+    """The live records of a store before segment `number`, the first that the snapshot does not cover."""
 
     def __init__(
         self,
@@ -34,7 +38,7 @@
         """Capture the records.
 
         :param first_sequence: sequence number of the first record of segment `number`.
-        :param covered_bytes: size of the log that the snapshot replaces.
+        :param covered_bytes: size in bytes of the log that the snapshot replaces.
         """
         self.number = number
         self.covered_bytes = covered_bytes
@@ -43,11 +47,13 @@
         self._files, self._directory = file_system, directory
 
     def write(self) -> Snapshot:
-        """Write it and make it durable; may be called in another thread than the commits.
+        """Write the snapshot and make it durable; may run on another thread than the commits.
 
-        It is renamed when it is complete: there is never half a snapshot under its name.
+        The data is written to a temporary file, which is renamed once it is complete and durable: an
+        incomplete snapshot never has the name of a snapshot.
 
-        :raises OSError: if it cannot be written; nothing of it is left then.
+        :returns: the snapshot itself.
+        :raises OSError: if it cannot be written; the temporary file is then removed if possible.
         """
         unfinished = self._directory / file_name(self.number, UNFINISHED_SUFFIX)
         self._files.remove(unfinished)
@@ -69,7 +75,7 @@
 
     def _chunks(self) -> Iterator[bytes]:
         chunk = bytearray(encode_header(SNAPSHOT_MAGIC, self.number, self._first_sequence))
-        for record in sorted(self._records, key=lambda each: each.sequence):
+        for record in sorted(self._records, key=lambda live: live.sequence):
             chunk += encode_record(record, self.number)
             if len(chunk) >= CHUNK_BYTES:
                 yield bytes(chunk)
--- a/shaletiller/store/writer.py
+++ b/shaletiller/store/writer.py
@@ -1,8 +1,8 @@
-"""The background writer: group commit on a thread of its own, beside the event loop.
+"""Background writer: group commit on a dedicated thread, so that the event loop is not blocked.
 
-While one commit is under way the following updates gather, and then share one sync; an update thus waits for
-at most one sync before its own, and no timer delays it.  (Group commit: DeWitt et al., "Implementation
-techniques for main memory database systems", 1984.)
+Updates that arrive during a commit are queued and then share one sync.  Unless the queue exceeds
+`MAX_UPDATES_PER_COMMIT`, an update waits for at most one sync before its own, and no timer delays it.  (Group
+commit: DeWitt et al., "Implementation techniques for main memory database systems", 1984.)
 """
 
 from __future__ import annotations
@@ -22,14 +22,16 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_UPDATES_PER_COMMIT = 2_000  # empirical: bounds how long one commit takes
-STOP_POLL_S = 0.005
-SNAPSHOT_RETRY_S = 1.0  # a disk that is full now will rarely have space earlier
+# No further submission joins a batch of this size.  A larger value makes fewer syncs; a smaller value bounds
+# the duration of a commit more tightly.
+MAX_UPDATES_PER_COMMIT = 2_000
+STOP_POLL_S = 0.005  # seconds between checks for outstanding commits while stopping
+SNAPSHOT_RETRY_S = 1.0  # seconds before the next attempt; a full disk rarely has free space sooner
 CommitCallback = Callable[[bool], None]
 
 
 def _ignore_result(durable: bool) -> None:
-    """Do without the result of a commit."""
+    """Ignore the result of a commit; the default callback."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,10 +41,10 @@
 
 
 class StoreWriter:
-    """Commits updates to a store, and compacts it when that pays."""
+    """Commits updates to a store on background threads, and compacts it when needed."""
 
     def __init__(self, store: SegmentStore) -> None:
-        """Take over an open store; `start` begins to commit."""
+        """Take ownership of an open store; call `start` to begin committing."""
         self.store = store
         self._queue: deque[_Request] = deque()
         self._queued = asyncio.Event()
@@ -55,18 +57,19 @@
         self.commits = self.committed_updates = self.failed_updates = self.snapshots = 0
 
     def start(self) -> None:
-        """Start committing, on the running event loop."""
+        """Start committing; must be called from the running event loop."""
         self._commit_task = asyncio.ensure_future(self._run())
 
     @property
     def healthy(self) -> bool:
-        """Whether the last commit succeeded, so that the next one is likely to."""
+        """Return whether the last commit succeeded and the store accepts further commits."""
         return not self._last_commit_failed and not self.store.failure
 
     def submit(self, updates: Sequence[PlainUpdate], on_result: CommitCallback = _ignore_result) -> None:
-        """Queue updates.
+        """Queue updates for the next commit.
 
-        :param on_result: called on the event loop, with whether the updates are durable.
+        :param on_result: called on the event loop with True if the updates are durable, and False if the
+            commit failed.
         """
         self._queue.append(_Request(updates, on_result))
         self._queued.set()
@@ -103,7 +106,7 @@
             self._snapshot_task = asyncio.ensure_future(self._compact())
 
     def _commit(self, updates: list[PlainUpdate]) -> bool:
-        """Commit on the writer's thread."""
+        """Commit updates on the commit thread, and return whether they are durable."""
         try:
             self.store.commit(updates)
         except (StoreFullError, StoreBrokenError) as error:
@@ -131,7 +134,7 @@
             self._snapshot_task = None
 
     async def stop(self) -> None:
-        """Commit what is queued, unless commits fail, and close the store for the next process."""
+        """Commit the queued updates, unless commits fail, and close the store."""
         while self._committing or (self._queue and self.healthy):
             await asyncio.sleep(STOP_POLL_S)
         for task in (self._commit_task, self._snapshot_task):
