--- a/shaletiller/store/cli.py
+++ b/shaletiller/store/cli.py
@@ -40,13 +40,13 @@
     pretty_exceptions_enable=False,
     help="A gateway's store: docs/store.md.",
 )
-Directory = Annotated[
+DirectoryArgument = Annotated[
     Path, typer.Argument(metavar="DIR", exists=True, file_okay=False, help="the store's directory")
 ]
-Json = Annotated[bool, typer.Option("--json", help="one JSON object instead of lines")]
+JsonOption = Annotated[bool, typer.Option("--json", help="one JSON object instead of lines")]
 
 
-def _fail(message: object, code: ExitCode) -> typer.Exit:
+def _error_exit(message: object, code: ExitCode) -> typer.Exit:
     typer.echo(f"store: {message}", err=True)
     return typer.Exit(code)
 
@@ -59,14 +59,14 @@
 def _read(directory: Path) -> RecoveredContents:
     """Read and check the files without taking the lock, as a running gateway may have the store open."""
     if not _is_store(directory):
-        raise _fail(f"{directory}: no store there", ExitCode.USAGE)
+        raise _error_exit(f"{directory}: no store there", ExitCode.USAGE)
     try:
         return RecoveredContents(directory, FileSystem())
     except DamagedStoreError as error:
         typer.echo(f"damaged: {error}")
         raise typer.Exit(ExitCode.DAMAGED) from error
     except OSError as error:
-        raise _fail(error, ExitCode.UNAVAILABLE) from error
+        raise _error_exit(error, ExitCode.UNAVAILABLE) from error
 
 
 def _summarize(contents: RecoveredContents) -> dict[str, Any]:
@@ -74,9 +74,9 @@
     return {
         "records": len(contents.index),
         "next_sequence": contents.next_sequence,
-        "segments": len(contents.segments),
-        "snapshot": contents.snapshot,
-        "log_bytes": contents.snapshot_bytes + sum(contents.segments.values()),
+        "segments": len(contents.segment_sizes),
+        "snapshot": contents.snapshot_number,
+        "log_bytes": contents.snapshot_bytes + sum(contents.segment_sizes.values()),
         "live_bytes": sum(record.size for record in contents.index.values()),
         "torn_bytes": contents.torn_bytes,
         "torn_file": contents.torn_file,
@@ -84,13 +84,13 @@
 
 
 @app.command()
-def verify(folder: Directory, as_json: Json = False) -> None:
+def verify(directory: DirectoryArgument, as_json: JsonOption = False) -> None:
     """Read and check all files of the store.
 
     A torn tail of the last segment is not damage: either it was never acknowledged, or a running gateway is
     writing it at this moment.
     """
-    summary = _summarize(_read(folder))
+    summary = _summarize(_read(directory))
     if as_json:
         typer.echo(json.dumps(summary))
         return
@@ -101,12 +101,12 @@
 
 @app.command()
 def show(
-    folder: Directory,
-    as_json: Json = False,
+    directory: DirectoryArgument,
+    as_json: JsonOption = False,
     like: Annotated[str, typer.Option(help="only keys that contain this text")] = "",
 ) -> None:
     """Print the live records in order of their sequence numbers: sequence number, kind, key and value."""
-    for record in sorted(_read(folder).index.values(), key=lambda live: live.sequence):
+    for record in sorted(_read(directory).index.values(), key=lambda live: live.sequence):
         row = describe(record.kind, record.key, record.value)
         if like and like not in row["key"]:
             continue
@@ -115,24 +115,24 @@
 
 
 @app.command()
-def compact(folder: Directory) -> None:
+def compact(directory: DirectoryArgument) -> None:
     """Write the live records to a snapshot, and remove the segments that it replaces.
 
     The gateway must be stopped.
     """
-    _read(folder)
+    _read(directory)
     try:
-        store = SegmentStore(folder)
+        store = SegmentStore(directory)
     except StoreLockedError as error:
-        raise _fail(error, ExitCode.UNAVAILABLE) from error
-    before = store.log_bytes
+        raise _error_exit(error, ExitCode.UNAVAILABLE) from error
+    bytes_before = store.log_bytes
     try:
         store.compact()
     except (StoreFullError, OSError) as error:
-        raise _fail(error, ExitCode.UNAVAILABLE) from error
+        raise _error_exit(error, ExitCode.UNAVAILABLE) from error
     finally:
         store.close()
-    typer.echo(f"{before} bytes before, {store.log_bytes} after")
+    typer.echo(f"{bytes_before} bytes before, {store.log_bytes} after")
 
 
 def main(arguments: list[str]) -> int:
@@ -142,8 +142,8 @@
     """
     try:
         app(arguments, standalone_mode=True, prog_name="python -m shaletiller store")
-    except SystemExit as ended:
-        return int(ended.code or 0)
+    except SystemExit as exit_request:
+        return int(exit_request.code or 0)
     return 0
 
 
--- a/shaletiller/store/file_system.py
+++ b/shaletiller/store/file_system.py
@@ -105,16 +105,16 @@
     The file is read again before each write and sync.  A missing or malformed file injects no fault.
     """
 
-    def __init__(self, faults: Path) -> None:
+    def __init__(self, faults_path: Path) -> None:
         """Create the file system.
 
-        :param faults: path of the fault injection file.
+        :param faults_path: path of the fault injection file.
         """
-        self._path = faults
+        self._faults_path = faults_path
 
     def _read_faults(self) -> InjectedFaults:
         try:
-            return msgspec.json.decode(self._path.read_bytes(), type=InjectedFaults)
+            return msgspec.json.decode(self._faults_path.read_bytes(), type=InjectedFaults)
         except (OSError, msgspec.MsgspecError):
             return InjectedFaults()
 
--- a/shaletiller/store/record_format.py
+++ b/shaletiller/store/record_format.py
@@ -105,12 +105,12 @@
     """
     if len(data) < HEADER_BYTES:
         return None
-    found, number, first_sequence = _HEADER.unpack_from(data)
+    found_magic, number, first_sequence = _HEADER.unpack_from(data)
     (checksum,) = _CHECKSUM.unpack_from(data, _HEADER.size)
     if checksum != xxhash.xxh3_64_intdigest(data[: _HEADER.size]):
         raise DamagedStoreError(path, 0, "the header's checksum is wrong")
-    if found != magic:
-        raise DamagedStoreError(path, 0, f"another file type or format version: magic {found!r}")
+    if found_magic != magic:
+        raise DamagedStoreError(path, 0, f"another file type or format version: magic {found_magic!r}")
     return FileHeader(number, first_sequence)
 
 
@@ -131,8 +131,8 @@
             if not data[offset:].strip(b"\0"):
                 return
             raise DamagedStoreError(path, offset, "a record's head has a wrong checksum")
-        length, kind, deleted, key_length, sequence = _HEAD.unpack(head)
-        end = offset + HEAD_BYTES + length + _CHECKSUM.size
+        body_length, kind, deleted, key_length, sequence = _HEAD.unpack(head)
+        end = offset + HEAD_BYTES + body_length + _CHECKSUM.size
         if end > len(data):
             return
         body = data[offset + HEAD_BYTES : end - _CHECKSUM.size]
--- a/shaletiller/store/recovery.py
+++ b/shaletiller/store/recovery.py
@@ -34,7 +34,7 @@
     return f"{number:010d}.{suffix}"
 
 
-def numbers_of(pattern: re.Pattern[str], names: list[str]) -> list[int]:
+def matching_numbers(pattern: re.Pattern[str], names: list[str]) -> list[int]:
     """Return the sorted numbers of the files whose names match a pattern."""
     return sorted(int(match[1]) for name in names if (match := pattern.fullmatch(name)))
 
@@ -55,30 +55,30 @@
         self.torn_bytes = 0  # bytes after the last complete record
         self.torn_file = ""
         self.next_sequence = 1
-        self.segments: dict[int, int] = {}  # size of each segment without a torn tail, by segment number
-        self.snapshot = 0  # number of the newest snapshot; 0 if there is none
+        self.segment_sizes: dict[int, int] = {}  # size of each segment without a torn tail, by segment number
+        self.snapshot_number = 0  # number of the newest snapshot; 0 if there is none
         self.snapshot_bytes = 0
         self.obsolete_files: list[str] = []  # files covered by a snapshot, and unfinished snapshots
         self._files, self._directory = file_system, directory
         self._recover(file_system.list_names(directory))
 
     def _recover(self, names: list[str]) -> None:
-        snapshots = numbers_of(SNAPSHOT_NAME, names)
-        segments = numbers_of(SEGMENT_NAME, names)
+        snapshots = matching_numbers(SNAPSHOT_NAME, names)
+        segments = matching_numbers(SEGMENT_NAME, names)
         self.obsolete_files += [name for name in names if name.endswith(f".{UNFINISHED_SUFFIX}")]
         self.obsolete_files += [file_name(number, SNAPSHOT_SUFFIX) for number in snapshots[:-1]]
         if snapshots:
-            self.snapshot = snapshots[-1]
-            self._read_snapshot(self.snapshot)
-        first = self.snapshot or 1
+            self.snapshot_number = snapshots[-1]
+            self._read_snapshot(self.snapshot_number)
+        first = self.snapshot_number or 1
         self.obsolete_files += [file_name(covered, SEGMENT_SUFFIX) for covered in segments if covered < first]
         segments = [number for number in segments if number >= first]
         for expected, number in enumerate(segments, first):
             if number != expected:
                 name = file_name(expected, SEGMENT_SUFFIX)
                 raise DamagedStoreError(name, 0, "the segment is missing")
-            self._read_segment(number, last=number == segments[-1])
-        if self.snapshot and not segments:
+            self._read_segment(number, is_last=number == segments[-1])
+        if self.snapshot_number and not segments:
             # The first segment that a snapshot does not cover is durable before the snapshot is begun.
             raise DamagedStoreError(file_name(first, SEGMENT_SUFFIX), 0, "the segment is missing")
 
@@ -105,14 +105,14 @@
             raise DamagedStoreError(name, end, "the snapshot's end record is missing")
         self.next_sequence, self.snapshot_bytes = header.first_sequence, len(data)
 
-    def _read_segment(self, number: int, last: bool) -> None:
+    def _read_segment(self, number: int, is_last: bool) -> None:
         name = file_name(number, SEGMENT_SUFFIX)
         data = self._files.read(self._directory / name)
         header = decode_header(name, data, SEGMENT_MAGIC)
         if header is None:
-            if not last:
+            if not is_last:
                 raise DamagedStoreError(name, len(data), "the header is truncated")
-            self.torn_bytes, self.torn_file, self.segments[number] = len(data), name, 0
+            self.torn_bytes, self.torn_file, self.segment_sizes[number] = len(data), name, 0
             return
         if header.number != number or header.first_sequence != self.next_sequence:
             raise DamagedStoreError(
@@ -121,16 +121,18 @@
                 f"begins with record {header.first_sequence} of segment {header.number}, "
                 f"expected {self.next_sequence} of {number}: records are missing",
             )
-        complete = HEADER_BYTES
+        complete_bytes = HEADER_BYTES
         for end, record in decode_records(name, data, number):
             if record.sequence != self.next_sequence:
                 reason = f"record {record.sequence} where {self.next_sequence} is expected"
-                raise DamagedStoreError(name, complete, reason)
+                raise DamagedStoreError(name, complete_bytes, reason)
             self.next_sequence += 1
-            complete = end
+            complete_bytes = end
             self._apply(record)
-        if complete < len(data):
-            if not last:
-                raise DamagedStoreError(name, complete, "a record is truncated before the end of the log")
-            self.torn_bytes, self.torn_file = len(data) - complete, name
-        self.segments[number] = complete
+        if complete_bytes < len(data):
+            if not is_last:
+                raise DamagedStoreError(
+                    name, complete_bytes, "a record is truncated before the end of the log"
+                )
+            self.torn_bytes, self.torn_file = len(data) - complete_bytes, name
+        self.segment_sizes[number] = complete_bytes
--- a/shaletiller/store/segment_store.py
+++ b/shaletiller/store/segment_store.py
@@ -33,7 +33,7 @@
     SNAPSHOT_NAME,
     RecoveredContents,
     file_name,
-    numbers_of,
+    matching_numbers,
 )
 from shaletiller.store.snapshot import Snapshot
 
@@ -45,7 +45,7 @@
 MAX_GARBAGE_RATIO = 1.0
 MIN_GARBAGE_BYTES = 4 << 20
 
-PlainUpdate = tuple[
+UpdateTuple = tuple[
     int, bytes, bytes | None
 ]  # (kind, key, value): a `record_format.RecordUpdate` or an equivalent tuple
 
@@ -71,8 +71,8 @@
         self._files = file_system or FileSystem()
         self._segment_bytes = segment_bytes
         directory.mkdir(parents=True, exist_ok=True)
-        self._lock = self._files.lock(directory / LOCK_FILE)
-        self._file = -1
+        self._lock_fd = self._files.lock(directory / LOCK_FILE)
+        self._active_fd = -1
         self.failure = ""  # why the store accepts no further commits; empty while it does
         self.syncs = 0
         try:
@@ -89,18 +89,18 @@
         for name in recovered.obsolete_files:
             self._files.remove(self.directory / name)
         self.live_bytes = sum(record.size for record in recovered.index.values())
-        self.log_bytes = recovered.snapshot_bytes + sum(recovered.segments.values())
-        self._number = max(recovered.segments, default=0)
-        self._size = recovered.segments.get(self._number, 0)
-        if self._size == 0:  # a new store, or the header of the last segment never became durable
-            if self._number:
-                self._files.remove(self._segment_path(self._number))
-            self._begin_segment(self._number or 1)
+        self.log_bytes = recovered.snapshot_bytes + sum(recovered.segment_sizes.values())
+        self._active_number = max(recovered.segment_sizes, default=0)
+        self._active_size = recovered.segment_sizes.get(self._active_number, 0)
+        if self._active_size == 0:  # a new store, or the header of the last segment never became durable
+            if self._active_number:
+                self._files.remove(self._segment_path(self._active_number))
+            self._begin_segment(self._active_number or 1)
         else:
-            self._file = self._files.open_append(self._segment_path(self._number))
+            self._active_fd = self._files.open_append(self._segment_path(self._active_number))
             if recovered.torn_bytes:
-                self._files.truncate(self._file, self._size)
-                self._files.sync(self._file)
+                self._files.truncate(self._active_fd, self._active_size)
+                self._files.sync(self._active_fd)
 
     def _segment_path(self, number: int) -> Path:
         return self.directory / file_name(number, SEGMENT_SUFFIX)
@@ -117,9 +117,9 @@
             self._files.close(file)
             self._files.remove(path)
             raise
-        if self._file >= 0:
-            self._files.close(self._file)
-        self._file, self._number, self._size = file, number, HEADER_BYTES
+        if self._active_fd >= 0:
+            self._files.close(self._active_fd)
+        self._active_fd, self._active_number, self._active_size = file, number, HEADER_BYTES
         self.log_bytes += HEADER_BYTES
 
     def __iter__(self) -> Iterator[Record]:
@@ -131,7 +131,7 @@
         record = self.index.get((kind, key))
         return None if record is None else record.value
 
-    def commit(self, updates: Iterable[PlainUpdate]) -> None:
+    def commit(self, updates: Iterable[UpdateTuple]) -> None:
         """Append updates in order with a single sync; they are durable when this returns.
 
         :raises StoreFullError: if the write failed; none of the updates is stored.
@@ -146,36 +146,36 @@
         ]
         if not records:
             return
-        if self._size >= self._segment_bytes:
+        if self._active_size >= self._segment_bytes:
             self._roll_segment()
-        self._append(b"".join(encode_record(record, self._number) for record in records))
+        self._append(b"".join(encode_record(record, self._active_number) for record in records))
         self._next_sequence += len(records)
         for record in records:
             self._update_index(record)
 
     def _append(self, data: bytes) -> None:
         try:
-            self._files.write(self._file, data)
+            self._files.write(self._active_fd, data)
         except OSError as error:
             self._truncate_partial_write(error)
             raise StoreFullError(str(error)) from error
         try:
-            self._files.sync(self._file)
+            self._files.sync(self._active_fd)
         except OSError as error:
             # After a failed sync the kernel may drop the dirty pages and report success for the next sync, so
             # a sync is never retried.
             self.failure = f"a sync failed: {error}"
             raise StoreBrokenError(self.failure) from error
         self.syncs += 1
-        self._size += len(data)
+        self._active_size += len(data)
         self.log_bytes += len(data)
 
     def _truncate_partial_write(self, error: OSError) -> None:
         """Truncate a partly written commit, so that the next one follows a complete record."""
         try:
-            self._files.truncate(self._file, self._size)
-        except OSError as second:
-            self.failure = f"a write failed ({error}) and could not be truncated ({second})"
+            self._files.truncate(self._active_fd, self._active_size)
+        except OSError as truncate_error:
+            self.failure = f"a write failed ({error}) and could not be truncated ({truncate_error})"
 
     def _update_index(self, record: Record) -> None:
         key = (record.kind, record.key)
@@ -187,7 +187,7 @@
 
     def _roll_segment(self) -> None:
         try:
-            self._begin_segment(self._number + 1)
+            self._begin_segment(self._active_number + 1)
         except OSError as error:
             raise StoreFullError(f"could not create a new segment: {error}") from error
 
@@ -208,7 +208,7 @@
         return Snapshot(
             self.directory,
             self._files,
-            self._number,
+            self._active_number,
             self._next_sequence,
             list(self.index.values()),
             self.log_bytes - HEADER_BYTES,
@@ -221,18 +221,18 @@
     def end_snapshot(self, snapshot: Snapshot) -> None:
         """Remove the segments and older snapshots that a durable snapshot replaces."""
         for name in self._files.list_names(self.directory):
-            numbers = numbers_of(SEGMENT_NAME, [name]) or numbers_of(SNAPSHOT_NAME, [name])
+            numbers = matching_numbers(SEGMENT_NAME, [name]) or matching_numbers(SNAPSHOT_NAME, [name])
             if numbers and numbers[0] < snapshot.number:
                 self._files.remove(self.directory / name)
-        in_same_segment = self._number == snapshot.number
-        remaining = self._size if in_same_segment else self.log_bytes - snapshot.covered_bytes
+        in_same_segment = self._active_number == snapshot.number
+        remaining = self._active_size if in_same_segment else self.log_bytes - snapshot.covered_bytes
         self.log_bytes = snapshot.size + remaining
 
     def close(self) -> None:
         """Close the store and release its lock; safe to call more than once."""
-        if self._file >= 0:
-            self._files.close(self._file)
-            self._file = -1
-        if self._lock >= 0:
-            self._files.close(self._lock)
-            self._lock = -1
+        if self._active_fd >= 0:
+            self._files.close(self._active_fd)
+            self._active_fd = -1
+        if self._lock_fd >= 0:
+            self._files.close(self._lock_fd)
+            self._lock_fd = -1
--- a/shaletiller/store/snapshot.py
+++ b/shaletiller/store/snapshot.py
@@ -55,9 +55,9 @@
         :returns: the snapshot itself.
         :raises OSError: if it cannot be written; the temporary file is then removed if possible.
         """
-        unfinished = self._directory / file_name(self.number, UNFINISHED_SUFFIX)
-        self._files.remove(unfinished)
-        file = self._files.open_append(unfinished)
+        unfinished_path = self._directory / file_name(self.number, UNFINISHED_SUFFIX)
+        self._files.remove(unfinished_path)
+        file = self._files.open_append(unfinished_path)
         try:
             for chunk in self._chunks():
                 self._files.write(file, chunk)
@@ -65,11 +65,11 @@
             self._files.sync(file)
         except OSError:
             with suppress(OSError):
-                self._files.remove(unfinished)
+                self._files.remove(unfinished_path)
             raise
         finally:
             self._files.close(file)
-        self._files.rename(unfinished, self._directory / file_name(self.number, SNAPSHOT_SUFFIX))
+        self._files.rename(unfinished_path, self._directory / file_name(self.number, SNAPSHOT_SUFFIX))
         self._files.sync_directory(self._directory)
         return self
 
@@ -81,5 +81,5 @@
                 yield bytes(chunk)
                 chunk.clear()
         count = len(self._records).to_bytes(8, "little")
-        end = Record(SNAPSHOT_END, b"", count, self._first_sequence)
-        yield bytes(chunk) + encode_record(end, self.number)
+        end_record = Record(SNAPSHOT_END, b"", count, self._first_sequence)
+        yield bytes(chunk) + encode_record(end_record, self.number)
--- a/shaletiller/store/writer.py
+++ b/shaletiller/store/writer.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from shaletiller.store.errors import StoreBrokenError, StoreFullError
-from shaletiller.store.segment_store import PlainUpdate, SegmentStore
+from shaletiller.store.segment_store import SegmentStore, UpdateTuple
 from shaletiller.store.snapshot import Snapshot
 
 logger = logging.getLogger(__name__)
@@ -35,8 +35,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Request:
-    updates: Sequence[PlainUpdate]
+class _Submission:
+    updates: Sequence[UpdateTuple]
     on_result: CommitCallback
 
 
@@ -46,7 +46,7 @@
     def __init__(self, store: SegmentStore) -> None:
         """Take ownership of an open store; call `start` to begin committing."""
         self.store = store
-        self._queue: deque[_Request] = deque()
+        self._queue: deque[_Submission] = deque()
         self._queued = asyncio.Event()
         self._committing = False
         self._commit_thread = ThreadPoolExecutor(1, "store")
@@ -65,13 +65,13 @@
         """Return whether the last commit succeeded and the store accepts further commits."""
         return not self._last_commit_failed and not self.store.failure
 
-    def submit(self, updates: Sequence[PlainUpdate], on_result: CommitCallback = _ignore_result) -> None:
+    def submit(self, updates: Sequence[UpdateTuple], on_result: CommitCallback = _ignore_result) -> None:
         """Queue updates for the next commit.
 
         :param on_result: called on the event loop with True if the updates are durable, and False if the
             commit failed.
         """
-        self._queue.append(_Request(updates, on_result))
+        self._queue.append(_Submission(updates, on_result))
         self._queued.set()
 
     async def _run(self) -> None:
@@ -81,16 +81,16 @@
             while self._queue:
                 await self._commit_batch(self._take_batch())
 
-    def _take_batch(self) -> list[_Request]:
-        batch: list[_Request] = []
+    def _take_batch(self) -> list[_Submission]:
+        batch: list[_Submission] = []
         count = 0
         while self._queue and count < MAX_UPDATES_PER_COMMIT:
             batch.append(self._queue.popleft())
             count += len(batch[-1].updates)
         return batch
 
-    async def _commit_batch(self, batch: list[_Request]) -> None:
-        updates = [update for request in batch for update in request.updates]
+    async def _commit_batch(self, batch: list[_Submission]) -> None:
+        updates = [update for submission in batch for update in submission.updates]
         loop = asyncio.get_running_loop()
         self._committing = True
         durable = await loop.run_in_executor(self._commit_thread, self._commit, updates)
@@ -100,12 +100,12 @@
             self.committed_updates += len(updates)
         else:
             self.failed_updates += len(updates)
-        for request in batch:
-            request.on_result(durable)
+        for submission in batch:
+            submission.on_result(durable)
         if durable and self.store.needs_compaction and self._snapshot_task is None:
             self._snapshot_task = asyncio.ensure_future(self._compact())
 
-    def _commit(self, updates: list[PlainUpdate]) -> bool:
+    def _commit(self, updates: list[UpdateTuple]) -> bool:
         """Commit updates on the commit thread, and return whether they are durable."""
         try:
             self.store.commit(updates)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -89,7 +89,7 @@
     store.close()
     found = RecoveredContents(folder, FileSystem())
     assert {at: record.value for at, record in found.index.items()} == want
-    assert store.log_bytes == found.snapshot_bytes + sum(found.segments.values())
+    assert store.log_bytes == found.snapshot_bytes + sum(found.segment_sizes.values())
 
 
 def test_a_torn_tail_is_discarded_and_the_next_commit_follows_complete_records(tmp_path: Path) -> None:
