--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The store: acknowledged records are found, damage is named, failures are reported."""
+"""Tests of the store: acknowledged records are recovered, damage is located, and failures are reported."""
 
 from __future__ import annotations
 
@@ -34,21 +34,18 @@
 
 
 def inject_faults(path: Path, **faults: Any) -> None:
-    """Write the file that a `FaultInjectingFileSystem` reads."""
+    """Write the fault injection file that a `FaultInjectingFileSystem` reads."""
     path.write_bytes(msgspec.json.encode(InjectedFaults(**faults)))
 
 
-# ---- the log
-
-
 def test_committed_records_are_found_by_the_next_opening(tmp_path: Path) -> None:
-    """A store is closed and opened again: each key has its newest value, and a deleted key has none."""
+    """A store is closed and reopened: each key must have its newest value, and a deleted key none."""
     store = SegmentStore(tmp_path)
     store.commit([(1, b"a", b"one"), (1, b"b", b"two"), (2, b"a", b"another kind")])
     store.commit([(1, b"a", b"newer"), (1, b"b", None)])
     store.close()
     found = SegmentStore(tmp_path)
-    assert {at: record.value for at, record in found.index.items()} == {
+    assert {key: record.value for key, record in found.index.items()} == {
         (1, b"a"): b"newer",
         (2, b"a"): b"another kind",
     }
@@ -72,30 +69,34 @@
     tmp_path_factory: pytest.TempPathFactory,
     commits: list[list[tuple[int, bytes, bytes | None]]],
     segment_bytes: int,
-    compacted: set[int],
+    compact_after: set[int],
 ) -> None:
-    """Any commits, segment sizes and compactions: recovery finds the newest values, and the sizes add up."""
-    folder, want = tmp_path_factory.mktemp("store"), dict[tuple[int, bytes], bytes]()
-    store = SegmentStore(folder, segment_bytes=segment_bytes)
+    """Arbitrary commits, segment sizes and compactions.
+
+    Recovery must find the newest values, and the tracked sizes must match the files.
+    """
+    directory, expected = tmp_path_factory.mktemp("store"), dict[tuple[int, bytes], bytes]()
+    store = SegmentStore(directory, segment_bytes=segment_bytes)
     for number, rows in enumerate(commits):
         store.commit(rows)
         for kind, key, value in rows:
-            want.pop((kind, key), None)
+            expected.pop((kind, key), None)
             if value is not None:
-                want[kind, key] = value
-        if number in compacted:
+                expected[kind, key] = value
+        if number in compact_after:
             store.compact()
     assert store.live_bytes == sum(record.size for record in store.index.values())
     store.close()
-    found = RecoveredContents(folder, FileSystem())
-    assert {at: record.value for at, record in found.index.items()} == want
+    found = RecoveredContents(directory, FileSystem())
+    assert {key: record.value for key, record in found.index.items()} == expected
     assert store.log_bytes == found.snapshot_bytes + sum(found.segment_sizes.values())
 
 
 def test_a_torn_tail_is_discarded_and_the_next_commit_follows_complete_records(tmp_path: Path) -> None:
-    """The machine stops within a write: the last record is truncated.
+    """The machine crashes during a write, which leaves an incomplete last record.
 
-    It must be discarded, its length reported, and the next commit must follow the complete records.
+    The record must be discarded and its length reported, and the next commit must follow the complete
+    records.
     """
     store = SegmentStore(tmp_path)
     store.commit([(1, b"a", b"one")])
@@ -111,9 +112,10 @@
 
 
 def test_a_store_is_open_in_one_process_at_a_time_and_free_when_that_is_killed(tmp_path: Path) -> None:
-    """One process has the store open and is killed.
+    """One process has the store open and is then killed.
 
-    Until then a second process must be refused; afterwards it must find what the first committed.
+    While it runs, a second process must not be able to open the store; afterwards it must find the commits of
+    the first.
     """
     code = (
         "import sys, pathlib; from shaletiller.store.segment_store import SegmentStore\n"
@@ -141,9 +143,9 @@
 def test_a_full_disk_stores_nothing_of_a_commit_and_later_commits_succeed(
     tmp_path: Path,
 ) -> None:
-    """The disk is full in the middle of a commit, then it has space again.
+    """The disk becomes full during a commit, and later has free space again.
 
-    Nothing of the failed commit may be found, and the next commit must follow complete records.
+    No part of the failed commit may be found, and the next commit must follow the complete records.
     """
     faults = tmp_path / "faults"
     store = SegmentStore(tmp_path / "store", FaultInjectingFileSystem(faults))
@@ -161,9 +163,9 @@
 
 
 def test_after_a_failed_sync_the_store_accepts_no_commit(tmp_path: Path) -> None:
-    """A sync fails, and the next one would succeed.
+    """A sync fails, and the next sync would succeed.
 
-    The kernel may have dropped the pages, so no later commit may be accepted.
+    The kernel may have dropped the dirty pages of the first, so no later commit may be accepted.
     """
     faults = tmp_path / "faults"
     store = SegmentStore(tmp_path / "store", FaultInjectingFileSystem(faults))
@@ -178,9 +180,9 @@
 
 
 def test_a_missing_segment_and_a_truncated_one_are_named(tmp_path: Path) -> None:
-    """A segment in the middle of the log is truncated within a record, behind a record, and then removed.
+    """A segment in the middle of the log is truncated within a record, truncated to its header, or removed.
 
-    Recovery must name the damaged file each time.
+    Recovery must name the file in the first and third case, and report missing records in the second.
     """
     store = SegmentStore(tmp_path, segment_bytes=100)
     for number in range(6):
@@ -192,7 +194,7 @@
     (tmp_path / names[1]).write_bytes(complete[:-1])
     with pytest.raises(DamagedStoreError, match=f"{names[1]}: byte .*truncated before the end of the log"):
         RecoveredContents(tmp_path, FileSystem())
-    # Truncated behind a record, only the first sequence number of the next segment shows it.
+    # A truncation at the end of a record shows only in the first sequence number of the next segment.
     (tmp_path / names[1]).write_bytes(complete[: record_format.HEADER_BYTES])
     with pytest.raises(DamagedStoreError, match="records are missing"):
         RecoveredContents(tmp_path, FileSystem())
@@ -202,7 +204,7 @@
 
 
 def test_a_record_in_another_file_is_damage() -> None:
-    """A record is read as part of another file: its checksum must not match."""
+    """A record that is read from a file with another number must fail its checksum."""
     record = Record(1, b"k", b"v", 7)
     raw = encode_header(record_format.SEGMENT_MAGIC, 3, 7) + encode_record(record, 3)
     assert [found for _, found in decode_records("x", raw, 3)] == [record]
@@ -211,9 +213,9 @@
 
 
 def test_zeros_behind_the_last_record_are_a_torn_tail(tmp_path: Path) -> None:
-    """The machine stops after the length of a file became durable, and before its data did.
+    """The machine crashes when the length of a file is durable but its data is not, which leaves zeros.
 
-    The zeros must count as a torn tail, not as damage.
+    The zeros must be treated as a torn tail, not as damage.
     """
     store = SegmentStore(tmp_path)
     store.commit([(1, b"a", b"one")])
@@ -223,35 +225,32 @@
     assert RecoveredContents(tmp_path, FileSystem()).torn_bytes == 4096
 
 
-# ---- truncations and bit flips
-
-
 def test_truncations_bit_flips_and_interrupted_compactions_lose_nothing_and_are_named(tmp_path: Path) -> None:
-    """Files are truncated, bits flipped and compactions interrupted, at many places.
+    """Files are truncated, bits are flipped and compactions are interrupted at many places.
 
-    No acknowledged record may be lost, and every damage must be named.
+    No acknowledged record may be lost, and all damage must be reported.
     """
-    out = crash_cut.run(tmp_path, seed=2, every_bytes=5)
-    assert out.kept, "\n".join([*out.lines(), str(out.figures)])
+    outcome = crash_cut.run(tmp_path, seed=2, every_bytes=5)
+    assert outcome.kept, "\n".join([*outcome.lines(), str(outcome.figures)])
 
 
 def test_the_crash_cut_checker_notices_a_store_without_checksums(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The guard taken out: checksums are constant.  The checker must notice damage that is not named."""
+    """With constant checksums, damage goes undetected: the checker must report a violation."""
     monkeypatch.setattr(record_format.xxhash, "xxh3_64_intdigest", lambda raw, seed=0: 0)
-    out = crash_cut.run(tmp_path, every_bytes=29)
-    assert not out.guarantees[1].kept
+    outcome = crash_cut.run(tmp_path, every_bytes=29)
+    assert not outcome.guarantees[1].kept
 
 
 def test_the_crash_cut_checker_notices_a_store_that_removes_segments_too_early(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The guard taken out: segments are removed before their snapshot has its name.
+    """Segments are removed before the snapshot that replaces them has been renamed.
 
-    The checker must notice lost records, and none in the store as it is.
+    The checker must report lost records, and none for the unmodified store.
     """
     reference, findings = write_reference_store(tmp_path / "store", 1), Findings()
     original = Snapshot.write
@@ -269,44 +268,41 @@
     assert findings.lost
 
 
-# ---- group commit
-
-
-async def _write_concurrently(folder: Path, faults: Path, count: int) -> StoreWriter:
-    """Submit updates at once, and wait until all are durable."""
-    writer = StoreWriter(SegmentStore(folder, FaultInjectingFileSystem(faults)))
+async def _write_concurrently(directory: Path, faults: Path, count: int) -> StoreWriter:
+    """Submit `count` updates at the same time, and wait until all are durable."""
+    writer = StoreWriter(SegmentStore(directory, FaultInjectingFileSystem(faults)))
     writer.start()
-    done: list[bool] = []
+    results: list[bool] = []
     for number in range(count):
-        writer.submit([(1, f"k{number}".encode(), b"v")], done.append)
-    while len(done) < count:
+        writer.submit([(1, f"k{number}".encode(), b"v")], results.append)
+    while len(results) < count:
         await asyncio.sleep(0.005)
-    assert done == [True] * count
+    assert results == [True] * count
     return writer
 
 
 def test_queued_updates_share_one_sync(tmp_path: Path) -> None:
-    """Syncs are slow, and 300 updates are submitted at once: they must be durable after few commits."""
+    """300 updates are submitted while syncs are slow: few commits must make all of them durable."""
     inject_faults(tmp_path / "faults", slow_ms=20)
 
-    async def play() -> None:
+    async def scenario() -> None:
         writer = await _write_concurrently(tmp_path / "store", tmp_path / "faults", 300)
         assert writer.commits <= 3
         assert writer.committed_updates == 300
         await writer.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert len(RecoveredContents(tmp_path / "store", FileSystem()).index) == 300
 
 
 def test_a_failed_commit_is_reported_and_the_writer_goes_on(tmp_path: Path) -> None:
-    """The disk is full for one commit, then has space again.
+    """The disk is full during one commit, and has free space again for the next.
 
-    The submitter must be notified of the failure, and the next commit must succeed.
+    The failure must be reported to the submitter, and the next commit must succeed.
     """
     faults = tmp_path / "faults"
 
-    async def play() -> None:
+    async def scenario() -> None:
         writer = await _write_concurrently(tmp_path / "store", faults, 1)
         loop = asyncio.get_running_loop()
         for full, expected in ((True, False), (False, True)):
@@ -318,20 +314,20 @@
         assert writer.failed_updates == 1
         await writer.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_log_with_garbage_is_compacted_beside_running_commits(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Twenty keys are replaced a hundred times each.
+    """Twenty keys are replaced a hundred times each, which fills the log with replaced records.
 
-    The log must be compacted while commits go on, and lose nothing.
+    The log must be compacted while commits continue, without losing a record.
     """
     monkeypatch.setattr("shaletiller.store.segment_store.MIN_GARBAGE_BYTES", 10_000)
 
-    async def play() -> None:
+    async def scenario() -> None:
         writer = StoreWriter(SegmentStore(tmp_path, segment_bytes=4_000))
         writer.start()
         for number in range(2_000):
@@ -342,16 +338,13 @@
         assert writer.store.log_bytes < 2_000 * 40 / 2
         await writer.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     found = RecoveredContents(tmp_path, FileSystem())
     assert sorted(int(record.value) for record in found.index.values()) == list(range(1980, 2000))
 
 
-# ---- the command line
-
-
 def store_command(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run the command line of the store."""
+    """Run `python -m shaletiller store` with the given arguments."""
     return subprocess.run(
         [sys.executable, "-m", "shaletiller", "store", *arguments],
         cwd=ROOT,
@@ -363,14 +356,14 @@
 
 
 def test_the_command_shows_verifies_and_compacts(tmp_path: Path) -> None:
-    """An operator inspects a store that is open elsewhere, closed, compacted, and finally damaged.
+    """An operator inspects a store while it is open, after it is closed and compacted, and when damaged.
 
-    The output and the exit codes must say which.
+    The output and the exit codes must reflect each state.
     """
     store = SegmentStore(tmp_path)
     row = Row(Ballot(2, 1, 9), Ballot(2, 1, 9), 1, pack(WriteOutcome(True, b"body", 5, 1234)), 99)
     store.commit([(REGISTER, b"w:once:7:k1", pack(row)), (META, b"life", b"\x01")])
-    assert store_command("compact", str(tmp_path)).returncode == 3  # this process has it open
+    assert store_command("compact", str(tmp_path)).returncode == 3  # this process has the store open
     store.close()
     shown = [json.loads(line) for line in store_command("show", str(tmp_path), "--json").stdout.splitlines()]
     assert shown[0]["key"] == "w:once:7:k1"
@@ -393,7 +386,7 @@
 
 
 def test_injected_faults_are_those_of_the_operating_system(tmp_path: Path) -> None:
-    """An injected full disk must raise ENOSPC after half of the write, as a real one does."""
+    """An injected full disk must write half of the data and raise ENOSPC, as a real one does."""
     inject_faults(tmp_path / "faults", full=True)
     with pytest.raises(OSError, match="No space left on device") as error:
         FaultInjectingFileSystem(tmp_path / "faults").write(
