--- a/tests/registry/test_endpoint_registry.py
+++ b/tests/registry/test_endpoint_registry.py
@@ -322,8 +322,8 @@
     newer = departure_record(6, DepartureState.LEFT, 100, 2)
     for order in ((older, newer), (newer, older)):
         gossip = HealthGossip(lambda record: None)
-        for record in order:
-            gossip.merge(record, 0.0)
+        for departure in order:
+            gossip.merge(departure, 0.0)
         assert gossip.departure_record("n1") == newer
         assert len(gossip) == 1
     gossip.merge(HealthRecord("n1", int(HealthKind.WARMING_UP), 3, 8, 1, 10_000, 1), 0.0)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -88,7 +88,7 @@
     assert store.live_bytes == sum(record.size for record in store.index.values())
     store.close()
     found = RecoveredContents(directory, FileSystem())
-    assert {key: record.value for key, record in found.index.items()} == expected
+    assert {index_key: record.value for index_key, record in found.index.items()} == expected
     assert store.log_bytes == found.snapshot_bytes + sum(found.segment_sizes.values())
 
 
