--- a/shaletiller/fleet/broadcast_queue.py
+++ b/shaletiller/fleet/broadcast_queue.py
@@ -1,9 +1,9 @@
 """Queue of updates for epidemic broadcast: each update is piggybacked on a bounded number of messages.
 
 The number of transmissions after which all members have very likely received an update grows with the
-logarithm of the fleet (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987).
-Behaves as memberlist's TransmitLimitedQueue: the least transmitted update goes first, and a newer update
-under the same key replaces the older one.
+logarithm of the fleet size (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", PODC
+1987).  The queue behaves like memberlist's TransmitLimitedQueue: the update with the fewest transmissions is
+sent first, and a newer update replaces an older one under the same key.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-# Empirical: transmissions of an update for each doubling of the fleet.  More cost messages; with fewer an
-# update misses members on lossy links and waits for the anti-entropy exchange.
+# Number of transmissions of each update per doubling of the fleet size.  A larger value costs messages; with
+# a smaller value an update misses members on lossy links, which then receive it only by anti-entropy.
 TRANSMISSIONS_PER_DOUBLING = 3
-# Empirical: updates examined at least for the space left in a message.  More fill messages better; fewer keep
-# the cost of a message small while many updates are queued.
+# Minimum number of updates that are examined to fill the space left in a message.  A larger value fills
+# messages better; a smaller value bounds the CPU cost of a message while many updates are queued.
 MIN_CANDIDATES = 16
 
 
@@ -29,15 +29,15 @@
 class BroadcastQueue:
     """Encoded updates that still have to be transmitted.
 
-    Updates stand in levels by their number of transmissions, so that the cost of a message is proportional to
-    what it carries.  When a thousand members start at once each of them queues a thousand updates; scanning
-    them all for each message took most of the CPU of such a fleet.
+    Updates are grouped into levels by their number of transmissions, so that the cost of a message is
+    proportional to the updates that it carries.  When a thousand members start at once, each of them queues a
+    thousand updates; scanning all of them for each message took most of the fleet's CPU time.
     """
 
     def __init__(self, members: int) -> None:
         """Create an empty queue.
 
-        :param members: size of the fleet.
+        :param members: number of members of the fleet.
         """
         self._limit = TRANSMISSIONS_PER_DOUBLING * max(1, math.ceil(math.log2(members + 1)))
         self._levels: list[dict[object, bytes]] = [{} for _ in range(self._limit)]
@@ -49,13 +49,13 @@
 
     @property
     def transmit_limit(self) -> int:
-        """How often each update is transmitted."""
+        """Number of times that each update is transmitted."""
         return self._limit
 
     def add(self, key: object, payload: bytes) -> None:
-        """Queue an update in place of any older one under the same key.
+        """Queue an update, replacing any older update under the same key.
 
-        :param key: any hashable.
+        :param key: any hashable object that identifies the subject of the update.
         """
         level = self._level_of.get(key)
         if level is not None:
@@ -64,10 +64,11 @@
         self._level_of[key] = 0
 
     def take(self, max_bytes: int, max_updates: int) -> list[bytes]:
-        """Select updates for one message and count them as transmitted once more.
+        """Select updates for one message, and increment their transmission counts.
 
         :param max_bytes: space left in the message.
-        :param max_updates: how many updates the message may still carry.
+        :param max_updates: maximum number of updates that fit into the message.
+        :returns: the encoded updates.
         """
         if not self._level_of or max_updates <= 0:
             return []
@@ -87,7 +88,7 @@
         return selected
 
     def _candidates(self) -> Iterator[_Candidate]:
-        """Yield the least transmitted updates first, of those with equal counts the newest first."""
+        """Yield updates by ascending number of transmissions; among equal numbers, the newest first."""
         for transmissions, level in enumerate(self._levels):
             for key in reversed(level):
                 yield _Candidate(key, level[key], transmissions)
--- a/shaletiller/fleet/errors.py
+++ b/shaletiller/fleet/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of the fleet package."""
+"""Exceptions raised by the fleet package."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class FleetOptionError(FleetError, ValueError):
-    """An option of the fleet is out of range or contradicts another one.
+    """An option of the fleet is out of range or contradicts another option.
 
-    A `ValueError` too: the operator file maps the text before the first colon, the option's name, to the line
-    of the file.
+    It is also a `ValueError`, because the reader of the operator file expects one: it looks up the line of
+    the file by the option's name, which is the text before the first colon.
     """
 
     def __init__(self, option: str, requirement: str) -> None:
-        """Compose the text `OPTION: REQUIREMENT`."""
+        """Create an error with the text `OPTION: REQUIREMENT`."""
         super().__init__(f"{option}: {requirement}")
         self.option = option
 
 
 class EnvelopeError(FleetError):
-    """A datagram is not an envelope that this member accepts."""
+    """A received datagram is not an acceptable envelope."""
 
     def __init__(self, reason: str) -> None:
-        """Keep the reason for the statistics.
+        """Create an error with the reason for which the datagram is dropped.
 
-        :param reason: under which the drop is counted in STATS, as `fleet.dropped.REASON`.
+        :param reason: name of the reason; STATS counts the drop as `fleet.dropped.REASON`.
         """
         super().__init__(reason)
         self.reason = reason
