--- a/shaletiller/fleet/codec.py
+++ b/shaletiller/fleet/codec.py
@@ -1,16 +1,17 @@
-"""Wire format between gateways: MessagePack by msgspec, one envelope in at most one datagram.
+"""Wire format of messages between gateways: one MessagePack envelope in each datagram.
 
     envelope = [version, group, sender, incarnation, seq, timestamp, [message, ...]]
 
-- version: of this format.  Envelopes of another version are dropped.
-- group: hash of the fleet's name and members; gateways configured differently form another fleet.
-- sender, incarnation: the member's number, and the Unix time in milliseconds at which its process started.  A
-  restart is a new incarnation; late envelopes of an older one are dropped.
-- seq: number of the envelope at its sender; a duplicate is dropped, however late it arrives.
-- timestamp: the sender's hybrid logical clock.
+- version: version of this format.  Envelopes of other versions are dropped.
+- group: hash of the fleet's name and members.  Gateways with different configurations form different fleets.
+- sender, incarnation: number of the sending member, and the Unix time in milliseconds at which its process
+  started.  A restart creates a new incarnation; late envelopes of an older incarnation are dropped.
+- seq: sequence number of the envelope at its sender.  A duplicate is dropped, however late it arrives.
+- timestamp: value of the sender's hybrid logical clock.
 - message: [tag, field, ...], see the structures below.  Messages with unknown tags are skipped.
 
-Whatever arrives, `EnvelopeReader.read` returns an envelope or `None` and counts the reason; it never raises.
+`EnvelopeReader.read` raises no exception for any input: it returns an envelope, or it returns `None` and
+counts the reason.
 """
 
 from __future__ import annotations
@@ -25,36 +26,37 @@
 from shaletiller.fleet.errors import EnvelopeError
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = 256  # the platform's limit on a datagram between gateways
-MAX_MESSAGES = 64  # in an envelope: more than fit into a datagram
-# Clocks of gateways differ by seconds at most; an incarnation further ahead comes from a broken clock.
+MAX_DATAGRAM_BYTES = 256  # limit of the platform on datagrams between gateways
+MAX_MESSAGES = 64  # maximum messages in an envelope; fewer than that fit into a datagram
+# Maximum time by which a sender's incarnation may be ahead of the local clock.  The clocks of gateways differ
+# by a few seconds at most, so an incarnation that is further ahead comes from a broken clock.
 MAX_INCARNATION_AHEAD_MS = 60_000.0
-# Empirical: how far an envelope may be reordered behind its sender's newest.  A larger window costs memory
-# for each member, a smaller one drops envelopes that are merely late.
+# Size of the anti-replay window, in envelopes: how far an envelope may be behind its sender's newest.  A
+# larger window takes more memory for each member; a smaller window drops envelopes that are merely late.
 REPLAY_WINDOW = 512
 
 UInt63 = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Member = Annotated[int, msgspec.Meta(ge=0, lt=1 << 16)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=96)]
-MilliUnits = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]  # thousandths of a unit
+MilliUnits = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]  # thousandths of a request unit
 DurationMs = Annotated[int, msgspec.Meta(ge=0, lt=1 << 31)]
 
 _DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, gc=False, tag_field="k"):
-    """Base class of the messages in an envelope; fields are positional, so their order is the wire format."""
+    """Base class of messages in an envelope; fields are positional, so their order is the wire format."""
 
 
 class Ping(Message, tag=1, frozen=True):
-    """SWIM probe of a member; `digest` summarizes the sender's health records."""
+    """SWIM probe of the receiver; `digest` is the digest of the sender's health records."""
 
     nonce: UInt63
     digest: int
 
 
 class Ack(Message, tag=2, frozen=True):
-    """Answer to a probe: by the probed member itself, or by the member that probed `target` on request."""
+    """Response to a probe, sent by the probed member itself or by the member that relayed the probe."""
 
     nonce: UInt63
     target: Member
@@ -62,14 +64,14 @@
 
 
 class PingReq(Message, tag=3, frozen=True):
-    """SWIM indirect probe: requests that the receiver probes `target`, which the sender cannot reach."""
+    """SWIM indirect probe: asks the receiver to probe `target`, which has not answered the sender."""
 
     nonce: UInt63
     target: Member
 
 
 class Rumor(Message, tag=4, frozen=True):
-    """A member's state (`membership.MemberState`), its incarnation and its number of refutations."""
+    """State of a member (`membership.MemberState`), with its incarnation and its number of refutations."""
 
     member: Member
     state: Annotated[int, msgspec.Meta(ge=0, le=3)]
@@ -78,10 +80,10 @@
 
 
 class LeaseRequest(Message, tag=5, frozen=True):
-    """A holder requests a lease on part of a limit from the granter.
+    """Request of a holder to the granter for a lease on a fraction of a limit.
 
-    `rate` (a second) and `burst` are wanted beyond the holder's own part.  `limit_rate` and `limit_burst` are
-    the entire limit, so that a granter and owners that have not met the limit yet know it.
+    `rate` (per second) and `burst` are the amounts that the holder needs beyond its own share.  `limit_rate`
+    and `limit_burst` are the entire limit, for a granter and owners that do not know the limit yet.
     """
 
     limit: Name
@@ -94,10 +96,10 @@
 
 
 class PledgeRequest(Message, tag=6, frozen=True):
-    """The granter requests that an owner pledges the idle portion of its own part.
+    """Request of the granter to an owner to pledge the idle portion of its own share.
 
-    `previous_granter` with its incarnation names the granter before this one, if that can issue no further
-    lease and the sender has taken over its leases; incarnation 0 means none.
+    `previous_granter` and its incarnation identify the previous granter if it can no longer issue leases and
+    the sender has taken over its leases.  Incarnation 0 means that there is no such granter.
     """
 
     limit: Name
@@ -110,7 +112,10 @@
 
 
 class Pledge(Message, tag=7, frozen=True):
-    """The owner will not spend this portion of its own part for `duration_ms` after the request `nonce`."""
+    """Promise of an owner not to spend this portion of its own share.
+
+    The pledge lasts for `duration_ms` from the time at which the request `nonce` was sent.
+    """
 
     limit: Name
     nonce: UInt63
@@ -120,7 +125,10 @@
 
 
 class LeaseGrant(Message, tag=8, frozen=True):
-    """The holder may spend this much for `duration_ms` after the request `nonce`."""
+    """Permission for the holder to spend this rate and burst.
+
+    The lease lasts for `duration_ms` from the time at which the request `nonce` was sent.
+    """
 
     limit: Name
     nonce: UInt63
@@ -130,10 +138,11 @@
 
 
 class HealthRecord(Message, tag=9, frozen=True):
-    """One observer's statement about one storage node, see health_gossip.py.
+    """Statement of one observer about one storage node, see health_gossip.py.
 
-    `incarnation` is the node's `started_ms` as the observer knows it, `timestamp` the observer's hybrid
-    logical clock, `expires_ms` in milliseconds of the Unix epoch.  A `value` of 0 withdraws the statement.
+    `incarnation` is the node's `started_ms` as known to the observer, `timestamp` is a timestamp of the
+    observer's hybrid logical clock, and `expires_ms` is in milliseconds since the Unix epoch.  A `value` of 0
+    withdraws the statement.
     """
 
     node: Name
@@ -151,7 +160,7 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What one datagram contains, its messages still encoded."""
+    """Content of one datagram; the messages are not decoded yet."""
 
     version: int
     group: Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
@@ -163,7 +172,7 @@
 
 
 class ReceivedEnvelope(NamedTuple):
-    """An accepted envelope and those of its messages that this version knows."""
+    """An accepted envelope with its decoded messages; messages with unknown tags are left out."""
 
     envelope: Envelope
     messages: list[AnyMessage]
@@ -177,22 +186,23 @@
 
 
 def encode(message: AnyMessage) -> bytes:
-    """Encode one message, to be placed in an envelope."""
+    """Encode one message of an envelope."""
     return _ENCODER.encode(message)
 
 
 class EnvelopeWriter:
-    """Numbers and encodes the envelopes of one member."""
+    """Encodes the envelopes of one member, with consecutive sequence numbers."""
 
     def __init__(self, group: int, sender: int, incarnation: int) -> None:
-        """Create the writer of a member's process; its envelopes are numbered from 1.
+        """Create a writer whose first envelope has the sequence number 1.
 
         :param group: hash of the fleet, see `core.group_hash`.
-        :param sender: number of the member.
+        :param sender: number of this member.
+        :param incarnation: incarnation of this member.
         """
         self._head = (group, sender, incarnation)
         self._seq = 0
-        # Size of the longest head, with two bytes for the length of the list: messages get the rest.
+        # Size of the longest header, plus two bytes for the length of the message list.
         self.overhead = len(self._encode(1 << 40, 1 << 62, [])) + 2
 
     def _encode(self, seq: int, timestamp: int, messages: Sequence[bytes]) -> bytes:
@@ -200,13 +210,17 @@
         return _ENCODER.encode(Envelope(VERSION, *self._head, seq, timestamp, raw))
 
     def write(self, timestamp: int, messages: Sequence[bytes]) -> bytes:
-        """Encode the next envelope."""
+        """Encode the next envelope.
+
+        :param timestamp: timestamp of this member's hybrid logical clock.
+        :param messages: encoded messages.
+        """
         self._seq += 1
         return self._encode(self._seq, timestamp, messages)
 
 
 class _ReplayWindow:
-    """Anti-replay window (RFC 4303, appendix A2) of one sender's incarnation: newest number, bit mask."""
+    """Anti-replay window (RFC 4303, appendix A2) for one incarnation of one sender."""
 
     __slots__ = ("_mask", "_newest", "incarnation")
 
@@ -214,7 +228,7 @@
         self.incarnation, self._newest, self._mask = incarnation, 0, 0
 
     def accept(self, seq: int) -> bool:
-        """Record an envelope's number; `False` for a duplicate and for one older than the window."""
+        """Record a sequence number; return `False` if it is a duplicate or older than the window."""
         if seq > self._newest:
             self._mask = (self._mask << min(seq - self._newest, REPLAY_WINDOW) | 1) & (
                 (1 << REPLAY_WINDOW) - 1
@@ -229,25 +243,26 @@
 
 
 class EnvelopeReader:
-    """Decodes and checks envelopes of other members; `dropped` counts what was dropped by reason."""
+    """Decodes and validates envelopes of other members; `dropped` counts dropped envelopes by reason."""
 
     def __init__(self, group: int, me: int, members: int) -> None:
-        """Create a reader that has seen no envelope.
+        """Create a reader that has received no envelope.
 
         :param group: hash of the fleet, see `core.group_hash`.
         :param me: number of this member.
-        :param members: size of the fleet.
+        :param members: number of members of the fleet.
         """
         self._group, self._me, self._members = group, me, members
         self._windows: dict[int, _ReplayWindow] = {}
         self.dropped: Counter[str] = Counter()
 
     def read(self, data: bytes, wall_ms: float = math.inf) -> ReceivedEnvelope | None:
-        """Decode an envelope and its known messages.
+        """Decode an envelope and those of its messages whose tags are known.
 
-        :param wall_ms: current time.  An incarnation more than `MAX_INCARNATION_AHEAD_MS` later is dropped:
-            it would lock out the member's real incarnation for as long.
-        :returns: `None` where the envelope is not acceptable.
+        :param wall_ms: current time.  An envelope whose incarnation is more than `MAX_INCARNATION_AHEAD_MS`
+            ahead of it is dropped: once accepted, it would cause the envelopes of the member's correct
+            incarnation to be dropped as outdated.
+        :returns: the envelope, or `None` if it was dropped.
         """
         try:
             envelope = self._decode(data)
@@ -276,7 +291,7 @@
             raise EnvelopeError("ahead")
 
     def _decode_messages(self, envelope: Envelope) -> list[AnyMessage]:
-        """Decode the messages whose tags are known, and count the others."""
+        """Decode the messages with known tags, and count those with unknown tags."""
         messages: list[AnyMessage] = []
         for raw in envelope.messages:
             try:
@@ -298,7 +313,10 @@
 
     @staticmethod
     def _decode_failure(data: bytes) -> str:
-        """Distinguish an envelope of another version, whose fields may differ, from a malformed one."""
+        """Return the reason why an envelope was not decoded.
+
+        An envelope of another version may have other fields, so it is distinguished from a malformed one.
+        """
         try:
             head = _ARRAY_DECODER.decode(data)
             same_version = not head or msgspec.msgpack.decode(head[0], type=int) == VERSION
@@ -308,7 +326,7 @@
 
     @staticmethod
     def _has_known_tag(raw: msgspec.Raw) -> bool:
-        """Whether a message that cannot be decoded has a known tag, or none that can be read."""
+        """Return whether a message that failed to decode has a known tag, or has no readable tag."""
         try:
             return msgspec.msgpack.decode(_ARRAY_DECODER.decode(raw)[0], type=int) in _KNOWN_TAGS
         except (*_DECODE_ERRORS, IndexError):
--- a/shaletiller/fleet/membership.py
+++ b/shaletiller/fleet/membership.py
@@ -1,19 +1,19 @@
 """Group membership by SWIM, with suspicion, refutation and local health awareness.
 
-Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
-DSN 2002; Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
-Detection", 2018.
+See Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+Protocol", DSN 2002; and Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate
+Failure Detection", 2018.
 
-The configuration, equal at all members, numbers them; the protocol finds out which of them are alive.  In
-each protocol period a member pings one other.  Without an ack in time it requests `indirect_probes` others to
-ping on its behalf.  If none of them succeeds by the end of the period the target is suspected; unless it
-refutes that in time it is declared dead.
+All members have the same configuration, which lists and numbers them; the protocol detects which of them are
+alive.  In each protocol period a member pings one other member.  If no ack arrives in time, it asks
+`indirect_probes` other members to ping the target on its behalf.  If no ack has arrived at the end of the
+period, the target is suspected; unless it refutes the suspicion in time, it is declared dead.
 
-A dead member is still pinged at intervals, so that two halves that have declared each other dead after a
-partition merge again.
+Dead members are still pinged at intervals, so that the two sides of a partition that have declared each other
+dead merge after the partition has healed.
 
-Statements about a member are ordered by its incarnation, then by its number of refutations, then by state; a
-newer incarnation starts alive.  Guarantees and their assumptions: docs/fleet.md.
+Statements about a member are ordered by its incarnation, then by its number of refutations, then by its
+state.  A newer incarnation starts as alive.  docs/fleet.md lists the guarantees and their assumptions.
 """
 
 from __future__ import annotations
@@ -31,16 +31,19 @@
 
 
 class MemberState(IntEnum):
-    """Believed state of a member; within one incarnation and refutation the greater overrides the lesser."""
+    """State of a member in the view of another.
 
-    UNKNOWN = 0  # configured; nothing has been received from it yet
+    Among statements with the same incarnation and number of refutations, the greater state takes precedence.
+    """
+
+    UNKNOWN = 0  # configured, but nothing has been received from it yet
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
 
     @property
     def is_present(self) -> bool:
-        """Whether a member in this state takes part in the fleet: suspicion alone does not exclude it."""
+        """Whether a member in this state takes part in the fleet; a suspected member still does."""
         return MemberState.ALIVE <= self <= MemberState.SUSPECT
 
 
@@ -48,15 +51,15 @@
 class MembershipTiming:
     """Timing of the failure detector.
 
-    A member that stops is declared dead within about `suspect_ms` and two periods of the first ping that it
-    does not answer.  The defaults are empirical: shorter times detect a crash sooner and suspect members on
-    slow or lossy links more often.
+    A member that stops is declared dead within about `suspect_ms` plus two periods after the first ping that
+    it does not answer.  Shorter times detect a crash sooner; longer times suspect fewer members on slow or
+    lossy links.
 
-    :param period_ms: protocol period: one probe is sent in each.
-    :param ack_ms: wait for an ack before indirect probes are sent.
-    :param suspect_ms: time in which a suspected member can refute.
-    :param indirect_probes: members that probe on this one's behalf.
-    :param rejoin_ms: interval of pings to a dead or unknown member.
+    :param period_ms: protocol period; one member is probed in each period.
+    :param ack_ms: time to wait for an ack before indirect probes are requested.
+    :param suspect_ms: time in which a suspected member can refute the suspicion.
+    :param indirect_probes: number of members that are asked to probe on this member's behalf.
+    :param rejoin_ms: interval between pings to dead or unknown members.
     """
 
     period_ms: float = 200.0
@@ -66,9 +69,9 @@
     rejoin_ms: float = 2_000.0
 
     def __post_init__(self) -> None:
-        """Check the times against each other.
+        """Validate the times.
 
-        :raises FleetOptionError: where they contradict.
+        :raises FleetOptionError: if a time is out of range or contradicts another one.
         """
         if not 0 < self.ack_ms < self.period_ms:
             raise FleetOptionError("ack_ms", "wants a time above 0 and under period_ms")
@@ -78,18 +81,18 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """What this member believes of another."""
+    """What this member knows about another member."""
 
     state: MemberState = MemberState.UNKNOWN
     incarnation: int = 0
     refutations: int = 0
-    suspicion_ends_ms: float = math.inf  # a suspect is declared dead then
+    suspicion_ends_ms: float = math.inf  # time at which a suspected member is declared dead
     last_received_ms: float = -math.inf
-    last_notified_ms: float = -math.inf  # when it was last notified that it is suspected or declared dead
+    last_notified_ms: float = -math.inf  # last notification that it is suspected or declared dead
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Order of statements about a member."""
+        """Sort key that orders the statements about a member."""
         return self.incarnation, self.refutations, self.state
 
 
@@ -103,7 +106,7 @@
 
 
 class _RelayedProbe(NamedTuple):
-    """A probe on behalf of another member, and the nonce under which that one waits for the ack."""
+    """A probe on behalf of another member, with the nonce that the requester expects in the ack."""
 
     requester: int
     requester_nonce: int
@@ -111,11 +114,11 @@
 
 
 def _ignore_change(member: int, before: MemberState, after: MemberState) -> None:
-    """Ignore a change: the default listener."""
+    """Ignore a state change; the default of `on_change`."""
 
 
 class Membership:
-    """One member's view of the fleet."""
+    """One member's view of the membership of the fleet."""
 
     def __init__(
         self,
@@ -129,15 +132,17 @@
         digest: Callable[[], int] = lambda: 0,
         on_change: Callable[[int, MemberState, MemberState], None] = _ignore_change,
     ) -> None:
-        """Create the view of a member that has not met the others.
+        """Create a view in which the states of all other members are unknown.
 
         :param me: number of this member.
-        :param members: size of the fleet.
-        :param incarnation: start of this process, in milliseconds of the Unix epoch.
+        :param members: number of members of the fleet.
+        :param incarnation: start time of this process, in milliseconds since the Unix epoch.
+        :param timing: timing of the failure detector.
+        :param seed: seed of the random choices.
         :param send: sends a message to a member.
         :param broadcast: disseminates a rumor to all members by gossip.
-        :param digest: returns the digest of the health records, which pings and acks carry.
-        :param on_change: notified of each state change of a member, with the state before and after.
+        :param digest: returns the digest of the health records, which pings and acks contain.
+        :param on_change: called at each state change of a member with its number, its old and its new state.
         """
         self.me, self.incarnation, self.refutations = me, incarnation, 0
         self.timing = timing
@@ -149,37 +154,34 @@
         self._suspects: set[int] = set()
         self._probe_order: list[int] = []
         self._probe: _Probe | None = None
-        self._relayed: dict[int, _RelayedProbe] = {}  # by the nonce of the own ping
+        self._relayed: dict[int, _RelayedProbe] = {}  # by the nonce of this member's ping
         self._last_nonce = 0
         self._next_period_ms = -math.inf
         self._next_rejoin_ms = -math.inf
         self._ticked_ms: float | None = None
         self.has_left = False
-        self.superseded = False  # another process runs as this member and started later
-
-    # ---- queries
+        self.superseded = False  # whether a process that started later runs as this member
 
     def alive(self) -> tuple[int, ...]:
-        """Return the members present, this one and suspected ones included, in ascending order.
+        """Return the numbers of the members that are present, in ascending order.
 
-        The same object is returned until the membership changes.
+        They include this member and suspected members.  The same object is returned until the membership
+        changes.
         """
         if self._alive is None:
             self._alive = tuple(self._present)
         return self._alive
 
     def is_alive(self, member: int) -> bool:
-        """Whether a member is present: suspicion alone does not exclude it."""
+        """Return whether a member is present; a suspected member still is."""
         return member == self.me or self.peers[member].state.is_present
 
     def incarnation_of(self, member: int) -> int:
-        """Return the latest known incarnation of a member, 0 where none is known."""
+        """Return the latest known incarnation of a member, or 0 if none is known."""
         return self.incarnation if member == self.me else self.peers[member].incarnation
 
-    # ---- time
-
     def tick(self, now_ms: float) -> None:
-        """Run the failure detector; to be called at least a few times each period."""
+        """Run the failure detector; must be called several times in each period."""
         previous_ms, self._ticked_ms = self._ticked_ms, now_ms
         if previous_ms is not None and now_ms - previous_ms > self.timing.period_ms:
             self._resume_after_pause(now_ms)
@@ -193,10 +195,10 @@
         self._expire_relayed(now_ms)
 
     def _resume_after_pause(self, now_ms: float) -> None:
-        """Restart pending suspicions and discard the probe in flight.
+        """Restart the timeouts of pending suspicions, and discard the probe in flight.
 
-        The process was paused, and acks that arrived meanwhile are still unread; without this a member that
-        wakes up declares all others dead.
+        Acks that arrived while the process was paused have not been read yet.  Without this method, a member
+        that resumes would declare all other members dead.
         """
         self._probe = None
         for member in self._suspects:
@@ -239,7 +241,7 @@
             self._ping(self._random.choice(absent))
 
     def _next_target(self) -> int | None:
-        """Choose the member to probe: round-robin over a random order, drawn anew each time round."""
+        """Return the next member to probe: round-robin, in a new random order in each round."""
         while self._probe_order and not self.is_alive(self._probe_order[-1]):
             self._probe_order.pop()
         if not self._probe_order:
@@ -258,14 +260,12 @@
         for other in self._random.sample(others, min(self.timing.indirect_probes, len(others))):
             self._send(other, PingReq(probe.nonce, probe.target))
 
-    # ---- messages
-
     def record_contact(self, member: int, incarnation: int, now_ms: float) -> None:
-        """Record that an envelope of a member's incarnation was received.
+        """Record that an envelope from an incarnation of a member was received.
 
-        A member that is suspected or declared dead may not know it: it is notified, so that it refutes.
-        Notifications are limited to one in `ack_ms`; two members that suspect each other would otherwise
-        answer each other without end.
+        A member that is suspected or declared dead may not know that, so it is notified and can refute the
+        suspicion.  At most one notification is sent in `ack_ms`: otherwise two members that suspect each
+        other would notify each other endlessly.
         """
         peer = self.peers[member]
         peer.last_received_ms = now_ms
@@ -278,7 +278,7 @@
             self._send(member, Rumor(member, peer.state, peer.incarnation, peer.refutations))
 
     def receive(self, sender: int, message: MembershipMessage, now_ms: float) -> None:
-        """Handle one message of a member."""
+        """Handle one message from a member."""
         if isinstance(message, Ping):
             self._send(sender, Ack(message.nonce, self.me, self._digest()))
         elif isinstance(message, Ack):
@@ -310,7 +310,7 @@
             self._set_state(rumor.member, state, rumor.incarnation, rumor.refutations, now_ms)
 
     def _on_rumor_about_self(self, sender: int, rumor: Rumor) -> None:
-        """Refute a suspicion; a refuted one is refuted again, as the last refutation may have been lost."""
+        """Refute a suspicion of this member, again if needed: an earlier refutation may have been lost."""
         self.superseded = self.superseded or rumor.incarnation > self.incarnation
         is_doubted = rumor.state >= MemberState.SUSPECT and rumor.incarnation == self.incarnation
         if is_doubted and not self.has_left:
@@ -319,10 +319,8 @@
             self._broadcast(refutation)
             self._send(sender, refutation)
 
-    # ---- state changes
-
     def _suspect(self, probe: _Probe, now_ms: float) -> None:
-        """Suspect the target of a failed probe, unless anything was received from it since the probe."""
+        """Suspect the target of a failed probe, unless an envelope was received from it since the probe."""
         peer = self.peers[probe.target]
         if peer.state is MemberState.ALIVE and peer.last_received_ms < probe.started_ms:
             self._set_state(probe.target, MemberState.SUSPECT, peer.incarnation, peer.refutations, now_ms)
@@ -354,6 +352,6 @@
             self._present.remove(member)
 
     def leave(self) -> None:
-        """Announce a graceful shutdown, so that the others need not detect it."""
+        """Announce a graceful shutdown, so that the other members need not detect it."""
         self.has_left = True
         self._broadcast(Rumor(self.me, MemberState.DEAD, self.incarnation, self.refutations))
