--- a/shaletiller/fleet/coordinator.py
+++ b/shaletiller/fleet/coordinator.py
@@ -1,9 +1,9 @@
 """Connects a gateway's scheduler with its member of the fleet.
 
-The coordinator sees each event before the scheduler does, and returns the events that the scheduler must
-handle first.  Events that result from messages and from time are passed to the gateway as they occur.  It
-takes no decision of the scheduler's: a quota is an upper bound on what may be spent, a report that a node is
-unreachable is a reason not to send, and neither permits what the scheduler's own rules forbid.
+The coordinator examines each event before the scheduler handles it, and returns the events that the scheduler
+must handle first.  Events that result from messages and timers are passed to the gateway as they occur.  The
+coordinator takes no scheduling decisions.  A quota is an upper bound on spending, and a report that a node is
+unreachable is a reason not to send to it; neither permits anything that the scheduler's own rules forbid.
 """
 
 from __future__ import annotations
@@ -28,17 +28,18 @@
 from shaletiller.settings.model import Settings
 
 Policy = Literal["strict", "available"]
-# Lifetime of a manual ejection.  It is extended while most of the fleet is connected, so it only ends by
-# itself at a gateway that is partitioned for this long.
+# Lifetime of the record of a manual ejection.  It is extended while a majority of the fleet is connected, so
+# it expires only at a gateway that is partitioned for this long.
 EJECTION_LIFETIME_MS = 24 * 3600_000.0
-# How long a departure is gossiped: longer than an outage of discovery after which gateways take a new list.
+# Lifetime of the record of a departure.  It is longer than any discovery outage after which gateways receive
+# a new endpoint list.
 DEPARTURE_LIFETIME_MS = 600_000.0
-VOLUME_PREFIX = "v:"  # names the limit of a volume, in messages
-WARM_UP_PREFIX = "c:"  # names the warm-up budget of a node, in messages
+VOLUME_PREFIX = "v:"  # prefix of the limit of a volume in messages
+WARM_UP_PREFIX = "c:"  # prefix of the warm-up budget of a node in messages
 
 
 class GatewayPort(Protocol):
-    """What the coordinator needs of its gateway."""
+    """Callbacks of the coordinator, implemented by its gateway."""
 
     def send(self, member: int, data: bytes) -> None:
         """Send a datagram to a member; it may be lost."""
@@ -47,17 +48,17 @@
         """Pass an event to the scheduler."""
 
     def set_ejected(self, node: str, is_ejected: bool) -> None:
-        """Apply an operator's command at another gateway: eject a node, or end its ejection."""
+        """Apply an operator's command from another gateway: eject a node, or end its ejection."""
 
     def restart_node(self, node: str, started_ms: float) -> None:
-        """Take notice that a node has restarted, which another gateway's list shows."""
+        """Handle a restart of a node that another gateway's endpoint list reports."""
 
     def receive_departure(self, node: str, incarnation: int, departure: Departure) -> None:
-        """Take notice of what another gateway's endpoint list says of a node's departure."""
+        """Handle the departure state of a node in another gateway's endpoint list."""
 
 
 class FleetCoordinator:
-    """One gateway's part in the fleet; the `FleetListener` of its member."""
+    """Passes information between one gateway and its member of the fleet; implements `FleetListener`."""
 
     def __init__(
         self,
@@ -75,26 +76,26 @@
         """Create the coordinator and its member of the fleet; nothing is sent before the first tick.
 
         :param me: number of this member.
-        :param names: of all members.
-        :param policies: by plan name, of those whose limit is not `strict`.
-        :param seed: of the member's random choices.
-        :param name: of the fleet.
-        :param shares_warm_up_budgets: whether the warm-up budgets of nodes are limits of the fleet.
+        :param names: names of all members.
+        :param policies: policy of each plan's limit, by plan name; plans that are not listed are `strict`.
+        :param gateway: receives the coordinator's calls.
+        :param seed: seed of the member's random choices.
+        :param name: name of the fleet.
+        :param shares_warm_up_budgets: whether the warm-up budgets of nodes are shared by the fleet.
         """
         self._settings = settings
         self._policies = policies
         self._shares_warm_up_budgets = shares_warm_up_budgets and settings.warm_up_units > 0
         self._gateway = gateway
-        self._preceding: list[Event] | None = None  # collected while an event is examined
+        # Events that the scheduler must handle first; `None` unless an event is being examined.
+        self._preceding: list[Event] | None = None
         self._now_ms = now_ms
         self._ejected: frozenset[str] = frozenset()
         self.fleet = Fleet(me, names, now_ms, options, self, seed, name)
         self._observer = NodeObserver(settings, self.fleet)
 
-    # ---- events of the gateway
-
     def events_before(self, event: Event, now_ms: float) -> list[Event]:
-        """Examine an event; return those that the scheduler must handle before it."""
+        """Examine an event, and return the events that the scheduler must handle before it."""
         self._now_ms = now_ms
         self._preceding = []
         if isinstance(event, Request):
@@ -144,9 +145,12 @@
     def publish_departure(
         self, node: str, incarnation: int, version: int, state: DepartureState, now_ms: float
     ) -> None:
-        """Publish the state of a node on this gateway's endpoint list, where that is news.
+        """Publish the state of a node in this gateway's endpoint list, unless the fleet already knows it.
 
-        :param version: of the list.
+        :param node: name of the node.
+        :param incarnation: incarnation of the node.
+        :param version: version of the endpoint list.
+        :param state: state of the node in that version.
         """
         self._now_ms = now_ms
         value, known = Departure(version, state).to_value(), self.fleet.health.departure_record(node)
@@ -155,18 +159,17 @@
             self.fleet.publish_health(node, kind, incarnation, value, DEPARTURE_LIFETIME_MS, now_ms)
 
     def restore(self, record: HealthRecord) -> None:
-        """Merge an operator's record from storage, with its original timestamp: a newer one wins."""
+        """Merge a stored record of an operator's command with its original timestamp, so newer ones win."""
         self.fleet.health.merge(record, self._now_ms)
 
-    # ---- messages and time
 
     def receive(self, data: bytes, now_ms: float) -> None:
-        """Handle a datagram of another member."""
+        """Handle a datagram from another member."""
         self._now_ms = now_ms
         self.fleet.receive(data, now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Advance the fleet's protocols, and extend manual ejections."""
+        """Advance the fleet's protocols, and extend the lifetimes of manual ejections."""
         self._now_ms = now_ms
         self.fleet.tick(now_ms)
         if self.fleet.connected:
@@ -179,18 +182,18 @@
         self._now_ms = now_ms
         self.fleet.stop(now_ms)
 
-    # ---- callbacks of the fleet (core.FleetListener)
+    # `send` and the `..._changed` methods implement core.FleetListener.
 
     def send(self, member: int, data: bytes) -> None:
         """Send a datagram to a member."""
         self._gateway.send(member, data)
 
     def quota_changed(self, limit: str, quota: Quota) -> None:
-        """Notify the scheduler of a quota."""
+        """Notify the scheduler of a new quota."""
         self._emit(QuotaUpdated(limit.partition(":")[2], quota))
 
     def health_changed(self, node: str, kind: HealthKind) -> None:
-        """Evaluate changed records; those of kinds that only operators read need no action."""
+        """Evaluate changed records; kinds that are only displayed to operators need no action."""
         if kind is HealthKind.EJECTED:
             self._on_ejection(node)
         elif kind is HealthKind.UNREACHABLE:
@@ -225,7 +228,7 @@
             self._gateway.receive_departure(node, record.incarnation, departure)
 
     def member_changed(self, member: int, before: MemberState, after: MemberState) -> None:
-        """Ignore a member's new state: it changes the granters, and nothing that the scheduler decides."""
+        """Ignore state changes of members: they affect the choice of granters, but not the scheduler."""
 
     def _emit(self, event: Event) -> None:
         if self._preceding is not None:
@@ -233,10 +236,8 @@
         else:
             self._gateway.handle(event)
 
-    # ---- statistics
-
     def stats(self) -> dict[str, int]:
-        """Return the fleet's part of the operators' STATS, by key; see docs/operations.md."""
+        """Return the fleet's entries of the operators' STATS command, by key; see docs/operations.md."""
         fleet = self.fleet
         records = list(fleet.health)
         quotas = [fleet.quota(limit, self._now_ms) for limit in fleet.leases.limits()]
--- a/shaletiller/fleet/core.py
+++ b/shaletiller/fleet/core.py
@@ -1,8 +1,8 @@
-"""One gateway's member of the fleet: membership, leases and health gossip over one channel of datagrams.
+"""One gateway's member of the fleet: membership, leases and health gossip over one datagram transport.
 
-`Fleet` is driven by the time, received datagrams and the gateway's requests, and answers by calls of its
-`FleetListener`.  It reads no clock and no socket.  A datagram that exceeds the message rate budget is
-dropped: everything that datagrams carry is retransmitted or requested again by its protocol.
+`Fleet` is driven by the time, by received datagrams and by calls of the gateway, and calls its
+`FleetListener`.  It reads no clock and no socket.  Datagrams above the message rate limit are dropped; each
+protocol retransmits its messages or requests them again.
 """
 
 from __future__ import annotations
@@ -25,26 +25,27 @@
 from shaletiller.fleet.membership import Membership, MembershipTiming, MemberState
 from shaletiller.fleet.quotas import NO_ALLOWANCE, Allowance, Quota
 
-# Empirical: minimum time between two anti-entropy batches to one member.  Shorter converges sooner and takes
-# more of the message budget.
+# Minimum time between two anti-entropy batches to one member.  A smaller value converges sooner; a larger
+# value takes less of the message rate limit.
 SYNC_INTERVAL_MS = 200.0
-SYNC_RESERVE_BYTES = 20  # left in a datagram of a batch for the ping or ack that goes along
-MIN_DATAGRAM_BYTES = 128  # an envelope with one message of average size
-# Kinds for which a single observer suffices: an operator's command, and a restart that the node reported.
+SYNC_RESERVE_BYTES = 20  # space that an anti-entropy batch leaves for a ping or ack in the same datagram
+MIN_DATAGRAM_BYTES = 128  # space for an envelope with one message of average size
+# Kinds that need only one observer: an operator's command, and a restart that the node itself reported.
 SINGLE_OBSERVER_KINDS = (HealthKind.EJECTED, HealthKind.WARMING_UP)
 
 
 @dataclass(slots=True, frozen=True)
 class FleetOptions:
-    """Parameters of a fleet, equal at all members.
-
-    :param lease_timing: `None` selects it by the number of members.
-    :param max_datagram_bytes: size limit of a datagram.
-    :param messages_a_second: rate limit of this member's datagrams; above it they are dropped.
-    :param gossip_ms: interval of gossip rounds.
-    :param fanout: members to which a gossip round is sent.
-    :param gather_ms: messages to one member within this time share a datagram.
-    :param quorum: distinct observers required before load is taken off a node.
+    """Options of a fleet, which must be equal at all members.
+
+    :param timing: timing of the failure detector.
+    :param lease_timing: durations of leases and pledges; `None` selects them by the number of members.
+    :param max_datagram_bytes: maximum size of a datagram.
+    :param messages_a_second: maximum rate of the datagrams sent by this member; those above it are dropped.
+    :param gossip_ms: interval between gossip rounds.
+    :param fanout: number of members that receive a datagram in each gossip round.
+    :param gather_ms: time during which messages to one member are collected into one datagram.
+    :param quorum: number of distinct observers required before load is moved away from a node.
     """
 
     timing: MembershipTiming = field(default_factory=MembershipTiming)
@@ -57,9 +58,9 @@
     quorum: int = 2
 
     def __post_init__(self) -> None:
-        """Check the ranges.
+        """Validate the options.
 
-        :raises FleetOptionError: where an option is out of range.
+        :raises FleetOptionError: if an option is out of range.
         """
         if self.max_datagram_bytes < MIN_DATAGRAM_BYTES:
             requirement = f"wants at least {MIN_DATAGRAM_BYTES}, got {self.max_datagram_bytes}"
@@ -75,35 +76,35 @@
 
 
 class FleetListener(Protocol):
-    """The gateway that a fleet member belongs to."""
+    """Callbacks of a `Fleet`, implemented by the gateway that it belongs to."""
 
     def send(self, member: int, data: bytes) -> None:
-        """Send a datagram; it may be lost."""
+        """Send a datagram to a member; it may be lost."""
 
     def quota_changed(self, limit: str, quota: Quota) -> None:
-        """Enforce a new quota, before this call returns."""
+        """Apply a new quota before this call returns."""
 
     def health_changed(self, node: str, kind: HealthKind) -> None:
-        """Evaluate the records of a node and kind, which have changed."""
+        """Evaluate the records of one kind about a node after they have changed."""
 
     def member_changed(self, member: int, before: MemberState, after: MemberState) -> None:
-        """Take notice of a member's new state."""
+        """Handle a state change of a member."""
 
 
 def group_hash(name: str, members: Sequence[str]) -> int:
-    """Return the hash by which fleets with different configurations are distinguished."""
+    """Return a hash that distinguishes fleets with different names or members."""
     return xxhash.xxh32_intdigest("\n".join([name, *members]).encode())
 
 
 class _RateLimiter:
-    """Token bucket of datagrams: a burst of up to one second's rate."""
+    """Token bucket for datagrams; its capacity is the rate of one second."""
 
     def __init__(self, rate_per_s: float, now_ms: float) -> None:
         self._rate_per_s = self._tokens = rate_per_s
         self._filled_ms = now_ms
 
     def try_acquire(self, now_ms: float) -> bool:
-        """Take one token if there is one."""
+        """Take one token; return whether one was available."""
         filled = self._tokens + self._rate_per_s * (now_ms - self._filled_ms) / 1000
         self._tokens = min(self._rate_per_s, filled)
         self._filled_ms = now_ms
@@ -116,7 +117,7 @@
 class Fleet:
     """One member of a fleet.
 
-    Times are milliseconds of the gateway's clock, which continues the Unix epoch without steps.
+    Times are in milliseconds of the gateway's clock, which counts from the Unix epoch and never steps.
     """
 
     def __init__(
@@ -129,13 +130,16 @@
         seed: int = 0,
         name: str = "",
     ) -> None:
-        """Create a member that has not met the others; nothing is sent before the first tick.
-
-        :param me: number of this member.
-        :param members: names of all members; their order numbers them.
-        :param seed: of the random choices of this member.
-        :param name: of the fleet.
-        :raises FleetOptionError: where `me` is not the number of a member.
+        """Create a member that knows nothing of the other members; it sends nothing before the first tick.
+
+        :param me: number of this member, which is its index in `members`.
+        :param members: names of all members.
+        :param now_ms: current time; it becomes this member's incarnation.
+        :param options: options of the fleet.
+        :param listener: receives datagrams to send, quotas and state changes.
+        :param seed: seed of this member's random choices.
+        :param name: name of the fleet.
+        :raises FleetOptionError: if `me` is not the number of a member.
         """
         if not 0 <= me < len(members):
             raise FleetOptionError("me", f"wants one of the {len(members)} members, got {me}")
@@ -180,23 +184,20 @@
         self.counts: Counter[str] = Counter()
         self._now_ms = now_ms
 
-    # ---- queries
-
     @property
     def connected(self) -> bool:
-        """Whether a majority of the configured members is alive."""
+        """Whether a majority of the configured members is alive, in this member's view."""
         return 2 * len(self.membership.alive()) > len(self.names)
 
     def quota(self, limit: str, now_ms: float) -> Quota:
-        """Return what this member may spend of a limit."""
+        """Return this member's quota of a limit."""
         return self.leases.quota(limit, now_ms)
 
     def agreed_health(self, node: str, kind: HealthKind, now_ms: float) -> HealthSummary | None:
-        """Return what a sufficient number of distinct observers states about a node."""
+        """Return the summary of the records about a node, or `None` if they have no quorum of observers."""
         quorum = 1 if kind in SINGLE_OBSERVER_KINDS else self.options.quorum
         return self.health.with_quorum(node, kind, quorum, now_ms)
 
-    # ---- requests of the gateway
 
     def record_demand(
         self,
@@ -220,8 +221,11 @@
     ) -> None:
         """Publish this gateway's statement about a node.
 
-        :param incarnation: of the node.
-        :param value: see `HealthKind`; 0 withdraws the statement.
+        :param node: name of the node.
+        :param kind: kind of the statement.
+        :param incarnation: incarnation of the node.
+        :param value: value of the statement, see `HealthKind`; 0 withdraws it.
+        :param lifetime_ms: time after which the statement expires.
         """
         self._now_ms = now_ms
         expires_ms = int(now_ms + lifetime_ms)
@@ -231,10 +235,8 @@
             self._gossip_is_due = True
         self._flush()
 
-    # ---- received datagrams and time
-
     def receive(self, data: bytes, now_ms: float) -> None:
-        """Handle a datagram; the reader counts the reasons of those that are dropped."""
+        """Handle a received datagram; if it is dropped, the reader counts the reason."""
         self._now_ms = now_ms
         received = self.reader.read(data, now_ms)
         if received is None:
@@ -269,14 +271,17 @@
             self.reader.dropped["ahead"] += 1
 
     def _send_sync_batch(self, member: int) -> None:
-        """Send some records to a member whose digest differs; it does the same (anti-entropy, push-push)."""
+        """Send a batch of records to a member with a different digest.
+
+        The other member does the same (push-push anti-entropy).
+        """
         if self._now_ms - self._synced_ms.get(member, -SYNC_INTERVAL_MS) >= SYNC_INTERVAL_MS:
             self._synced_ms[member] = self._now_ms
             max_bytes = self.options.max_datagram_bytes - self._writer.overhead - SYNC_RESERVE_BYTES
             self._outgoing.setdefault(member, []).extend(self.health.sync_batch(max_bytes))
 
     def tick(self, now_ms: float) -> None:
-        """Advance all protocols; to be called every 20 to 50 ms."""
+        """Advance all protocols; must be called every 20 to 50 ms."""
         self._now_ms = now_ms
         self.membership.tick(now_ms)
         self.health.tick(now_ms)
@@ -286,14 +291,13 @@
         self._complete()
 
     def stop(self, now_ms: float) -> None:
-        """Shut down gracefully: give up all quotas and notify the other members."""
+        """Shut down gracefully: set all quotas to zero and notify the other members."""
         self._now_ms = now_ms
         self.leases.stop(now_ms)
         self.membership.leave()
         self._start_gossip_round()
         self._complete()
 
-    # ---- outgoing messages
 
     def _enqueue(self, member: int, message: AnyMessage) -> None:
         if member == self.me:
@@ -308,7 +312,7 @@
         self.broadcasts.add(key_of(record), codec.encode(record))
 
     def _start_gossip_round(self) -> None:
-        """Select the members that get a datagram; queued broadcasts are piggybacked on any datagram."""
+        """Select random members to receive a datagram; `_send_payloads` adds the queued broadcasts to it."""
         self._gossiped_ms = self._now_ms
         if not self.broadcasts:
             return
@@ -317,13 +321,13 @@
             self._outgoing.setdefault(member, [])
 
     def _complete(self) -> None:
-        """Give up all quotas if a newer process runs as this member, and send what is queued."""
+        """Set all quotas to zero if a newer process runs as this member, then send queued messages."""
         if self.membership.superseded and not self.leases.stopped:
             self.leases.stop(self._now_ms)
         self._flush()
 
     def _flush(self) -> None:
-        """Deliver messages to this member itself, and send what is queued unless it is still gathered."""
+        """Deliver queued messages to this member itself; send the others if `gather_ms` has elapsed."""
         while self._loopback:
             message = self._loopback.popleft()
             if isinstance(message, LeaseMessage):
@@ -339,7 +343,7 @@
             self._send_payloads(member, payloads)
 
     def _send_payloads(self, member: int, payloads: list[bytes]) -> None:
-        """Pack messages into as few datagrams as their order allows, and fill the last with broadcasts."""
+        """Pack messages in order into as few datagrams as possible, and fill the last one with broadcasts."""
         capacity = free = self.options.max_datagram_bytes - self._writer.overhead
         batch: list[bytes] = []
         for payload in payloads:
--- a/shaletiller/fleet/health_gossip.py
+++ b/shaletiller/fleet/health_gossip.py
@@ -1,18 +1,20 @@
 """Gossip about storage nodes: a replicated map of health records that converges at all gateways.
 
-Under each key (node, kind, observer) the newest record wins: by the node's incarnation, then by the record's
-timestamp.  Merging is therefore commutative, associative and idempotent: a map of last-writer-wins registers
-(Shapiro, Preguica, Baquero and Zawirski, "Conflict-free Replicated Data Types", SSS 2011).
-
-- A record expires at its `expires_ms` everywhere, without a message.  So does a withdrawal, which is given at
-  least the time of the record that it withdraws.
-- A newer incarnation of the node discards records of older ones.  Manual ejections are an operator's and
-  concern the node in any incarnation.
-- A manual ejection is one register for all observers: any operator's ENABLE lifts any operator's DISABLE.
-- What the endpoint list says of an incarnation (DEPARTING) is one register for all observers too; the record
-  of the higher list version wins, whichever was observed later.
-- What takes load off a node (UNREACHABLE, REJECTING) requires a quorum of distinct observers: what a single
-  gateway observes may be a fault of its own link.
+For each key (node, kind, observer) the newest record wins: first by the incarnation of the node, then by the
+timestamp of the record.  The map consists of last-writer-wins registers (Shapiro, Preguica, Baquero and
+Zawirski, "Conflict-free Replicated Data Types", SSS 2011), so merging is commutative, associative and
+idempotent.
+
+- A record expires at its `expires_ms` at all gateways, without a message.  A withdrawal expires too, but not
+  before the record that it withdraws.
+- Records about older incarnations of a node are discarded when a newer incarnation is known.  Manual
+  ejections are kept: an operator's command applies to all incarnations of a node.
+- All observers share one register for the manual ejection of a node: the ENABLE of any operator lifts the
+  DISABLE of any other operator.
+- All observers share one register for the state of an incarnation in the endpoint list (DEPARTING).  The
+  record of the higher list version wins, regardless of when it was observed.
+- Records that move load away from a node (UNREACHABLE, REJECTING) take effect only with a quorum of distinct
+  observers, because a failure that only one gateway observes may be a fault of its own link.
 """
 
 from __future__ import annotations
@@ -27,30 +29,36 @@
 
 from shaletiller.fleet.codec import HealthRecord, encode
 
-ANY_OBSERVER = 0xFFFF  # observer in the key of records that are one register for all observers
+ANY_OBSERVER = 0xFFFF  # observer in the key of a register that all observers share
 MAX_LIFETIME_MS = 7 * 24 * 3600_000.0  # a record with a longer lifetime comes from a broken clock
-EXPIRY_INTERVAL_MS = 50.0  # empirical: more often costs a scan of the map, less often delays recovery
-# Empirical: incarnations of nodes without records are dropped above this, to bound memory as nodes come and
-# go.
+# Interval between scans for expired records.  A smaller value costs more scans of the map; a larger value
+# delays the recovery of nodes.
+EXPIRY_INTERVAL_MS = 50.0
+# The known incarnations of nodes without records are dropped when there are more incarnations than
+# `MIN_INCARNATIONS_KEPT` plus `INCARNATIONS_PER_RECORD` for each record.  This bounds memory while nodes are
+# added and removed.
 MIN_INCARNATIONS_KEPT = 256
 INCARNATIONS_PER_RECORD = 4
 
 
 class HealthKind(IntEnum):
-    """What a record states about a storage node; its `value` is 0 where the statement is withdrawn."""
+    """Kind of statement in a record about a storage node.
 
-    EJECTED = 1  # manually ejected by an operator (1)
-    UNREACHABLE = 2  # attempts fail without an answer (1)
-    WARMING_UP = 3  # has started anew: its incarnation is the statement (1)
-    REJECTING = 4  # rejects requests (1)
-    SLOW = 5  # its smoothed latency, in milliseconds
-    DEPARTING = 6  # the endpoint list's version times `DEPARTURE_STATES`, plus a `DepartureState`
+    The comments give the meaning of the record's `value`; a value of 0 withdraws the statement.
+    """
+
+    EJECTED = 1  # 1: manually ejected by an operator
+    UNREACHABLE = 2  # 1: attempts fail without a response
+    WARMING_UP = 3  # 1: restarted with the incarnation of this record
+    REJECTING = 4  # 1: rejects requests
+    SLOW = 5  # smoothed latency in milliseconds
+    DEPARTING = 6  # version of the endpoint list times `DEPARTURE_STATES`, plus a `DepartureState`
 
 
 KNOWN_KINDS = frozenset(HealthKind)
-SHARED_KINDS = (HealthKind.EJECTED, HealthKind.DEPARTING)  # one register for all observers
+SHARED_KINDS = (HealthKind.EJECTED, HealthKind.DEPARTING)  # all observers share one register of a node
 
-# Names of the kinds in STATS, as `fleet.verdicts.NAME`.
+# Names of the kinds in the STATS keys `fleet.verdicts.NAME`.
 STATS_NAMES = {
     HealthKind.EJECTED: "ban",
     HealthKind.UNREACHABLE: "dead",
@@ -62,42 +70,42 @@
 
 
 class DepartureState(IntEnum):
-    """State of an incarnation according to the endpoint list, in a record of kind DEPARTING."""
+    """State of a node's incarnation in the endpoint list, as encoded in records of kind DEPARTING."""
 
     DRAINING = 1
     LEFT = 2
     ACTIVE = 3
 
 
-DEPARTURE_STATES = 4  # the value of a DEPARTING record is a number of this base: list version, state
+DEPARTURE_STATES = 4  # factor of the list version in the value of a DEPARTING record
 KNOWN_DEPARTURE_STATES = frozenset(DepartureState)
 
 
 class Departure(NamedTuple):
-    """Value of a record of kind DEPARTING: state of an incarnation in a version of the endpoint list."""
+    """Value of a DEPARTING record: the state of an incarnation in a version of the endpoint list."""
 
     version: int
     state: DepartureState
 
     def to_value(self) -> int:
-        """Encode as the value of a record."""
+        """Encode the departure as the value of a record."""
         return self.version * DEPARTURE_STATES + self.state
 
     @classmethod
     def from_value(cls, value: int) -> Departure | None:
-        """Decode the value of a record; `None` where a later version of this program wrote it."""
+        """Decode the value of a record; return `None` if the state is unknown to this version."""
         version, state = divmod(value, DEPARTURE_STATES)
         return cls(version, DepartureState(state)) if state in KNOWN_DEPARTURE_STATES else None
 
 
 @dataclass(slots=True, frozen=True)
 class HealthSummary:
-    """Records of one node and kind, aggregated over observers.
+    """Records of one kind about a node, aggregated over observers.
 
     :param observers: number of distinct observers.
-    :param value: the greatest value.
-    :param expires_ms: when too few observers will remain.
-    :param incarnation: the latest incarnation of the node.
+    :param value: greatest value of the records.
+    :param expires_ms: time from which the records of too few observers remain.
+    :param incarnation: latest incarnation of the node.
     """
 
     observers: int
@@ -107,7 +115,7 @@
 
 
 class RecordKey(NamedTuple):
-    """Identifies the register of a record."""
+    """Key of the register that holds a record."""
 
     node: str
     kind: int
@@ -115,15 +123,15 @@
 
 
 def key_of(record: HealthRecord) -> RecordKey:
-    """Return the key of the register that a record writes."""
+    """Return the key of the register that a record is written to."""
     observer = ANY_OBSERVER if record.kind in SHARED_KINDS else record.observer
     return RecordKey(record.node, record.kind, observer)
 
 
 def rank(record: HealthRecord) -> tuple[int, int, int, int, int, int, int]:
-    """Return the total order of the records under one key; it alone decides which of them wins.
+    """Return the sort key by which the records of one register are ordered; the greatest record wins.
 
-    The incarnation of a manual ejection is not compared, except to break ties.
+    The incarnation of a manual ejection is compared only to break ties.
     """
     incarnation = 0 if record.kind == HealthKind.EJECTED else record.incarnation
     departure = record.value if record.kind == HealthKind.DEPARTING else 0
@@ -139,7 +147,7 @@
 
 
 def _ignore_change(node: str, kind: HealthKind) -> None:
-    """Ignore a change: the default listener."""
+    """Ignore a changed record; the default of `on_change`."""
 
 
 class HealthGossip:
@@ -153,11 +161,11 @@
         """Create an empty map.
 
         :param broadcast: disseminates a record to all members by gossip.
-        :param on_change: notified of each node and kind whose records have changed.
+        :param on_change: called with the node and the kind of each record that has changed.
         """
         self._broadcast, self._on_change = broadcast, on_change
         self._records: dict[RecordKey, HealthRecord] = {}
-        self._incarnations: dict[str, int] = {}  # latest known, by node
+        self._incarnations: dict[str, int] = {}  # latest known incarnation, by node
         self._digest = 0
         self._sync_position = 0
         self._expired_ms = 0.0
@@ -170,23 +178,21 @@
         """Iterate over a copy of the records."""
         return iter(list(self._records.values()))
 
-    # ---- queries
-
     @property
     def digest(self) -> int:
-        """Equal for equal maps; maintained incrementally."""
+        """Digest of all records, maintained incrementally; equal maps have equal digests."""
         return self._digest
 
     def ejection_record(self, node: str) -> HealthRecord | None:
-        """Return the winning record of operators about a node."""
+        """Return the record of the latest operator command about a node, or `None` if there is none."""
         return self._records.get(RecordKey(node, HealthKind.EJECTED, ANY_OBSERVER))
 
     def departure_record(self, node: str) -> HealthRecord | None:
-        """Return what the highest known version of the endpoint list says about a node's departure."""
+        """Return the departure record of a node with the highest list version, or `None` if there is none."""
         return self._records.get(RecordKey(node, HealthKind.DEPARTING, ANY_OBSERVER))
 
     def ejected_nodes(self, wall_ms: float) -> frozenset[str]:
-        """Return the nodes that are manually ejected."""
+        """Return the names of the nodes that are manually ejected."""
         return frozenset(
             record.node
             for key, record in self._records.items()
@@ -194,10 +200,11 @@
         )
 
     def with_quorum(self, node: str, kind: HealthKind, quorum: int, wall_ms: float) -> HealthSummary | None:
-        """Aggregate the records of a node and kind.
+        """Aggregate the records of one kind about a node.
 
-        :param quorum: distinct observers required.
-        :returns: `None` where there are fewer observers; otherwise expiring when there will be fewer.
+        :param quorum: number of distinct observers required.
+        :returns: the summary, which expires when fewer observers than the quorum remain, or `None` if there
+            are fewer already.
         """
         records = sorted(
             (
@@ -216,19 +223,20 @@
             incarnation=max(record.incarnation for record in records),
         )
 
-    # ---- changes
-
     def publish(self, record: HealthRecord, wall_ms: float) -> bool:
-        """Merge a record of this member; a withdrawal lasts at least as long as what it withdraws."""
+        """Merge a record of this member; a withdrawal expires no earlier than the record that it withdraws.
+
+        :returns: whether the record replaced the known one.
+        """
         previous = self._records.get(key_of(record))
         if previous is not None and record.value == 0 and previous.expires_ms > record.expires_ms:
             record = msgspec.structs.replace(record, expires_ms=previous.expires_ms)
         return self.merge(record, wall_ms)
 
     def merge(self, record: HealthRecord, wall_ms: float) -> bool:
-        """Merge a record of any member, and broadcast it if it is news.
+        """Merge a record of any member, and broadcast it if it is newer than the known one.
 
-        :returns: whether it replaced what was known.
+        :returns: whether the record replaced the known one.
         """
         if not self._is_acceptable(record, wall_ms):
             return False
@@ -246,12 +254,12 @@
         if not wall_ms < record.expires_ms <= wall_ms + MAX_LIFETIME_MS:
             return False
         if record.kind not in KNOWN_KINDS:
-            return False  # of a later version of this program
+            return False  # written by a later version
         is_outdated = record.incarnation < self._incarnations.get(record.node, 0)
         return record.kind == HealthKind.EJECTED or not is_outdated
 
     def _observe_incarnation(self, record: HealthRecord) -> None:
-        """Discard the records of older incarnations of a node that has restarted."""
+        """Record the incarnation of a node, and discard records about its older incarnations."""
         if record.kind == HealthKind.EJECTED:
             return
         if record.incarnation <= self._incarnations.get(record.node, 0):
@@ -278,7 +286,7 @@
             self._on_change(key.node, HealthKind(key.kind))
 
     def tick(self, wall_ms: float) -> None:
-        """Discard records that have expired."""
+        """Discard expired records."""
         if wall_ms - self._expired_ms < EXPIRY_INTERVAL_MS:
             return
         self._expired_ms = wall_ms
@@ -290,20 +298,20 @@
             }
 
     def extend(self, kind: HealthKind, before_ms: float, expires_ms: float, wall_ms: float) -> None:
-        """Extend records of a kind that expire before `before_ms`.
+        """Extend the lifetimes of the records of one kind that expire before `before_ms`.
 
-        They keep their timestamps, so that any later record still wins.
+        The records keep their timestamps, so that a record published later still wins.
+
+        :param expires_ms: new expiry time of these records.
         """
         for key, record in list(self._records.items()):
             if key.kind == kind and record.value > 0 and wall_ms < record.expires_ms < before_ms:
                 self.merge(msgspec.structs.replace(record, expires_ms=int(expires_ms)), wall_ms)
 
-    # ---- anti-entropy
-
     def sync_batch(self, max_bytes: int) -> list[bytes]:
-        """Return encoded records, in rotation, for a member whose digest differs.
+        """Return encoded records for a member whose digest differs; each call continues after the last one.
 
-        :param max_bytes: size of the batch.
+        :param max_bytes: maximum size of the batch.
         """
         keys = list(self._records)
         batch: list[bytes] = []
@@ -318,5 +326,5 @@
 
 
 def _hash(record: HealthRecord) -> int:
-    """Hash a record; shifted to fit the signed integer of the wire."""
+    """Return the hash of a record, shifted to fit the signed 64-bit integer of the wire format."""
     return xxhash.xxh3_64_intdigest(encode(record)) >> 1
--- a/shaletiller/fleet/node_observer.py
+++ b/shaletiller/fleet/node_observer.py
@@ -1,6 +1,6 @@
-"""What this gateway observes of storage nodes, published as health records for the other gateways.
+"""Publishes what this gateway observes about storage nodes as health records for the other gateways.
 
-Observations come from the endpoint list and from the outcomes of this gateway's own attempts.
+The observations come from the endpoint list and from the outcomes of this gateway's attempts.
 """
 
 from __future__ import annotations
@@ -15,29 +15,32 @@
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.settings.model import Settings
 
-# Empirical: so many attempts in a row without an answer, or rejected, make a statement.  Fewer publish the
-# loss of single connections, more send requests to a dead node for longer.
+# Number of consecutive attempts without a response, or rejected, after which a node is reported.  A smaller
+# value reports the loss of single connections; with a larger value, a dead node is sent requests for longer.
 FAILURE_THRESHOLD = 3
-# Empirical: lifetime of each statement, in milliseconds.  It is repeated while attempts keep failing; a
-# longer lifetime keeps a recovered node without load, a shorter one needs more messages.
+# Lifetimes of the statements.  A statement is repeated while attempts keep failing.  A longer lifetime keeps
+# load away from a recovered node for longer; a shorter lifetime needs more messages.
 UNREACHABLE_LIFETIME_MS = 3_000.0
 REJECTING_LIFETIME_MS = 2_000.0
 SLOW_LIFETIME_MS = 4_000.0
-REPEAT_FRACTION = 0.5  # a statement is repeated after this part of its lifetime: one repetition may be lost
-SLOW_FACTOR = 4.0  # empirical: a node is slow whose latency is so many times the average of all nodes
-# Weight of a new sample in the moving averages of latency.  Empirical: a larger weight follows single slow
-# requests, a smaller one notices a slow node later.
+# Fraction of its lifetime after which a statement is repeated; at one half, one repetition may be lost.
+REPEAT_FRACTION = 0.5
+# Ratio of a node's latency to the average of all nodes above which the node is reported as slow.
+SLOW_FACTOR = 4.0
+# Weight of a new sample in the moving averages of latency.  With a larger value they follow single slow
+# requests; with a smaller value a slow node is detected later.
 LATENCY_WEIGHT = 0.1
 UNANSWERED_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET)
 
 
 @dataclass(slots=True)
 class _ObservedNode:
-    """A node in its present incarnation.
+    """Observations of a node in its current incarnation.
 
-    :param failures: attempts without an answer since the last successful one.
-    :param rejections: attempts in a row that were rejected.
-    :param published_ms: when each statement in force was last published.
+    :param failures: number of attempts without a response since the last successful attempt.
+    :param rejections: number of consecutive rejected attempts.
+    :param latency_ms: moving average of the latency of successful attempts; 0 before the first one.
+    :param published_ms: time at which each current statement was last published.
     """
 
     incarnation: int
@@ -48,39 +51,37 @@
 
 
 class WarmingNode(NamedTuple):
-    """A node that has started anew."""
+    """A node that has started recently."""
 
     name: str
     started_ms: float
 
 
 class NodeObserver:
-    """Publishes this gateway's observations of the nodes on its endpoint list."""
+    """Publishes this gateway's observations of the nodes in its endpoint list."""
 
     def __init__(self, settings: Settings, fleet: Fleet) -> None:
         """Create an observer without nodes."""
         self._settings, self._fleet = settings, fleet
         self._nodes: dict[str, _ObservedNode] = {}
-        self._warming: dict[int, WarmingNode] = {}  # latest to start, by shard
+        self._warming: dict[int, WarmingNode] = {}  # the node that started last, by shard
         self._average_latency_ms = 0.0
 
     def incarnation_of(self, node: str) -> int | None:
-        """Return the incarnation of a node on this gateway's list, `None` where it is not listed."""
+        """Return the incarnation of a node, or `None` if it is not in this gateway's endpoint list."""
         observed = self._nodes.get(node)
         return observed.incarnation if observed is not None else None
 
     def warming_node(self, shard: int, now_ms: float) -> str | None:
-        """Return the node of a shard that is in slow start, if any."""
+        """Return the node of a shard that is in slow start, or `None` if there is none."""
         warming = self._warming.get(shard)
         return warming.name if warming is not None and self._is_warming(warming.started_ms, now_ms) else None
 
     def _is_warming(self, started_ms: float, now_ms: float) -> bool:
         return started_ms > 0 and now_ms - started_ms < self._settings.slow_start_ms
 
-    # ---- the endpoint list
-
     def on_list_update(self, update: EndpointListUpdate, now_ms: float) -> None:
-        """Follow the endpoint list, and publish which nodes are warming up."""
+        """Apply an update of the endpoint list, and publish which nodes are warming up."""
         if update.kind is UpdateKind.FAILED:
             return
         if update.kind is not UpdateKind.CHANGES:
@@ -104,10 +105,8 @@
                 entry.node, HealthKind.WARMING_UP, incarnation, 1, remaining_ms, now_ms
             )
 
-    # ---- attempts
-
     def on_attempt_ended(self, attempt: AttemptEnded, now_ms: float) -> None:
-        """Update the node's failure counters and latency, and publish what follows from them."""
+        """Update the failure counters and the latency of the node, and publish the resulting statements."""
         node = self._nodes.get(attempt.node)
         if node is None:
             return
@@ -117,7 +116,7 @@
             attempt.node, HealthKind.UNREACHABLE, int(is_unreachable), UNREACHABLE_LIFETIME_MS, now_ms
         )
         if self._settings.peer_message_cost > 0:
-            return  # no decision depends on the statements below: not worth paying for their messages
+            return  # messages have a cost, and no decision depends on the statements below
         is_rejecting = node.rejections >= FAILURE_THRESHOLD
         self._update(attempt.node, HealthKind.REJECTING, int(is_rejecting), REJECTING_LIFETIME_MS, now_ms)
         is_slow = node.latency_ms > SLOW_FACTOR * self._average_latency_ms
@@ -134,7 +133,7 @@
         node.rejections = node.rejections + 1 if attempt.outcome is Outcome.FULL else 0
 
     def _update(self, name: str, kind: HealthKind, value: int, lifetime_ms: float, now_ms: float) -> None:
-        """Publish a statement as often as its lifetime requires; a `value` of 0 withdraws it."""
+        """Publish a statement, repeating it in time before it expires; a `value` of 0 withdraws it."""
         node = self._nodes[name]
         last_ms = node.published_ms.get(kind)
         if value:
@@ -146,10 +145,10 @@
                 return
             del node.published_ms[kind]
             if now_ms - last_ms >= lifetime_ms:
-                return  # it has expired by itself
+                return  # already expired
         self._fleet.publish_health(name, kind, node.incarnation, value, lifetime_ms, now_ms)
 
 
 def _moving_average(average: float, sample: float) -> float:
-    """Return the exponentially weighted moving average; 0 means that there is none yet."""
+    """Return the exponentially weighted moving average; an `average` of 0 means no sample yet."""
     return average + (sample - average) * (LATENCY_WEIGHT if average else 1.0)
