--- a/shaletiller/fleet/leases/accounts.py
+++ b/shaletiller/fleet/leases/accounts.py
@@ -1,6 +1,6 @@
-"""A member's account of each limit: its own part, what it has pledged of that, and what it has borrowed.
+"""A member's account of each limit: its own share, its pledges of that share, and its leases.
 
-The owner role changes the pledges, the holder role the leases; the resulting quota depends on both.
+The owner role changes the pledges and the holder role changes the leases; the quota results from both.
 """
 
 from __future__ import annotations
@@ -19,13 +19,14 @@
 )
 from shaletiller.rate_counters import DecayingRate, SlidingWindowSum
 
-# Empirical: how long demand is remembered.  Longer keeps quota at a member whose surge is over, shorter lets
-# quota oscillate with each gap between requests.
+# Time over which demand is averaged.  A larger value keeps quota at a member after a surge of its load; with
+# a smaller value, quota oscillates with each gap between requests.
 DEMAND_MEMORY_MS = 400.0
-# Empirical: a member keeps, or requests, its demand times this.  More leaves quota unused, less rejects
-# requests of a growing load before the next lease arrives.
+# Ratio of the quota that a member keeps or requests to its demand.  A larger value leaves quota unused; with
+# a smaller value, requests of a growing load are rejected before the next lease arrives.
 HEADROOM_FACTOR = 1.25
-# A limit without requests for so many terms is forgotten; by then all pledges and leases have long expired.
+# Number of terms without requests after which a limit is dropped.  By then all its pledges and leases have
+# expired.
 IDLE_TERMS = 8
 
 
@@ -33,12 +34,19 @@
 class LimitAccount:
     """A member's account of one limit.
 
-    :param limit: the limit of the entire fleet.
-    :param own_part: the fixed part that this member owns.
-    :param settle_ms: length of the window in which spent units count, 0 for a limit that is a rate.
-    :param max_request_units: units of the largest request.
-    :param quiet_until_ms: the own part is unavailable until then, as it may be pledged from before.
-    :param demand: units requested, rejected requests included.
+    :param limit: limit of the entire fleet.
+    :param own_part: fixed share of the limit that this member owns.
+    :param settle_ms: length of the window in which spent units count, or 0 for a rate limit.
+    :param max_request_units: number of units of the largest request.
+    :param quiet_until_ms: time before which the own share is unavailable, because it may still be pledged.
+    :param demand: rate of the units requested, including rejected requests.
+    :param pledged: allowances that this member has pledged.
+    :param pledged_to: granter that received the latest pledge.
+    :param leased: allowances that are leased to this member.
+    :param published: quota that the gateway was last notified of.
+    :param partitioned_allowance: allowance of an `available` limit while this member is partitioned from the
+        majority of the fleet.
+    :param requested: units requested in the window, if `settle_ms` is above 0.
     """
 
     limit: Allowance
@@ -54,17 +62,15 @@
     last_lease_request_ms: float = -math.inf
     last_used_ms: float = 0.0
     published: Quota | None = None
-    # Of an `available` limit, what this member may spend while it is partitioned from most of the fleet.
     partitioned_allowance: Allowance = NO_ALLOWANCE
-    # Units requested, where `settle_ms` is above 0.
     requested: SlidingWindowSum = field(default_factory=SlidingWindowSum)
 
     def units_in_window(self, now_ms: float) -> float:
-        """Return the units requested in the window of the limit; at most so many were spent in it."""
+        """Return the units requested in the window of the limit, an upper bound of the units spent in it."""
         return self.requested.within(now_ms, self.settle_ms)
 
     def needed(self, now_ms: float) -> Allowance:
-        """Return what the member would like to have in total, its own part included."""
+        """Return the allowance that the member needs in total, including its own share."""
         if self.settle_ms > 0:
             requested = self.units_in_window(now_ms)
             spare = self.max_request_units if requested > 0 else 0.0
@@ -76,7 +82,7 @@
 
 
 class LimitAccounts:
-    """All accounts of one member."""
+    """The accounts of all limits at one member."""
 
     def __init__(
         self,
@@ -86,12 +92,14 @@
         is_connected: Callable[[], bool],
         on_quota_change: Callable[[str, Quota], None],
     ) -> None:
-        """Create the accounts without limits.
-
-        :param members: size of the fleet.
-        :param started_ms: start of this process: before it the member may have pledged its own parts.
-        :param is_connected: whether most of the fleet is reachable.
-        :param on_quota_change: notified of each new quota before any message that relies on it is sent.
+        """Create an empty set of accounts.
+
+        :param members: number of members of the fleet.
+        :param timing: durations of leases and pledges.
+        :param started_ms: start time of this process; an earlier process may have pledged this member's
+            shares.
+        :param is_connected: returns whether the majority of the fleet is reachable.
+        :param on_quota_change: called with each new quota, before any message that relies on it is sent.
         """
         self._members, self._timing, self._started_ms = members, timing, started_ms
         self._is_connected, self._on_quota_change = is_connected, on_quota_change
@@ -99,17 +107,18 @@
         self.stopped = False
 
     def __iter__(self) -> Iterator[str]:
-        """Iterate over a copy of the limits' names."""
+        """Iterate over a copy of the names of the limits."""
         return iter(list(self._accounts))
 
     def get(self, limit: str) -> LimitAccount | None:
-        """Return the account of a limit, `None` where the limit is not known."""
+        """Return the account of a limit, or `None` if the limit is unknown."""
         return self._accounts.get(limit)
 
     def open(self, limit: str, allowance: Allowance, settle_ms: float, now_ms: float) -> LimitAccount:
-        """Return the account of a limit; a new one where the limit is new or its value has changed.
+        """Return the account of a limit, creating it if the limit is new or its value has changed.
 
-        :param allowance: the limit of the entire fleet.
+        :param allowance: limit of the entire fleet.
+        :param settle_ms: length of the window in which spent units count, or 0 for a rate limit.
         """
         account = self._accounts.get(limit)
         if account is None or account.limit != allowance:
@@ -130,21 +139,21 @@
             last_used_ms=now_ms,
         )
         if previous is not None:
-            # The limit was reconfigured: what is lent of the old value must expire first.
+            # The limit was reconfigured: pledges and leases of the old value must expire first.
             account.quiet_until_ms = max(quiet_until_ms, now_ms + self._timing.pledge_wait_ms + settle_ms)
             account.demand, account.max_request_units = previous.demand, previous.max_request_units
         return account
 
     def own_part(self, account: LimitAccount, when_ms: float) -> Allowance:
-        """Return the member's own part less what it has pledged."""
+        """Return the member's own share minus its pledges."""
         if when_ms < account.quiet_until_ms or self.stopped:
             return NO_ALLOWANCE
         return account.own_part.minus(account.pledged.at(when_ms - account.settle_ms))
 
     def quota(self, account: LimitAccount, now_ms: float) -> Quota:
-        """Return the own part as it is now, plus each lease until its expiry.
+        """Return the currently available own share, plus each lease until it expires.
 
-        A later increase of the own part is published as a new quota.
+        If more of the own share becomes available later, it is published as a new quota.
         """
         if self.stopped:
             return Quota()
@@ -160,35 +169,35 @@
         return Quota(own, tuple(steps))
 
     def publish(self, limit: str, account: LimitAccount, now_ms: float) -> None:
-        """Notify the gateway of a quota that has changed."""
+        """Notify the gateway of the quota if it has changed."""
         quota = self.quota(account, now_ms)
         if quota != account.published:
             account.published = quota
             self._on_quota_change(limit, quota)
 
     def shortage(self, account: LimitAccount, now_ms: float) -> Allowance | None:
-        """Return what the member needs beyond its own part, `None` where that covers the demand."""
+        """Return what the member needs beyond its own share, or `None` if that covers the demand."""
         needed, own = account.needed(now_ms), self.own_part(account, now_ms)
         return needed.minus(own) if needed.exceeds(own) else None
 
     def prune(self, account: LimitAccount, now_ms: float) -> None:
         """Drop expired leases and pledges.
 
-        A pledge counts for `settle_ms` after its expiry: what was lent may have been spent at the last
-        moment.
+        A pledge is kept for `settle_ms` after its expiry, because the lent units may have been spent at the
+        end of the lease.
         """
         account.leased.prune(now_ms)
         account.pledged.prune(now_ms - account.settle_ms)
 
     def close_if_idle(self, limit: str, account: LimitAccount, now_ms: float) -> None:
-        """Forget a limit without requests of which nothing is lent or borrowed."""
+        """Drop the account of a limit that has no requests, pledges or leases."""
         idle_ms = now_ms - account.last_used_ms
         is_settled = not account.pledged.entries and not account.leased.entries
         if is_settled and idle_ms > IDLE_TERMS * self._timing.term_ms:
             del self._accounts[limit]
 
     def stop(self, now_ms: float) -> None:
-        """Publish a quota of zero for each limit, now and in the future."""
+        """Publish a quota of zero for each limit; all later quotas are zero too."""
         self.stopped = True
         for limit, account in self._accounts.items():
             self.publish(limit, account, now_ms)
--- a/shaletiller/fleet/leases/election.py
+++ b/shaletiller/fleet/leases/election.py
@@ -1,4 +1,4 @@
-"""Selection of the granter of each limit, by rendezvous hashing over the members alive."""
+"""Selects the granter of each limit by rendezvous hashing over the members alive."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class GranterElection:
-    """The granter of each limit according to this member's view of the membership."""
+    """Determines the granter of each limit in this member's view of the membership."""
 
     def __init__(self, me: int, alive: Callable[[], tuple[int, ...]]) -> None:
-        """Create the election over the members that `alive` returns.
+        """Create an election over the members that `alive` returns.
 
         :param me: number of this member.
-        :param alive: returns the members alive; the same object until the membership changes.
+        :param alive: returns the members alive; it must return the same object until the membership changes.
         """
         self.me = me
         self._alive = alive
@@ -26,7 +26,7 @@
         return self._alive()
 
     def granter_of(self, limit: str) -> int:
-        """Return the granter of a limit; this member itself where no member is known to be alive."""
+        """Return the granter of a limit, or this member itself if no member is known to be alive."""
         alive = self._alive()
         if alive is not self._cached_for:
             self._cached_for, self._granters = alive, {}
--- a/shaletiller/fleet/quotas.py
+++ b/shaletiller/fleet/quotas.py
@@ -1,9 +1,10 @@
-"""Quotas: the part of a fleet-wide limit that one gateway may spend, and the token bucket that enforces it.
+"""Quotas: the share of a fleet-wide limit that one gateway may spend, and the token bucket that enforces it.
 
-A limit is one token bucket for the entire fleet, with a fill rate and a burst (units a second, units).  A
-quota is a part of both.  While the rates of all quotas add up to at most the limit's rate, and their bursts
-to at most its burst, any interval of W seconds spends at most burst + W * rate units, whatever the quotas
-were before: units arise only by filling, and those above a burst that has shrunk are discarded.
+A limit is a token bucket for the entire fleet, with a fill rate (units per second) and a burst (units).  A
+quota is a share of both.  As long as the rates of all quotas add up to at most the rate of the limit, and
+their bursts to at most its burst, the fleet spends at most burst + W * rate units in any interval of W
+seconds.  This holds regardless of earlier quotas, because units are created only by filling, and units above
+a reduced burst are discarded.
 """
 
 from __future__ import annotations
@@ -18,27 +19,27 @@
 class Allowance(NamedTuple):
     """The two parameters of a token bucket.
 
-    :param rate: units a second.
-    :param burst: units.
+    :param rate: fill rate, in units per second.
+    :param burst: capacity, in units.
     """
 
     rate: float
     burst: float
 
     def plus(self, other: Allowance) -> Allowance:
-        """Add component by component."""
+        """Add both components."""
         return Allowance(self.rate + other.rate, self.burst + other.burst)
 
     def minus(self, other: Allowance) -> Allowance:
-        """Subtract component by component; no component falls below zero."""
+        """Subtract both components; a negative result becomes zero."""
         return Allowance(max(0.0, self.rate - other.rate), max(0.0, self.burst - other.burst))
 
     def maximum(self, other: Allowance) -> Allowance:
-        """Return the greater of each component."""
+        """Return the maximum of each component."""
         return Allowance(max(self.rate, other.rate), max(self.burst, other.burst))
 
     def minimum(self, other: Allowance) -> Allowance:
-        """Return the lesser of each component."""
+        """Return the minimum of each component."""
         return Allowance(min(self.rate, other.rate), min(self.burst, other.burst))
 
     def scaled(self, factor: float) -> Allowance:
@@ -46,27 +47,27 @@
         return Allowance(self.rate * factor, self.burst * factor)
 
     def exceeds(self, other: Allowance) -> bool:
-        """Whether either component is greater than the other's."""
+        """Return whether at least one component is greater than that of `other`."""
         return self.rate > other.rate or self.burst > other.burst
 
 
 NO_ALLOWANCE = Allowance(0.0, 0.0)
-# Messages carry thousandths of a unit, rounded down: an allowance must not grow in transit.
+# Messages contain thousandths of a unit, rounded down, because an allowance must not grow in transit.
 WIRE_SCALE = 1000
 
 
 def to_wire(allowance: Allowance) -> tuple[int, int]:
-    """Return rate and burst in thousandths, rounded down."""
+    """Return the rate and the burst in thousandths, rounded down."""
     return int(allowance.rate * WIRE_SCALE), int(allowance.burst * WIRE_SCALE)
 
 
 def from_wire(rate: int, burst: int) -> Allowance:
-    """Return the allowance of a rate and a burst in thousandths."""
+    """Return the allowance for a rate and a burst in thousandths."""
     return Allowance(rate / WIRE_SCALE, burst / WIRE_SCALE)
 
 
 class ExpiringAllowance(NamedTuple):
-    """An allowance that is valid until a time, exclusive."""
+    """An allowance that is valid before `expires_ms`."""
 
     expires_ms: float
     allowance: Allowance
@@ -74,21 +75,21 @@
 
 @dataclass(slots=True)
 class ExpiringAllowances:
-    """Allowances with expiry times; in force is the maximum of those that have not expired.
+    """Allowances with expiry times; the maximum of those that have not expired is in force.
 
-    Lender and borrower compute the same value whichever messages were lost or duplicated: neither has to know
-    which of them the other received.
+    The lending side and the borrowing side compute the same value even if messages are lost or duplicated;
+    neither side needs to know which messages the other side has received.
     """
 
     entries: list[ExpiringAllowance] = field(default_factory=list)
 
     def add(self, expires_ms: float, allowance: Allowance) -> None:
-        """Record an allowance; one of zero is ignored."""
+        """Record an allowance; an allowance of zero is ignored."""
         if allowance != NO_ALLOWANCE:
             self.entries.append(ExpiringAllowance(expires_ms, allowance))
 
     def at(self, when_ms: float) -> Allowance:
-        """Return what is in force at a time."""
+        """Return the allowance that is in force at a time."""
         in_force = NO_ALLOWANCE
         for expires_ms, allowance in self.entries:
             if expires_ms > when_ms:
@@ -96,15 +97,15 @@
         return in_force
 
     def expiries(self) -> list[float]:
-        """Return the expiry times, in no order."""
+        """Return the expiry times in unspecified order."""
         return [entry.expires_ms for entry in self.entries]
 
     def last_expiry(self) -> float:
-        """Return the latest expiry time, minus infinity without entries."""
+        """Return the latest expiry time, or minus infinity if there are no entries."""
         return max(self.expiries(), default=-math.inf)
 
     def prune(self, now_ms: float) -> None:
-        """Drop entries that have expired and those that another entry covers until their expiry."""
+        """Drop expired entries, and entries that are covered by others until they expire."""
         live = [entry for entry in self.entries if entry.expires_ms > now_ms]
         live.sort(key=lambda entry: -entry.expires_ms)
         kept: list[ExpiringAllowance] = []
@@ -118,19 +119,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Quota:
-    """What a gateway may spend of a limit over time, by its own clock.
+    """Amount of a limit that a gateway may spend over time, by its own clock.
 
-    :param base: in force after the last step has expired.
-    :param steps: each in force until its expiry, ordered by expiry.
+    :param base: allowance after the last step has expired.
+    :param steps: allowances ordered by expiry; each is in force from the expiry of the previous one.
     """
 
     base: Allowance = NO_ALLOWANCE
     steps: tuple[ExpiringAllowance, ...] = ()
 
     def at(self, now_ms: float) -> Allowance:
-        """Return what is in force at a time.
+        """Return the allowance that is in force at a time.
 
-        To be evaluated at each spend: leases may have expired while the process was paused.
+        Must be called before each spend, because leases may have expired while the process was paused.
         """
         for expires_ms, allowance in self.steps:
             if now_ms < expires_ms:
@@ -139,15 +140,15 @@
 
 
 class QuotaBucket(TokenBucket):
-    """A token bucket that fills according to a quota.
+    """A token bucket that is filled according to a quota.
 
-    It starts empty: what the process before a restart had spent is unknown.
+    It starts empty, because the amount that the process had spent before a restart is unknown.
     """
 
     def fill_by_quota(self, now_ms: float, quota: Quota) -> float:
-        """Fill up to `now_ms`, by each step of the quota until its expiry.
+        """Fill the bucket up to `now_ms`, applying each step of the quota until it expires.
 
-        :returns: the level, in units.
+        :returns: the new level, in units.
         """
         for expires_ms, allowance in quota.steps:
             if self.at_ms < expires_ms:
@@ -157,9 +158,9 @@
         return self.fill(max(self.at_ms, now_ms), *quota.base)
 
     def spend(self, now_ms: float, quota: Quota, units: float) -> bool:
-        """Take units from the bucket.
+        """Take units from the bucket if it contains enough.
 
-        :returns: whether the bucket contained them.
+        :returns: whether the units were taken.
         """
         if self.fill_by_quota(now_ms, quota) < units:
             return False
