--- a/shaletiller/fleet/leases/granter.py
+++ b/shaletiller/fleet/leases/granter.py
@@ -1,6 +1,6 @@
 """The granter of a limit: collects pledges from owners and leases them to holders.
 
-Where lease tables are replicated, a grant is sent only after the table that contains it has been written.
+If lease tables are replicated, a grant is sent only after the table that contains it has been written.
 """
 
 from __future__ import annotations
@@ -18,34 +18,36 @@
 from shaletiller.fleet.leases.timing import NO_GRANTER, GranterId, LeaseTiming
 from shaletiller.fleet.quotas import NO_ALLOWANCE, Allowance, ExpiringAllowances, from_wire, to_wire
 
-# By how much two gateways' clocks may differ where lease tables are replicated: far more than time
-# synchronization leaves, as a predecessor's leases are dated by its clock.
+# Maximum difference between the clocks of two gateways if lease tables are replicated, because the leases of
+# a predecessor are dated by its clock.  It is far above the error of time synchronization.
 MAX_CLOCK_SKEW_MS = 1_000.0
-# Holder number under which a granter records its predecessor's leases; no member has it.
+# Holder number for the leases of a granter's predecessor; no member has this number.
 PREDECESSOR = -1
-# Empirical: pledges are collected up to this multiple of the requested rate.  More sends more requests than
-# needed, less leaves holders short when demand grows before the next round.
+# Ratio of the collected pledges to the requested rate.  A larger value sends more pledge requests than
+# needed; with a smaller value, holders receive too little when demand grows before the next round.
 COLLECTION_MARGIN = 1.1
-PLEDGE_RENEWAL_TERMS = 0.25  # a pledge is renewed when it covers a lease by less than this part of a term
-# A lease request counts in the fair division for so many request intervals: two may be lost.
+# A pledge is renewed when it outlasts a lease granted now by less than this fraction of a term.
+PLEDGE_RENEWAL_TERMS = 0.25
+# Number of request intervals for which a lease request counts in the fair allocation; two requests may be
+# lost.
 REQUEST_MEMORY_INTERVALS = 3
 
 
 class LeaseTable(Protocol):
-    """Replicates what granters have leased.
+    """Replicates the totals that granters have leased.
 
-    Answers by `LeaseManager.on_table_acquired` and `LeaseManager.on_table_written`.
+    It reports results by `LeaseManager.on_table_acquired` and `LeaseManager.on_table_written`.
     """
 
     def take_over(self, limit: str) -> None:
-        """Write a limit's table in this granter's name, which fences the previous granter."""
+        """Write the table of a limit in this granter's name, which fences the previous granter."""
 
     def write(self, limit: str, leased: Allowance) -> None:
-        """Write the total that this granter has leased of a limit."""
+        """Write the total amount of a limit that this granter has leased."""
 
 
 class PoolTotals(NamedTuple):
-    """What is pledged and what is leased of one limit."""
+    """Total amounts of one limit that are pledged and leased."""
 
     pledged: Allowance
     leased: Allowance
@@ -63,13 +65,13 @@
 
 @dataclass(slots=True)
 class _TableState:
-    """The replicated lease table of one limit.
+    """State of the replicated lease table of one limit.
 
-    :param is_acquired: whether the table is written in this granter's name.
+    :param is_acquired: whether the table has been written in this granter's name.
     :param is_acquiring: whether a take-over is in flight.
-    :param previous_granter: the fenced predecessor.
-    :param writing: grants in the table that is being written; sent once it is replicated.
-    :param queued: grants for the write after that.
+    :param previous_granter: granter that was fenced by the take-over.
+    :param writing: grants in the table that is being written, to be sent once it is replicated.
+    :param queued: grants for the next write.
     """
 
     is_acquired: bool = False
@@ -81,15 +83,17 @@
 
 @dataclass(slots=True)
 class LimitPool:
-    """What a granter manages of one limit.
+    """Pledges and leases of one limit at its granter.
 
-    :param limit: the limit of the entire fleet.
-    :param settle_ms: length of the window in which spent units count, 0 for a limit that is a rate.
-    :param pledged: by owner.
-    :param owner_incarnations: the incarnation whose pledges are recorded, by owner.
+    :param limit: limit of the entire fleet.
+    :param settle_ms: length of the window in which spent units count, or 0 for a rate limit.
+    :param pledged: pledges, by owner.
+    :param owner_incarnations: incarnation whose pledges are recorded, by owner.
     :param demands: latest lease request, by holder.
-    :param leased: by holder.
-    :param pledge_requested_ms: when a pledge of an owner was last requested.
+    :param leased: leases, by holder.
+    :param pledge_requested_ms: time of the last pledge request, by owner.
+    :param last_request_ms: time of the last lease request.
+    :param table: state of the replicated lease table.
     """
 
     limit: Allowance
@@ -103,13 +107,13 @@
     table: _TableState = field(default_factory=_TableState)
 
     def last_pledge_rate(self, owner: int) -> float:
-        """Return the rate of an owner's recorded pledges, expired ones included."""
+        """Return the rate of an owner's recorded pledges, including expired ones."""
         pledges = self.pledged.get(owner)
         return pledges.at(-math.inf).rate if pledges is not None else 0.0
 
 
 class Granter:
-    """The pools of the limits that this member grants."""
+    """Manages the pools of the limits that this member grants."""
 
     def __init__(
         self,
@@ -121,8 +125,11 @@
     ) -> None:
         """Create a granter without pools.
 
-        :param members: size of the fleet.
-        :param send: sends a message to a member, this one included.
+        :param members: number of members of the fleet.
+        :param requests: log of the requests that this member has sent.
+        :param election: determines the granter of each limit.
+        :param timing: durations of leases and pledges.
+        :param send: sends a message to a member, including this one.
         """
         self._members, self._requests, self._election = members, requests, election
         self._timing, self._send = timing, send
@@ -131,18 +138,18 @@
         self._table: LeaseTable | None = None
 
     def use_table(self, table: LeaseTable) -> None:
-        """Replicate lease tables from now on; to be called before the first message."""
+        """Replicate lease tables from now on; must be called before the first message is received."""
         self._table = table
 
     def totals(self, when_ms: float) -> dict[str, PoolTotals]:
-        """Return what is pledged and what is leased at a time, by limit."""
+        """Return the totals of pledges and leases in force at a time, by limit."""
         return {
             limit: PoolTotals(self._sum(pool.pledged, when_ms), self._sum(pool.leased, when_ms))
             for limit, pool in self._pools.items()
         }
 
     def tick(self, now_ms: float) -> None:
-        """Renew pledges, and forget limits that nobody requests."""
+        """Renew pledges, and drop limits without recent lease requests."""
         for limit, pool in list(self._pools.items()):
             if self._table is None or pool.table.is_acquired:
                 self._collect_pledges(limit, pool, now_ms)
@@ -150,14 +157,12 @@
                 del self._pools[limit]
 
     def stop(self) -> None:
-        """Grant nothing any more."""
+        """Stop granting leases."""
         self._stopped = True
         self._pools.clear()
 
-    # ---- messages
-
     def on_lease_request(self, holder: int, request: LeaseRequest, now_ms: float) -> None:
-        """Record a holder's demand, and lease what is free of its fair share."""
+        """Record the demand of a holder, and lease the available portion of its fair share."""
         if self._stopped:
             return
         pool = self._pool(request)
@@ -172,9 +177,9 @@
             self._grant(holder, request, pool, allowance, now_ms)
 
     def on_pledge(self, owner: GranterId, pledge: Pledge, now_ms: float) -> None:
-        """Record a pledge, from the sending of its request on.
+        """Record a pledge; its duration starts when its request was sent.
 
-        :param owner: the pledging member in its incarnation; pledges of an older one are ignored.
+        :param owner: the pledging member and its incarnation; pledges of older incarnations are ignored.
         """
         pool, sent_ms = self._pools.get(pledge.limit), self._requests.sent_ms(pledge.nonce)
         if pool is None or sent_ms is None:
@@ -187,14 +192,13 @@
         pledges.add(expires_ms, from_wire(pledge.rate, pledge.burst))
 
     def _pool(self, request: LeaseRequest) -> LimitPool:
-        """Return the pool of a limit; a new one where the limit is new or its value has changed."""
+        """Return the pool of a limit, creating it if the limit is new or its value has changed."""
         limit = from_wire(request.limit_rate, request.limit_burst)
         pool = self._pools.get(request.limit)
         if pool is None or pool.limit != limit:
             pool = self._pools[request.limit] = LimitPool(limit, float(request.settle_ms))
         return pool
 
-    # ---- leasing
 
     def _grant(
         self, holder: int, request: LeaseRequest, pool: LimitPool, allowance: Allowance, now_ms: float
@@ -211,7 +215,7 @@
             self._write_table(request.limit, pool, now_ms)
 
     def _lease_end_ms(self, now_ms: float) -> float:
-        """Return when a lease granted now has certainly expired, by this member's clock."""
+        """Return the time by this member's clock at which a lease granted now has certainly expired."""
         return now_ms + self._timing.lease_wait_ms
 
     @staticmethod
@@ -222,7 +226,7 @@
         return total
 
     def _allocate(self, pool: LimitPool, holder: int, now_ms: float) -> Allowance:
-        """Return the holder's max-min fair share of the pledges, as far as it is free for an entire lease."""
+        """Return the portion of a holder's max-min fair share that is available for an entire lease."""
         others = {number: leases for number, leases in pool.leased.items() if number != holder}
         pledged = Allowance(math.inf, math.inf)
         free = Allowance(math.inf, math.inf)
@@ -237,17 +241,15 @@
         return free.minimum(Allowance(rate, burst))
 
     def _change_times(self, pool: LimitPool, now_ms: float) -> list[float]:
-        """Return now, and the times at which a pledge or lease expires during a lease granted now."""
+        """Return now and the expiry times of pledges and leases during a lease granted now."""
         end_ms = self._lease_end_ms(now_ms)
         times = {now_ms}
         for allowances in (*pool.pledged.values(), *pool.leased.values()):
             times.update(expiry for expiry in allowances.expiries() if now_ms < expiry < end_ms)
         return sorted(times)
 
-    # ---- collecting pledges
-
     def _collect_pledges(self, limit: str, pool: LimitPool, now_ms: float) -> None:
-        """Request pledges while there is demand, from as many owners as it takes to cover it."""
+        """Request pledges from as many owners as are needed to cover the current demand."""
         demand = self._total_demand(pool, now_ms)
         if demand == NO_ALLOWANCE or self._election.granter_of(limit) != self._election.me:
             return
@@ -262,7 +264,7 @@
             self._renew_pledge(limit, pool, owner, now_ms)
 
     def _total_demand(self, pool: LimitPool, now_ms: float) -> Allowance:
-        """Sum the demand of all holders, and drop requests older than a lease."""
+        """Return the total demand of all holders, and drop requests older than a lease."""
         total = NO_ALLOWANCE
         for holder, demand in list(pool.demands.items()):
             if now_ms - demand.received_ms > self._timing.lease_ms:
@@ -272,13 +274,13 @@
         return total
 
     def _owners_by_pledge(self, pool: LimitPool) -> list[int]:
-        """Order the members alive by the rate of their last pledge, descending, with this member last."""
+        """Return the members alive by descending rate of their last pledges, with this member last."""
         me = self._election.me
         others = [member for member in self._election.alive() if member != me]
         return [*sorted(others, key=lambda member: (-pool.last_pledge_rate(member), member)), me]
 
     def _renew_pledge(self, limit: str, pool: LimitPool, owner: int, now_ms: float) -> None:
-        """Request a pledge, unless the present one lasts long enough or a request was just sent."""
+        """Request a pledge, unless the current one lasts long enough or was requested recently."""
         due_ms = self._lease_end_ms(now_ms) + self._timing.term_ms * PLEDGE_RENEWAL_TERMS
         requested_ms = pool.pledge_requested_ms.get(owner, -math.inf)
         if (
@@ -296,7 +298,6 @@
         )
         self._send(owner, request)
 
-    # ---- the replicated lease table
 
     def _take_over(self, limit: str, pool: LimitPool, table: LeaseTable) -> None:
         if not pool.table.is_acquiring and self._election.granter_of(limit) == self._election.me:
@@ -306,14 +307,14 @@
     def on_table_acquired(
         self, limit: str, previous: GranterId | None, leased: Allowance, written_ms: float, now_ms: float
     ) -> None:
-        """Adopt a table that is now written in this granter's name.
+        """Adopt a table that has been written in this granter's name.
 
-        Only here are two clocks compared; they must agree within `MAX_CLOCK_SKEW_MS`.
+        This is the only place where two clocks are compared; they must agree within `MAX_CLOCK_SKEW_MS`.
 
-        :param previous: the fenced granter; `None` where none is known: then owners' pledges to another
-            granter expire first.
-        :param leased: what that granter had leased in total.
-        :param written_ms: when it wrote that, by its own clock.
+        :param previous: the fenced granter, or `None` if none is known; in that case owners pledge only after
+            their pledges to another granter have expired.
+        :param leased: total amount that the previous granter had leased.
+        :param written_ms: time at which the previous granter wrote the table, by its own clock.
         """
         pool = self._pools.get(limit)
         if pool is None:
@@ -326,10 +327,11 @@
         self._collect_pledges(limit, pool, now_ms)
 
     def on_table_written(self, limit: str, is_written: bool, now_ms: float) -> None:
-        """Send the grants of the table written last if it was committed, and write those queued meanwhile.
+        """Send the grants in a written table, and write the grants that were queued in the meantime.
 
-        :param is_written: `False` where the table was not committed, for want of a majority in time or
-            because another granter has taken over: nothing more is leased until the table is acquired again.
+        :param is_written: whether the table was committed.  It is not if no majority answers in time or
+            another granter has taken over; in that case no leases are granted until the table is acquired
+            again.
         """
         pool = self._pools.get(limit)
         if pool is None:
@@ -343,7 +345,7 @@
         self._write_table(limit, pool, now_ms)
 
     def _write_table(self, limit: str, pool: LimitPool, now_ms: float) -> None:
-        """Write the table with the queued grants, unless a write is in flight."""
+        """Write the table with the queued grants, unless another write is in flight."""
         if self._table is not None and pool.table.queued and not pool.table.writing:
             pool.table.writing, pool.table.queued = pool.table.queued, []
             self._table.write(limit, self._sum(pool.leased, now_ms))
--- a/shaletiller/fleet/leases/holder.py
+++ b/shaletiller/fleet/leases/holder.py
@@ -1,4 +1,4 @@
-"""The holder of leases: requests what a member needs beyond its own part, and records what is granted."""
+"""The holder of leases: requests what a member needs beyond its own share, and records granted leases."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Holder:
-    """Borrows from the granter of each limit."""
+    """Requests leases from the granter of each limit."""
 
     def __init__(
         self,
@@ -25,23 +25,28 @@
     ) -> None:
         """Create a holder without leases.
 
-        :param send: sends a message to a member, this one included.
+        :param accounts: accounts of this member.
+        :param requests: log of the requests that this member has sent.
+        :param election: determines the granter of each limit.
+        :param timing: durations of leases and pledges.
+        :param send: sends a message to a member, including this one.
         """
         self._accounts, self._requests, self._election = accounts, requests, election
         self._timing, self._send = timing, send
 
     def record_demand(self, limit: str, account: LimitAccount, units: float, now_ms: float) -> None:
-        """Count a request that is about to spend, publish the quota, and borrow where it does not suffice."""
+        """Record a request that is about to spend units, publish the quota, and request a lease if needed."""
         if account.settle_ms > 0:
             account.requested.add(now_ms, units)
         account.demand.add(now_ms, units)
         account.last_demand_ms = account.last_used_ms = now_ms
         self._accounts.publish(limit, account, now_ms)
-        if self._may_request(account, now_ms):  # first: on the path of each request it is mostly false
+        # Checked before the shortage is computed: this runs for each request, and is mostly false.
+        if self._may_request(account, now_ms):
             self._request_shortage(limit, account, now_ms)
 
     def renew(self, limit: str, account: LimitAccount, now_ms: float) -> None:
-        """Request again what recent demand needs."""
+        """Renew the lease if there was recent demand."""
         if now_ms - account.last_demand_ms < IDLE_TERMS * self._timing.term_ms:
             self._request_shortage(limit, account, now_ms)
 
@@ -49,7 +54,7 @@
         return now_ms - account.last_lease_request_ms >= self._timing.request_interval_ms
 
     def _request_shortage(self, limit: str, account: LimitAccount, now_ms: float) -> None:
-        """Request a lease, unless the own part suffices or a request was just sent."""
+        """Request a lease, unless the own share suffices or a lease was requested recently."""
         shortage = self._accounts.shortage(account, now_ms)
         if shortage is None or not self._may_request(account, now_ms):
             return
@@ -64,7 +69,10 @@
         self._send(self._election.granter_of(limit), request)
 
     def on_grant(self, grant: LeaseGrant, now_ms: float) -> None:
-        """Record a lease, from the sending of its request on; one that has expired already is ignored."""
+        """Record a lease; its duration starts when its request was sent.
+
+        A lease that has already expired is ignored.
+        """
         account, sent_ms = self._accounts.get(grant.limit), self._requests.sent_ms(grant.nonce)
         if account is None or sent_ms is None:
             return
--- a/shaletiller/fleet/leases/manager.py
+++ b/shaletiller/fleet/leases/manager.py
@@ -1,4 +1,4 @@
-"""The three roles of one member in the lease protocol, behind one interface."""
+"""One interface for the three roles of a member in the lease protocol: owner, holder and granter."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LeaseManager:
-    """One member's quotas, and the pools of the limits that it grants."""
+    """Manages the quotas of one member, and the pools of the limits that it grants."""
 
     def __init__(
         self,
@@ -32,12 +32,13 @@
         """Create the three roles of a member without quotas.
 
         :param me: number of this member.
-        :param members: size of the fleet.
-        :param started_ms: start of this process.
-        :param send: sends a message to a member, this one included.
-        :param alive: returns the members alive; the same object until the membership changes.
-        :param on_quota_change: notified of each new quota before any message that relies on it is sent.
-        :param is_connected: whether most of the fleet is reachable.
+        :param members: number of members of the fleet.
+        :param timing: durations of leases and pledges.
+        :param started_ms: start time of this process.
+        :param send: sends a message to a member, including this one.
+        :param alive: returns the members alive; it must return the same object until the membership changes.
+        :param on_quota_change: called with each new quota, before any message that relies on it is sent.
+        :param is_connected: returns whether the majority of the fleet is reachable.
         """
         self._timing = timing
         self._requests = RequestLog()
@@ -49,10 +50,9 @@
         self._ticked_ms = 0.0
 
     def use_table(self, table: LeaseTable) -> None:
-        """Replicate the lease tables of limits granted here; to be called before the first message."""
+        """Replicate the lease tables of this granter; must be called before the first message is received."""
         self._granter.use_table(table)
 
-    # ---- quotas
 
     def record_demand(
         self,
@@ -64,15 +64,17 @@
         settle_ms: float = 0.0,
         partitioned_allowance: Allowance = NO_ALLOWANCE,
     ) -> None:
-        """Record that a request is about to spend units of a limit; publishes the quota of a new limit.
-
-        :param allowance: the limit of the entire fleet.
-        :param max_request_units: units of the largest request.
-        :param settle_ms: length of the window in which spent units count, 0 for a limit that is a rate.
-        :param partitioned_allowance: makes the limit `available`: what this member may spend while it is
-            partitioned from most of the fleet.
+        """Record that a request is about to spend units of a limit; publish the quota if the limit is new.
+
+        :param limit: name of the limit.
+        :param allowance: limit of the entire fleet.
+        :param units: number of units of the request.
+        :param max_request_units: number of units of the largest request.
+        :param settle_ms: length of the window in which spent units count, or 0 for a rate limit.
+        :param partitioned_allowance: allowance of an `available` limit while this member is partitioned from
+            the majority of the fleet; none for a `strict` limit.
         """
-        # Rounded as a message carries it: an account compares it with the value in messages.
+        # Rounded as in messages, because accounts compare it with the values of received messages.
         transmitted = from_wire(*to_wire(allowance))
         account = self._accounts.open(limit, transmitted, settle_ms, now_ms)
         account.max_request_units = max(account.max_request_units, max_request_units)
@@ -80,31 +82,29 @@
         self._holder.record_demand(limit, account, units, now_ms)
 
     def quota(self, limit: str, now_ms: float) -> Quota:
-        """Return what this member may spend of a limit."""
+        """Return this member's quota of a limit."""
         account = self._accounts.get(limit)
         return self._accounts.quota(account, now_ms) if account is not None else Quota()
 
     def limits(self) -> list[str]:
-        """Return the limits with an account here."""
+        """Return the names of the limits that have an account at this member."""
         return list(self._accounts)
 
     def granter_of(self, limit: str) -> int:
-        """Return the granter of a limit according to this member's view of the membership."""
+        """Return the granter of a limit in this member's view of the membership."""
         return self._election.granter_of(limit)
 
     def granted(self) -> dict[str, PoolTotals]:
-        """Return what was pledged and what was leased at the last tick, by limit granted here."""
+        """Return the totals of pledges and leases at the last tick, by limit that this member grants."""
         return self._granter.totals(self._ticked_ms)
 
     @property
     def stopped(self) -> bool:
-        """Whether all quotas were given up."""
+        """Whether `stop` was called, so that all quotas are zero."""
         return self._accounts.stopped
 
-    # ---- time and messages
-
     def tick(self, now_ms: float) -> None:
-        """Expire, publish and renew; to be called several times each `request_interval_ms`."""
+        """Expire, publish and renew quotas; must be called several times in each `request_interval_ms`."""
         self._ticked_ms = now_ms
         self._requests.prune(now_ms - 2 * self._timing.pledge_wait_ms)
         for limit in self._accounts:
@@ -117,7 +117,7 @@
         self._granter.tick(now_ms)
 
     def receive(self, sender: int, incarnation: int, message: LeaseMessage, now_ms: float) -> None:
-        """Handle a message of a member in an incarnation."""
+        """Handle a message from an incarnation of a member."""
         if isinstance(message, LeaseRequest):
             self._granter.on_lease_request(sender, message, now_ms)
         elif isinstance(message, PledgeRequest):
@@ -138,6 +138,6 @@
         self._granter.on_table_written(limit, is_written, now_ms)
 
     def stop(self, now_ms: float) -> None:
-        """Give up all quotas: the process ends, or a newer process runs as this member."""
+        """Set all quotas to zero, because the process ends or a newer process runs as this member."""
         self._granter.stop()
         self._accounts.stop(now_ms)
--- a/shaletiller/fleet/leases/owner.py
+++ b/shaletiller/fleet/leases/owner.py
@@ -1,4 +1,4 @@
-"""The owner of a fixed part of each limit: pledges the idle portion to the limit's granter."""
+"""The owner of a fixed share of each limit: pledges the idle portion to the granter of the limit."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from shaletiller.fleet.leases.timing import GranterId, LeaseTiming
 from shaletiller.fleet.quotas import Allowance, from_wire, to_wire
 
-# Empirical: fraction of its own part that an idle member keeps, so that the first requests of a surge need
-# not wait for a lease.  A larger fraction lies unused at every idle member.
+# Fraction of its own share that an idle member keeps.  With a smaller value, more of the first requests of a
+# surge have to wait for a lease; a larger value stays unused at each idle member.
 RESERVED_FRACTION = 0.02
 
 
@@ -27,12 +27,15 @@
     ) -> None:
         """Create an owner without pledges.
 
-        :param send: sends a message to a member, this one included.
+        :param accounts: accounts of this member.
+        :param election: determines the granter of each limit.
+        :param timing: durations of leases and pledges.
+        :param send: sends a message to a member, including this one.
         """
         self._accounts, self._election, self._timing, self._send = accounts, election, timing, send
 
     def on_pledge_request(self, granter: GranterId, request: PledgeRequest, now_ms: float) -> None:
-        """Pledge what is idle, unless it may still be lent out by another granter or incarnation of it."""
+        """Pledge the idle portion, unless another granter or incarnation may still lend it out."""
         limit = from_wire(request.limit_rate, request.limit_burst)
         if self._is_configured_otherwise(request.limit, limit, now_ms):
             return
@@ -45,9 +48,10 @@
             self._pledge(account, granter, request, now_ms)
 
     def _is_configured_otherwise(self, limit: str, allowance: Allowance, now_ms: float) -> bool:
-        """Whether requests here count against another value of the limit.
+        """Return whether recent requests at this member counted against another value of the limit.
 
-        During a rollout of a new value the two would otherwise replace each other's account at every message.
+        Without this check, during the rollout of a new value the messages with the old and with the new value
+        would keep replacing the account.
         """
         account = self._accounts.get(limit)
         if account is None or account.limit == allowance:
@@ -56,12 +60,12 @@
 
     @staticmethod
     def _has_fenced(account: LimitAccount, request: PledgeRequest) -> bool:
-        """Whether the granter has fenced, by its lease table, the one to which pledges are outstanding."""
+        """Return whether the requesting granter has fenced the granter that holds this member's pledges."""
         previous = GranterId(request.previous_granter, request.previous_granter_incarnation)
         return previous.incarnation > 0 and account.pledged_to == previous
 
     def _may_pledge(self, account: LimitAccount, granter: GranterId, now_ms: float) -> bool:
-        """Whether no other granter may still lend out what was pledged to it."""
+        """Return whether all pledges to other granters have expired, so that they can no longer be lent."""
         if account.pledged_to == granter:
             return True
         return now_ms >= account.pledged.last_expiry() + account.settle_ms
@@ -72,15 +76,14 @@
         rate, burst = to_wire(account.own_part.minus(self._reserved(account, now_ms)))
         account.pledged_to = granter
         account.pledged.add(now_ms + self._timing.pledge_wait_ms, from_wire(rate, burst))
-        # Before the pledge is sent: from the moment at which it may be lent out, this member must not spend
-        # it.
+        # Published before the pledge is sent, because this member must not spend what may be lent out.
         self._accounts.publish(request.limit, account, now_ms)
         pledge = Pledge(request.limit, request.nonce, rate, burst, int(self._timing.term_ms))
         self._send(granter.member, pledge)
 
     @staticmethod
     def _reserved(account: LimitAccount, now_ms: float) -> Allowance:
-        """Return what the member keeps for itself."""
+        """Return the portion of its own share that the member keeps."""
         spent = account.units_in_window(now_ms)
         minimum = Allowance(
             RESERVED_FRACTION * account.own_part.rate,
--- a/shaletiller/fleet/leases/requests.py
+++ b/shaletiller/fleet/leases/requests.py
@@ -1,10 +1,10 @@
-"""Requests in flight: answers count from the time at which the request they name was sent."""
+"""Log of sent requests: the duration of a pledge or lease starts when its request was sent."""
 
 from __future__ import annotations
 
 
 class RequestLog:
-    """Numbers a member's requests and remembers when each was sent, by the member's own clock."""
+    """Assigns nonces to a member's requests, and records when each was sent by the member's own clock."""
 
     def __init__(self) -> None:
         """Create an empty log."""
@@ -12,17 +12,17 @@
         self._sent_ms: dict[int, float] = {}
 
     def issue(self, now_ms: float) -> int:
-        """Return the nonce of a request sent now."""
+        """Return the nonce for a request that is sent now."""
         self._last_nonce += 1
         self._sent_ms[self._last_nonce] = now_ms
         return self._last_nonce
 
     def sent_ms(self, nonce: int) -> float | None:
-        """Return when a request was sent, `None` where it is unknown or too old."""
+        """Return the time at which a request was sent, or `None` if it is unknown or too old."""
         return self._sent_ms.get(nonce)
 
     def prune(self, before_ms: float) -> None:
-        """Drop requests sent before a time."""
+        """Drop the requests that were sent before a time."""
         while self._sent_ms:
             oldest = next(iter(self._sent_ms))
             if self._sent_ms[oldest] >= before_ms:
