--- a/shaletiller/fleet/coordinator.py
+++ b/shaletiller/fleet/coordinator.py
@@ -133,7 +133,7 @@
             )
 
     def set_ejected(self, node: str, is_ejected: bool, now_ms: float) -> None:
-        """Publish an operator's DISABLE or ENABLE at this gateway."""
+        """Publish an operator's DISABLE or ENABLE command at this gateway."""
         self._now_ms = now_ms
         self._remember_ejection(node, is_ejected)
         value = 1 if is_ejected else 0
@@ -162,7 +162,6 @@
         """Merge a stored record of an operator's command with its original timestamp, so newer ones win."""
         self.fleet.health.merge(record, self._now_ms)
 
-
     def receive(self, data: bytes, now_ms: float) -> None:
         """Handle a datagram from another member."""
         self._now_ms = now_ms
--- a/shaletiller/fleet/core.py
+++ b/shaletiller/fleet/core.py
@@ -198,7 +198,6 @@
         quorum = 1 if kind in SINGLE_OBSERVER_KINDS else self.options.quorum
         return self.health.with_quorum(node, kind, quorum, now_ms)
 
-
     def record_demand(
         self,
         limit: str,
@@ -298,7 +297,6 @@
         self._start_gossip_round()
         self._complete()
 
-
     def _enqueue(self, member: int, message: AnyMessage) -> None:
         if member == self.me:
             self._loopback.append(message)
--- a/shaletiller/fleet/leases/granter.py
+++ b/shaletiller/fleet/leases/granter.py
@@ -199,7 +199,6 @@
             pool = self._pools[request.limit] = LimitPool(limit, float(request.settle_ms))
         return pool
 
-
     def _grant(
         self, holder: int, request: LeaseRequest, pool: LimitPool, allowance: Allowance, now_ms: float
     ) -> None:
@@ -298,7 +297,6 @@
         )
         self._send(owner, request)
 
-
     def _take_over(self, limit: str, pool: LimitPool, table: LeaseTable) -> None:
         if not pool.table.is_acquiring and self._election.granter_of(limit) == self._election.me:
             pool.table.is_acquiring = True
--- a/shaletiller/fleet/leases/manager.py
+++ b/shaletiller/fleet/leases/manager.py
@@ -53,7 +53,6 @@
         """Replicate the lease tables of this granter; must be called before the first message is received."""
         self._granter.use_table(table)
 
-
     def record_demand(
         self,
         limit: str,
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -1,6 +1,6 @@
-"""Input and output of the fleet: the carrier of its messages, its clock ticks, and the engine.
+"""Connects the fleet protocols with the transport of their messages, the clock and the engine.
 
-Decisions are taken in `shaletiller.fleet`.
+The protocols themselves are in `shaletiller.fleet`.
 """
 
 from __future__ import annotations
@@ -23,9 +23,10 @@
 
 logger = logging.getLogger(__name__)
 
-TICK_MS = 25.0  # empirical: shorter ticks cost CPU, longer ones delay acks and gossip by as much
-# A tick later than this is counted in STATS: the process was paused or starved of CPU, and the failure
-# detector and the leases suffer from it.
+# Interval between ticks.  A smaller value takes more CPU; a larger value delays acks and gossip by as much.
+TICK_MS = 25.0
+# Time since the previous tick above which a tick is counted as late in STATS.  A late tick means that the
+# process was paused or starved of CPU, which impairs the failure detector and the leases.
 LATE_TICK_MS = 100.0
 DEPARTURE_STATES = {
     EndpointState.DRAINING: DepartureState.DRAINING,
@@ -34,12 +35,12 @@
 }
 ENDPOINT_STATES = {departure: state for state, departure in DEPARTURE_STATES.items()}
 
-# Receives what another gateway's endpoint list says: node, incarnation, list version, state.
+# Handles the state of a node in another gateway's endpoint list: node, incarnation, list version, state.
 DepartureHandler = Callable[[str, int, int, EndpointState], None]
 
 
 class FleetAgent:
-    """One gateway's member of the fleet, on its carrier; the coordinator's `GatewayPort`."""
+    """Runs one gateway's member of the fleet on its transport; implements the coordinator's `GatewayPort`."""
 
     def __init__(
         self,
@@ -49,10 +50,15 @@
         clock: Clock,
         on_departure: DepartureHandler,
     ) -> None:
-        """Create the gateway's member on the carrier that the operator file configures.
-
-        :param part: the fleet's part of the operator file.
-        :param on_departure: receives what other gateways' endpoint lists say of nodes.
+        """Create the gateway's member on the transport that the operator file configures.
+
+        :param config: configuration of the gateway.
+        :param part: section `fleet` of the operator file.
+        :param engine: engine that receives the events of the fleet.
+        :param clock: clock of the gateway.
+        :param on_departure: called with the states of nodes in the endpoint lists of other gateways.
+        :raises ConfigError: if the settings do not allow datagrams between gateways, or an address is
+            invalid.
         """
         self._clock, self._engine, self._on_departure = clock, engine, on_departure
         self._links: Links | None = None
@@ -81,9 +87,9 @@
 
     @staticmethod
     def _fleet_name(config: Config, part: FleetConfig) -> str:
-        """Return the name by which members recognize each other.
+        """Return the name by which members of the same fleet recognize each other.
 
-        Gateways that replicate lease tables lend by other rules than those that do not: two fleets.
+        Gateways that replicate lease tables lend by different rules, so they form a fleet of their own.
         """
         replication = config.operator.replication if config.operator is not None else None
         has_tables = replication is not None and replication.on and replication.lease_tables
@@ -91,28 +97,31 @@
 
     @staticmethod
     def _members(config: Config, part: FleetConfig) -> tuple[list[str], int]:
-        """Return the names of all members, and the number of this one.
+        """Return the names of all members, and the number of this member.
 
-        With the carrier `datagrams` the platform numbers the gateways, and each reaches the others at
-        addresses of its own.
+        With the transport `datagrams`, the platform numbers the gateways, and each gateway has its own
+        addresses for the others.
 
-        :raises ConfigError: where the settings allow no datagrams between gateways.
+        :raises ConfigError: if the settings do not allow datagrams between gateways.
         """
         if part.carrier == "datagrams":
             if not config.settings.peer_messages_allowed or not config.peers:
-                raise ConfigError("EDGE_OPERATOR: fleet.carrier: the settings allow gateways no datagrams")
+                raise ConfigError(
+                    "EDGE_OPERATOR: fleet.carrier: the settings do not allow datagrams between gateways"
+                )
             return [str(number) for number in range(len(config.peers))], config.settings.gateway_index
         names = [member.name for member in part.member]
         return names, names.index(part.me or config.name)
 
-    # ---- start and stop
-
     async def start(
         self, peers: PeerEndpoint, ejections: ManualEjections, announce_ejections: bool = True
     ) -> None:
         """Join the fleet.
 
-        :param announce_ejections: publish the manual ejections that the previous process left.
+        :param peers: endpoint for datagrams between gateways.
+        :param ejections: manual ejections at this gateway.
+        :param announce_ejections: whether to publish the manual ejections that the previous process has
+            stored.
         """
         self._peers, self._ejections = peers, ejections
         if self._links is not None:
@@ -130,7 +139,7 @@
         )
 
     def stop(self) -> None:
-        """Leave the fleet, as part of a graceful shutdown: from now on all quotas are zero."""
+        """Leave the fleet as part of a graceful shutdown; all quotas become zero."""
         self.coordinator.stop(self._clock.now_ms())
 
     def close(self) -> None:
@@ -148,65 +157,61 @@
         self._timer = self._clock.call_later(TICK_MS, self._tick)
         try:
             self.coordinator.tick(now_ms)
-        except Exception:  # requests must be served on whatever fails here
+        except Exception:  # a failure of the fleet must not stop the gateway from serving requests
             logger.exception("fleet: tick failed; leases expire unless a later tick succeeds")
 
-    # ---- messages
-
     def set_replication_handler(self, handler: Callable[[bytes], None]) -> None:
-        """Pass messages of the replication protocol, which share the carrier, to a handler.
+        """Set the handler for messages of the replication protocol, which use the same transport.
 
-        Not an argument of the constructor: the replication agent is constructed with this agent.
+        It is not an argument of the constructor because the replication agent is constructed with this agent.
         """
         self._on_replication_message = handler
 
     def events_before(self, event: Event, now_ms: float) -> Sequence[Event]:
-        """The events that the scheduler must handle before this one."""
+        """Return the events that the scheduler must handle before this one."""
         return self.coordinator.events_before(event, now_ms)
 
     def receive(self, data: bytes) -> None:
-        """Handle a message of another gateway."""
+        """Handle a message from another gateway."""
         if data[:1] == FRAME_PREFIX:
             if self._on_replication_message is not None:
                 self._on_replication_message(data)
             return
         try:
             self.coordinator.receive(data, self._clock.now_ms())
-        except Exception:  # requests must be served on whatever fails here
-            logger.exception("fleet: message of %d bytes failed and is dropped", len(data))
+        except Exception:  # a failure of the fleet must not stop the gateway from serving requests
+            logger.exception("fleet: dropped a received message of %d bytes: its handling failed", len(data))
 
     def send(self, member: int, data: bytes) -> None:
-        """Send a message of any protocol to a member; it may be lost."""
+        """Send a message of the fleet or replication protocol to a member; it may be lost."""
         if self._links is not None:
             self._links.send(member, data)
         elif self._peers is not None:
             self._peers.send(member, data)
 
-    # ---- from the gateway to the fleet
-
     def publish_ejection(self, node: str, is_ejected: bool) -> None:
-        """Publish an operator's DISABLE or ENABLE at this gateway."""
+        """Publish an operator's DISABLE or ENABLE command at this gateway."""
         self.coordinator.set_ejected(node, is_ejected, self._clock.now_ms())
 
     def publish_departure(self, node: str, incarnation: int, version: int, state: EndpointState) -> None:
-        """Publish what a version of this gateway's endpoint list says of a node."""
+        """Publish the state of a node in a version of this gateway's endpoint list."""
         self.coordinator.publish_departure(
             node, incarnation, version, DEPARTURE_STATES[state], self._clock.now_ms()
         )
 
     def stats(self) -> dict[str, int]:
-        """Return the fleet's part of the operators' STATS, by key."""
+        """Return the fleet's entries of the operators' STATS command, by key."""
         links = {"fleet.link_dropped": self._links.dropped} if self._links is not None else {}
         return {**self.coordinator.stats(), **links, "fleet.late_ticks": self._late_ticks}
 
-    # ---- from the fleet to the gateway (coordinator.GatewayPort)
+    # The methods below, and `send`, implement coordinator.GatewayPort.
 
     def handle(self, event: Event) -> None:
         """Pass an event to the scheduler."""
         self._engine.notify(event)
 
     def set_ejected(self, node: str, is_ejected: bool) -> None:
-        """Apply an operator's command at another gateway."""
+        """Apply an operator's command from another gateway."""
         if self._ejections is None or is_ejected == (node in self._ejections.nodes):
             return
         if is_ejected:
@@ -215,9 +220,9 @@
             self._ejections.remove(node)
 
     def restart_node(self, node: str, started_ms: float) -> None:
-        """Take notice that a node has restarted, which another gateway's list shows."""
+        """Notify the engine of a restart of a node that another gateway's endpoint list reports."""
         self._engine.note_restart(node, started_ms)
 
     def receive_departure(self, node: str, incarnation: int, departure: Departure) -> None:
-        """Take notice of what another gateway's endpoint list says of a node's departure."""
+        """Handle the departure state of a node in another gateway's endpoint list."""
         self._on_departure(node, incarnation, departure.version, ENDPOINT_STATES[departure.state])
