--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's modules one by one, without sockets and with no clock but the test's."""
+"""Unit tests of the fleet's modules, without sockets and with a clock that the tests control."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def envelope(*messages: bytes, sender: int = 3, incarnation: int = INCARNATION, group: int = GROUP) -> bytes:
-    """The first envelope of a sender."""
+    """Return the first envelope of a sender."""
     return EnvelopeWriter(group, sender, incarnation).write(1, messages)
 
 
@@ -71,7 +71,7 @@
 def test_a_truncated_or_corrupted_envelope_yields_only_known_messages(data: st.DataObject) -> None:
     """The network truncates an envelope or changes one of its bytes.
 
-    A truncated one is dropped; a changed one is dropped or contains only well-formed messages.
+    A truncated envelope is dropped.  A changed envelope is dropped or yields only well-formed messages.
     """
     complete = EnvelopeWriter(GROUP, 3, INCARNATION).write(
         timestamp_of(INCARNATION), [encode(RECORD), encode(Ping(7, 1 << 62))]
@@ -85,10 +85,10 @@
 
 
 def test_replayed_foreign_and_outdated_envelopes_are_dropped_by_reason() -> None:
-    """The network duplicates and reorders envelopes, and gateways of other fleets send theirs.
+    """The network duplicates and reorders envelopes, and gateways of other fleets send envelopes too.
 
-    Reordered ones are accepted, all others are dropped, each under its own reason.  A restarted sender is
-    accepted again.
+    Reordered envelopes are accepted; all others are dropped and counted under their own reasons.  Envelopes
+    of a restarted sender are accepted.
     """
     reader = EnvelopeReader(GROUP, 0, 5)
     writer = EnvelopeWriter(GROUP, 3, INCARNATION)
@@ -111,9 +111,10 @@
 
 
 def test_an_incarnation_of_the_far_future_locks_out_nobody() -> None:
-    """A member starts with a broken clock, and starts again with the right one.
+    """A member starts with a clock that is far ahead, and is restarted with a correct clock.
 
-    Its first incarnation is dropped; otherwise the right one would be dropped as outdated.
+    Envelopes of the first incarnation are dropped; otherwise those of the second would be dropped as
+    outdated.
     """
     reader = EnvelopeReader(GROUP, 0, 5)
     assert reader.read(envelope(incarnation=INCARNATION + 10**9), INCARNATION) is None
@@ -121,9 +122,9 @@
 
 
 def test_a_message_of_a_later_version_is_skipped_and_the_rest_is_read() -> None:
-    """During a rolling upgrade a newer gateway sends a message type that this one does not know.
+    """During a rolling upgrade, a newer gateway sends a message type that this gateway does not know.
 
-    The unknown message is skipped, the others of its envelope are read.
+    The unknown message is skipped, and the other messages of the envelope are read.
     """
     raw = envelope(b"\x92\x63\x01", encode(Ping(1, 2)))  # tag 99
     received = EnvelopeReader(GROUP, 0, 5).read(raw)
@@ -146,9 +147,9 @@
 
 
 def test_envelopes_never_exceed_the_datagram_limit() -> None:
-    """A gateway publishes many records with names of different lengths at once.
+    """A gateway publishes many records with node names of different lengths at once.
 
-    No envelope exceeds the platform's limit on a datagram.
+    No envelope exceeds the platform's limit on datagrams.
     """
     recorder = SendRecorder()
     fleet = Fleet(0, ["a", "b", "c"], INCARNATION, FleetOptions(messages_a_second=1000.0), recorder)
@@ -166,10 +167,10 @@
 
 
 def test_timestamps_respect_causality_and_do_not_follow_a_clock_far_ahead() -> None:
-    """One member's clock is slightly ahead of another's, a third one's is broken and far ahead.
+    """The clock of one member is slightly ahead of another's, and the clock of a third is far ahead.
 
-    An effect has a greater timestamp than its cause although its clock is behind; the broken clock is not
-    followed.
+    An effect has a greater timestamp than its cause even if its member's clock is behind.  Timestamps that
+    are far ahead are rejected.
     """
     one, other = HybridClock(), HybridClock()
     cause = one.now(1_000.0)
@@ -180,9 +181,9 @@
 
 
 def test_the_departure_of_a_member_reassigns_only_its_keys() -> None:
-    """Member 2 of five leaves.
+    """Member 2 of five members leaves.
 
-    Only keys that were assigned to it are reassigned, and the assignment was balanced before.
+    Only the keys that were assigned to it are reassigned, and the assignment was balanced before.
     """
     keys = [f"v:{n}" for n in range(400)]
     before = {key: highest_ranked(key, range(5)) for key in keys}
@@ -193,9 +194,9 @@
 
 
 def test_each_update_is_transmitted_equally_often_and_replaced_by_a_newer_one() -> None:
-    """Two updates are queued, later two under the same key.
+    """Two updates with different keys are queued, then two updates with the same key.
 
-    Each is transmitted up to the limit; of the two under one key only the newer one is.
+    The first two are both transmitted up to the limit.  Of the other two, only the newer one is transmitted.
     """
     queue = BroadcastQueue(5)
     queue.add("a", b"a")
@@ -224,7 +225,7 @@
 
 
 def unreachable(observer: int, timestamp: int, lifetime_ms: int, value: int = 1) -> HealthRecord:
-    """A record about incarnation 5 of node s-1; the timestamp is relative to the start."""
+    """Return a record about incarnation 5 of node s-1; `timestamp` is relative to `INCARNATION`."""
     return HealthRecord(
         "s-1",
         HealthKind.UNREACHABLE,
@@ -237,7 +238,7 @@
 
 
 def ejection(observer: int, timestamp: int, lifetime_ms: int, value: int) -> HealthRecord:
-    """An operator's DISABLE (1) or ENABLE (0) of node s-1."""
+    """Return the record of an operator's DISABLE (1) or ENABLE (0) command for node s-1."""
     return HealthRecord("s-1", HealthKind.EJECTED, observer, 0, timestamp, INCARNATION + lifetime_ms, value)
 
 
@@ -258,7 +259,7 @@
     assert isinstance(draw, random.Random)
     maps = []
     for _ in range(3):
-        order = records + draw.sample(records, len(records) // 2)  # and some of them twice
+        order = records + draw.sample(records, len(records) // 2)  # half of the records are duplicated
         draw.shuffle(order)
         merged = HealthGossip(lambda record: None)
         for record in order:
@@ -269,10 +270,10 @@
 
 
 def test_a_record_ends_by_expiry_and_by_a_newer_incarnation_of_the_node() -> None:
-    """A node is recorded as unreachable, then restarts.
+    """A node is recorded as unreachable, and then restarts.
 
-    The record ends at its expiry without a message.  The restart discards it at once, and a late copy of it
-    is not merged again.
+    The record expires without a message.  The restart discards it at once, and a late duplicate is not
+    merged.
     """
     changed: list[tuple[str, HealthKind]] = []
     gossip = HealthGossip(lambda record: None, lambda node, kind: changed.append((node, kind)))
@@ -289,9 +290,9 @@
 
 
 def test_load_is_taken_off_a_node_only_by_a_quorum_of_distinct_observers(gossip: HealthGossip) -> None:
-    """One gateway repeats that a node is unreachable, a second one states it too and later withdraws it.
+    """One gateway repeatedly reports a node as unreachable; a second one reports it and later withdraws.
 
-    The statement counts only while both make it, however often one repeats it.
+    The report takes effect only while both gateways make it; repetitions by one gateway do not count.
     """
     for timestamp in range(3):
         gossip.merge(unreachable(2, timestamp, 9_000), INCARNATION)
@@ -305,9 +306,9 @@
 
 
 def test_any_operators_enable_lifts_any_operators_disable(gossip: HealthGossip) -> None:
-    """Operators at two gateways DISABLE a node, one at a third ENABLEs it.
+    """Operators at two gateways DISABLE a node, and an operator at a third gateway ENABLEs it.
 
-    The latest command wins, and a late copy of an earlier one changes nothing.
+    The latest command wins, and a late duplicate of an earlier command changes nothing.
     """
     gossip.merge(ejection(0, 10, 9_000, 1), INCARNATION)
     gossip.merge(ejection(1, 11, 9_000, 1), INCARNATION)
@@ -318,9 +319,9 @@
 
 
 def test_a_withdrawal_outlives_what_it_withdraws(gossip: HealthGossip) -> None:
-    """A gateway withdraws a record shortly after it published it, with a shorter lifetime.
+    """A gateway publishes a record, and soon withdraws it with a shorter lifetime.
 
-    Copies of the record are still under way when that lifetime is over; they are not merged.
+    Copies of the record are still in flight after that lifetime; they are not merged.
     """
     gossip.publish(RECORD, INCARNATION)
     withdrawal = HealthRecord("s-1", HealthKind.UNREACHABLE, 2, 5, RECORD.timestamp + 1, INCARNATION + 10, 0)
@@ -330,9 +331,9 @@
 
 
 def test_an_ejection_is_extended_without_a_new_timestamp(gossip: HealthGossip) -> None:
-    """A gateway extends an ejection before it expires; an operator ENABLEs the node later.
+    """A gateway extends an ejection before it expires, and an operator ENABLEs the node later.
 
-    The extended ejection holds, and the later ENABLE still wins although it expires earlier.
+    The extended ejection remains in force, and the later ENABLE still wins although it expires earlier.
     """
     gossip.merge(ejection(0, 10, 1_000, 1), INCARNATION)
     gossip.extend(HealthKind.EJECTED, INCARNATION + 5_000, INCARNATION + 9_000, INCARNATION)
@@ -345,7 +346,7 @@
 
 
 class MemberNetwork:
-    """Members whose messages arrive at once; links can be cut in one direction."""
+    """Members whose messages arrive without delay, over links that can be cut in one direction."""
 
     def __init__(self, count: int) -> None:
         self.now_ms = float(INCARNATION)
@@ -383,9 +384,9 @@
 
 
 def test_a_member_that_cannot_send_is_removed_and_rejoins_when_the_link_heals() -> None:
-    """All links from member 1 are cut, and heal later.
+    """All links from member 1 are cut and later restored.
 
-    The others declare it dead, and all four see each other again after healing.
+    The other members declare it dead.  After the links are restored, all four members are alive in all views.
     """
     network = MemberNetwork(4)
     network.run(5_000)
@@ -399,9 +400,9 @@
 
 
 def test_a_cut_between_two_members_only_removes_nobody() -> None:
-    """The link between members 0 and 1 is cut in both directions; both still reach the others.
+    """The link between members 0 and 1 is cut in both directions; both still reach the other members.
 
-    Nobody is declared dead, since the others probe on their behalf.
+    No member is declared dead, because the other members probe on their behalf.
     """
     network = MemberNetwork(4)
     network.run(5_000)
@@ -411,9 +412,9 @@
 
 
 def test_a_paused_member_removes_nobody_when_it_resumes() -> None:
-    """A member's process is paused for a second, with acks unread, and resumes.
+    """The process of a member is paused for a second, during which acks stay unread, and resumes.
 
-    It declares nobody dead for acks that it could not read in time.
+    It declares no member dead because of acks that it could not read in time.
     """
     network = MemberNetwork(3)
     network.run(5_000)
@@ -426,9 +427,9 @@
 
 
 def test_a_restart_is_a_new_incarnation_and_the_older_process_learns_of_it() -> None:
-    """A member restarts while its old process is still running.
+    """A member is started a second time while its old process is still running.
 
-    The others know the new incarnation, and the old process learns that it is superseded.
+    The other members know the new incarnation, and the old process detects that it is superseded.
     """
     network = MemberNetwork(3)
     network.run(5_000)
@@ -444,9 +445,9 @@
 
 
 def test_a_quota_step_ends_at_its_expiry_even_after_a_pause() -> None:
-    """A process is paused beyond the expiry of its leases.
+    """A process is paused until after its leases have expired.
 
-    The quota in force afterwards is the base, and the bucket holds no more than the base's burst.
+    Afterwards the base of the quota is in force, and the bucket contains at most the burst of the base.
     """
     quota = Quota(
         Allowance(1.0, 2.0),
@@ -461,9 +462,9 @@
 
 
 def test_a_bucket_under_changing_quotas_spends_no_more_than_they_filled() -> None:
-    """Short leases come and go while a gateway spends all that it may.
+    """Short leases start and expire while a gateway spends as much as its quota permits.
 
-    It spends no more than the greatest rate and burst allow over the time.
+    It spends no more than the greatest rate and burst permit over the entire time.
     """
     bucket, now = QuotaBucket(0.0, 0.0), 0.0
     spent = 0.0
@@ -502,7 +503,7 @@
 
 
 class LeaseMember:
-    """The lease manager of one member, whose messages the test receives and sends."""
+    """The lease manager of one member; the test takes the place of all other members."""
 
     def __init__(
         self,
@@ -526,28 +527,28 @@
         )
 
     def request_units(self, now_ms: float, units: float = 1.0) -> None:
-        """A client's request is about to spend."""
+        """Record a client request that is about to spend units."""
         self.leases.record_demand("v:1", LIMIT, units, 8.0, now_ms, self.settle_ms)
 
     def request_pledge(self, granter: int, incarnation: int, now_ms: float) -> list[Pledge]:
-        """A granter requests a pledge; returns what the member pledges."""
+        """Deliver a pledge request of a granter, and return the pledges that the member sends."""
         before = len(self.sent)
         request = PledgeRequest("v:1", 5, 100_000, 40_000, int(self.settle_ms))
         self.leases.receive(granter, incarnation, request, now_ms)
         return [message for _, message in self.sent[before:] if isinstance(message, Pledge)]
 
     def request_lease(self, holder: int, nonce: int, now_ms: float) -> None:
-        """A holder requests most of the limit."""
+        """Deliver a lease request of a holder for most of the limit."""
         request = LeaseRequest("v:1", nonce, 90_000, 36_000, 100_000, 40_000)
         self.leases.receive(holder, 9, request, now_ms)
 
     def pledge(self, owner: int, now_ms: float) -> None:
-        """An owner pledges 30 units a second and a burst of 12, as it was requested."""
+        """Deliver a requested pledge of an owner: 30 units per second and a burst of 12."""
         nonce = self.pledge_request_to(owner).nonce
         self.leases.receive(owner, 9, Pledge("v:1", nonce, 30_000, 12_000, 2_000), now_ms)
 
     def pledge_request_to(self, owner: int) -> PledgeRequest:
-        """The first pledge request to an owner."""
+        """Return the first pledge request to an owner."""
         return next(
             message
             for receiver, message in self.sent
@@ -556,12 +557,12 @@
 
     @property
     def grants(self) -> list[LeaseGrant]:
-        """All leases granted so far."""
+        """Return all leases granted so far."""
         return [message for _, message in self.sent if isinstance(message, LeaseGrant)]
 
     @property
     def base(self) -> Allowance:
-        """The quota published last, without leases."""
+        """Return the base of the last published quota, which excludes leases."""
         return self.quotas[-1].at(FAR_FUTURE_MS)
 
 
@@ -572,9 +573,9 @@
 
 
 def test_a_restarted_member_waits_for_a_term_before_it_spends_its_own_part() -> None:
-    """A member restarts and does not know what it had pledged before, which may still be leased to others.
+    """A member restarts and does not know its earlier pledges, which may still be leased to other members.
 
-    Its own part is unavailable until a pledge of its previous incarnation has certainly expired.
+    Its own share is unavailable until all pledges of its previous incarnation have certainly expired.
     """
     member = LeaseMember()
     member.request_units(100.0)
@@ -586,9 +587,9 @@
 
 
 def test_what_is_pledged_is_not_spent_until_the_pledge_has_expired_with_drift() -> None:
-    """An idle owner pledges to the granter, whose clock may run slower by the drift.
+    """An idle owner pledges to the granter, whose clock may run slower by the maximum drift.
 
-    The pledge is deducted before it is sent, and returns when it has expired by any clock.
+    The pledge is deducted from the quota before it is sent, and returns when it has expired by any clock.
     """
     granter = granter_of((0, 1))
     member = LeaseMember(me=1 - granter)
@@ -603,10 +604,10 @@
 
 
 def test_a_successor_receives_no_pledge_until_the_previous_one_has_expired() -> None:
-    """The granter fails after an owner has pledged to it, and a successor requests a pledge.
+    """The granter fails after an owner has pledged to it, and a new granter requests a pledge.
 
-    The failed granter may have leased it to others, so the owner pledges to the successor only after it
-    has expired.
+    The failed granter may have leased the pledged amount, so the owner pledges to the new granter only after
+    the first pledge has expired.
     """
     granter = granter_of((0, 1, 2))
     others = tuple(n for n in (0, 1, 2) if n != granter)
@@ -623,7 +624,7 @@
 def test_a_restarted_granter_waits_as_a_successor_does() -> None:
     """The granter restarts and has lost the record of its leases.
 
-    An owner pledges to its new incarnation only after the pledge to the old one has expired.
+    An owner pledges to the new incarnation only after the pledge to the old incarnation has expired.
     """
     granter = granter_of((0, 1))
     member = LeaseMember(me=1 - granter)
@@ -633,16 +634,16 @@
 
 
 def test_a_windowed_budget_stays_idle_for_its_window_after_a_pledge() -> None:
-    """An owner pledges part of a budget that counts what is spent in a window of three seconds.
+    """An owner pledges a portion of a budget that counts the units spent in a window of three seconds.
 
-    It keeps what it spent in the window, and the pledge returns only a window after its expiry, since the
-    holder may have spent it at the last moment.
+    It keeps the units that it spent in the window.  The pledge returns one window after its expiry, because
+    the holder may have spent the units at the end of its lease.
     """
     granter = granter_of((0, 1))
     member = LeaseMember(me=1 - granter, settle_ms=3_000.0)
     member.request_units(10_000.0, 2.0)
     (pledge,) = member.request_pledge(granter, 9, 10_100.0)
-    assert 0 < pledge.burst <= 9_500  # of 20 it has spent 2 in this window, and may need more
+    assert 0 < pledge.burst <= 9_500  # the owner has spent 2 of its 20 units, and may need more
     member.leases.tick(10_100.0 + 2_021.0 + 2_990.0)
     assert member.base.burst < 20.0
     member.leases.tick(10_100.0 + 2_021.0 + 3_010.0)
@@ -650,9 +651,9 @@
 
 
 def test_a_lease_counts_from_its_request_and_a_late_or_unrequested_one_is_ignored() -> None:
-    """The network delays a grant, delivers a duplicate after its expiry, and a third was never requested.
+    """The network delays a grant and delivers a duplicate after its expiry; another grant was not requested.
 
-    The lease ends one lease duration after its request; the other two change nothing.
+    The lease ends one lease duration after its request.  The duplicate and the other grant change nothing.
     """
     granter = granter_of((0, 1))
     member = LeaseMember(me=1 - granter)
@@ -672,9 +673,10 @@
 
 
 def test_a_granter_leases_no_more_than_is_pledged_to_the_end_of_the_lease() -> None:
-    """A holder requests most of a limit: before anything is pledged, after a pledge, and near its expiry.
+    """A holder requests most of a limit: before any pledge, after a pledge, and shortly before its expiry.
 
-    It gets nothing, then what was pledged, then nothing, since the lease would outlast the pledge.
+    The first request gets nothing, the second gets the pledged amount, and the third gets nothing because the
+    lease would outlast the pledge.
     """
     me = granter_of((0, 1, 2))
     owner, holder = (n for n in (0, 1, 2) if n != me)
@@ -695,9 +697,9 @@
 def test_a_partitioned_member_gets_the_even_part_of_available_limits_only(
     partitioned_allowance: Allowance, expected_rate: float
 ) -> None:
-    """A member is partitioned from most of the fleet.
+    """A member is partitioned from the majority of the fleet.
 
-    Of a strict limit it keeps its own part, of an available one it gets the even part.
+    It keeps its own share of a strict limit, and gets the equal share of an available limit.
     """
     quotas: list[Quota] = []
     connected = [True]
@@ -719,7 +721,7 @@
 
 
 def test_a_stopped_member_spends_nothing() -> None:
-    """A gateway shuts down: its quota is zero at once."""
+    """A gateway shuts down, and its quota becomes zero immediately."""
     member = LeaseMember()
     member.request_units(5_000.0)
     assert member.base.rate == 50.0
@@ -730,7 +732,7 @@
 def test_errors_name_the_option_that_is_wrong() -> None:
     """An operator configures options that are out of range or contradict each other.
 
-    Each error names the option.
+    The error names the option.
     """
     for make, name in (
         (lambda: LeaseTiming(term_ms=1_000.0, lease_ms=900.0), "term_ms"),
@@ -765,11 +767,11 @@
 
 
 def test_a_grant_is_sent_only_after_the_table_that_contains_it_is_written() -> None:
-    """A granter succeeds a predecessor that had leased part of the limit, and grants a lease.
+    """A granter succeeds a predecessor that had leased a portion of the limit, and grants a lease.
 
-    It requests no pledge before it has acquired the table, deducts its predecessor's leases, and sends the
-    grant only after the table with both is written.  When another granter succeeds it meanwhile, the next
-    grant is never sent.
+    It requests no pledge before it has acquired the table.  It deducts the leases of its predecessor, and
+    sends the grant only after the table with both has been written.  After another granter has taken over,
+    the next grant is never sent.
     """
     me = granter_of((0, 1, 2))
     owner, holder = (n for n in (0, 1, 2) if n != me)
@@ -794,9 +796,9 @@
 
 
 def test_an_owner_pledges_at_once_to_a_successor_that_has_fenced_the_previous_granter() -> None:
-    """An owner has pledged to a granter, and a successor requests a pledge without waiting for the expiry.
+    """An owner has pledged to a granter, and a new granter requests a pledge before that pledge expires.
 
-    The owner pledges only where the successor has fenced exactly that granter in that incarnation.
+    The owner pledges only if the new granter has fenced exactly that granter in that incarnation.
     """
     granter = granter_of((0, 1, 2))
     others = tuple(n for n in (0, 1, 2) if n != granter)
@@ -814,6 +816,6 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_schedules_with_replicated_tables_exceed_no_strict_limit(seed: int) -> None:
-    """Fleets with replicated lease tables go through random faults: no limit is exceeded."""
-    seen = run_schedule(seed, world=VirtualFleet(5, seed, tables=True))
-    assert not [each for each in seen.violations if "limit" in each and "use" not in each], seen.violations
+    """Fleets with replicated lease tables experience random faults; no strict limit is exceeded."""
+    run = run_schedule(seed, world=VirtualFleet(5, seed, tables=True))
+    assert not [text for text in run.violations if "limit" in text and "use" not in text], run.violations
--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -1,4 +1,4 @@
-"""The fleet at the gateway: the scheduler under quotas, the coordinator, the operator file and the links."""
+"""Tests of the fleet at the gateway: scheduler with quotas, coordinator, operator file and links."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
 
 
 def test_a_limit_is_spent_by_the_quota_and_not_in_equal_parts() -> None:
-    """The fleet grants a gateway nothing of a limit, of which it would have all without a fleet.
+    """The fleet grants a gateway no quota of a limit that it could spend entirely without a fleet.
 
-    A request is rejected; with a lease the next one is sent.
+    A request is rejected.  After the gateway has received a lease, the next request is sent.
     """
     gateway = ScriptedGateway(plans=(CAPPED,))
     gateway.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0))))
@@ -62,7 +62,7 @@
 
 
 def test_a_process_that_resumes_after_its_lease_expired_spends_nothing_of_it() -> None:
-    """A process is paused beyond the expiry of its lease, and no tick has published a new quota yet.
+    """A process is paused until after its lease has expired, and no tick has published a new quota yet.
 
     A request after the pause is rejected.
     """
@@ -77,10 +77,10 @@
 
 
 def test_a_warming_node_is_sent_as_much_as_the_quota_allows() -> None:
-    """A node is warming up, and the gateway would have to wait for its turn without a fleet.
+    """A node is warming up; without a fleet, the gateway would have to wait before it could send requests.
 
-    With a quota of 20 units of the node's budget it sends requests of 16 units, although the node has
-    capacity for more.
+    With a quota of 20 units of the node's warm-up budget, it sends two requests of 8 units each, although the
+    node has capacity for more.
     """
     warming = entry(started_ms=1.0)
     gateway = ScriptedGateway(warming, gateways=100, gateway_index=50, warm_up_units=40.0)
@@ -96,9 +96,9 @@
 
 
 def test_nothing_is_sent_to_a_node_that_others_report_down_until_it_answers() -> None:
-    """Other gateways report a node down, then it answers a request of this one.
+    """Other gateways report a node down, and then the node responds to a request of this gateway.
 
-    Nothing is sent until the answer, which outweighs the report.  A second report expires by itself.
+    No request is sent until that response, which takes precedence over the report.  A second report expires.
     """
     gateway = ScriptedGateway()
     gateway.request("r1")
@@ -118,7 +118,7 @@
 
 
 class RecordingGateway:
-    """A `GatewayPort` that records what the coordinator tells its gateway."""
+    """A `GatewayPort` that records the calls of the coordinator."""
 
     def __init__(self, network: list[tuple[int, bytes]], number: int) -> None:
         self.network, self.number = network, number
@@ -144,7 +144,7 @@
 
 
 class ThreeGateways:
-    """Three coordinators whose datagrams the test delivers; the first one's gateway is looked at."""
+    """Three coordinators whose datagrams are delivered by the test; `gateway` belongs to the first one."""
 
     def __init__(self, **changes: Any) -> None:
         self.network: list[tuple[int, bytes]] = []
@@ -158,7 +158,7 @@
         self.first, self.second, self.third = self.coordinators
 
     def meet(self, now_ms: float, *entries: EndpointEntry) -> None:
-        """All receive an endpoint list of these entries, if any, and find each other."""
+        """Send all gateways an endpoint list with these entries, if any, and let them discover each other."""
         for coordinator in self.coordinators:
             if entries:
                 coordinator.events_before(EndpointListUpdate(UpdateKind.FULL, entries), now_ms)
@@ -166,7 +166,7 @@
         self.deliver(now_ms + 50.0)
 
     def deliver(self, now_ms: float) -> None:
-        """Deliver each datagram to all others, until nothing more is sent."""
+        """Deliver each datagram to all other gateways, in 20 rounds."""
         for _ in range(20):
             in_flight = list(self.network)
             self.network.clear()
@@ -179,7 +179,7 @@
             now_ms += 25.0
 
     def reports_down(self) -> list[EndpointReportedDown]:
-        """Return the nodes' failures that the first gateway was notified of."""
+        """Return the reports of failed nodes that the first gateway has received."""
         return [event for event in self.gateway.events if isinstance(event, EndpointReportedDown)]
 
 
@@ -203,16 +203,17 @@
 def test_the_scheduler_has_its_quota_before_the_first_request_of_a_volume(three: ThreeGateways) -> None:
     """A gateway that has just started receives the first requests of a volume.
 
-    Its quota, still zero, precedes the first request and is not repeated before the second.
+    The scheduler receives the quota, which is still zero, before the first request, and not again before the
+    second request.
     """
     assert three.first.events_before(request(), 50.0) == [QuotaUpdated("v1", Quota())]
     assert three.first.events_before(request(), 60.0) == []
 
 
 def test_a_request_for_a_warming_node_needs_its_budget_until_slow_start_ends() -> None:
-    """A node has just started at one gateway, and started long ago at another.
+    """A node has started recently in the view of one gateway, and long ago in the view of another.
 
-    A request for it needs the node's budget only while slow start lasts.
+    A request for the node needs a quota of its warm-up budget only during slow start.
     """
     update = EndpointListUpdate(UpdateKind.FULL, (entry(started_ms=3_000.0),))
     early = ThreeGateways()
@@ -224,9 +225,9 @@
 
 
 def test_a_node_is_reported_down_once_two_gateways_find_it_unreachable(three: ThreeGateways) -> None:
-    """Attempts of the second gateway fail, then also those of the third, until one of them succeeds.
+    """Attempts of the second gateway fail, then attempts of the third gateway, until one of those succeeds.
 
-    The first gateway is notified when both report the node, and again when one has withdrawn its report.
+    The first gateway is notified when both report the node, and again when one of them withdraws its report.
     """
     three.meet(0.0, entry())
     for n in range(3):
@@ -245,9 +246,9 @@
 
 
 def test_a_manual_ejection_reaches_the_other_gateways_and_so_does_its_end(three: ThreeGateways) -> None:
-    """An operator DISABLEs a node at the second gateway, another one ENABLEs it at the third.
+    """One operator DISABLEs a node at the second gateway, and another ENABLEs it at the third gateway.
 
-    The first gateway follows both.
+    The first gateway applies both commands.
     """
     three.meet(0.0)
     three.second.set_ejected("n1", True, 700.0)
@@ -258,7 +259,7 @@
 
 
 def test_a_restart_of_a_node_is_notified_where_the_own_list_is_older(three: ThreeGateways) -> None:
-    """A node restarts, and only the second gateway's endpoint list shows it.
+    """A node restarts, and only the endpoint list of the second gateway contains the new incarnation.
 
     The first gateway is notified of the new incarnation.
     """
@@ -274,7 +275,7 @@
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
     def make(self, services: EngineServices | None = None) -> tuple[Engine, list[Event]]:
-        """An engine with one node, and the events that its scheduler handles."""
+        """Return an engine with one node, and the list of the events that its scheduler handles."""
         engine = Engine(settings(), 1, SettableClock(1_000.0), services)
         engine.update_endpoints(UpdateKind.FULL, 1, (Endpoint(entry(), "a:1", ScriptedUpstream()),))
         handled: list[Event] = []
@@ -288,7 +289,7 @@
         return engine, handled
 
     async def test_the_scheduler_handles_preceding_events_first(self) -> None:
-        """The fleet has a quota to publish when a request arrives: the quota is handled first."""
+        """A request needs a quota that the fleet has not published yet; the quota is handled first."""
 
         class QuotaFirst(NoServices):
             def events_before(self, event: Event, now_ms: float) -> list[Event]:
@@ -296,10 +297,10 @@
 
         engine, handled = self.make(QuotaFirst())
         engine.submit(CALL, lambda answer: None)
-        self.assertEqual([type(each) for each in handled], [QuotaUpdated, Request])
+        self.assertEqual([type(event) for event in handled], [QuotaUpdated, Request])
 
     async def test_a_failure_of_the_fleet_stops_no_request(self) -> None:
-        """The fleet's code raises when it examines a request: the request is handled nevertheless."""
+        """The fleet raises an exception when it examines a request; the request is handled all the same."""
 
         class Failing(NoServices):
             def events_before(self, event: Event, now_ms: float) -> list[Event]:
@@ -309,19 +310,19 @@
 
         engine, handled = self.make(Failing())
         engine.submit(CALL, lambda answer: None)
-        self.assertEqual([type(each) for each in handled], [Request])
+        self.assertEqual([type(event) for event in handled], [Request])
 
     async def test_a_restart_reported_by_others_changes_neither_address_nor_list(self) -> None:
-        """Other gateways report a restart of a listed node, of an unlisted one, and an outdated one.
+        """Other gateways report a restart of a listed node, of an unlisted node, and an outdated restart.
 
-        The scheduler handles the first only, and the endpoint list keeps its nodes and addresses.
+        The scheduler handles only the first report, and the endpoint list keeps its nodes and addresses.
         """
         engine, handled = self.make()
         engine.note_restart("n1", 900.0)
         engine.note_restart("n9", 900.0)
         engine.note_restart("n1", 500.0)
-        updates = [each for each in handled if isinstance(each, EndpointListUpdate)]
-        self.assertEqual([each.entries[0].started_ms for each in updates], [900.0])
+        updates = [event for event in handled if isinstance(event, EndpointListUpdate)]
+        self.assertEqual([update.entries[0].started_ms for update in updates], [900.0])
         self.assertEqual(engine.endpoints["n1"].address, "a:1")
         self.assertEqual(set(engine.endpoints), {"n1"})
 
@@ -344,7 +345,7 @@
     path.write_text(GOOD)
     fleet = read_operator_file(path).fleet
     assert fleet.on
-    assert [each.name for each in fleet.member] == ["g0", "g1"]
+    assert [member.name for member in fleet.member] == ["g0", "g1"]
     timing = fleet.options(2).lease_timing
     assert timing is not None
     assert (timing.term_ms, fleet.limit[0].policy) == (4_000.0, "available")
@@ -353,9 +354,9 @@
 
 
 def test_the_operator_files_counts_are_written_in_decimal(tmp_path: Path) -> None:
-    """Counts stand in decimal digits; a fraction is a fault, named with its line.
+    """Counts are read as integers, and a fractional count is reported with its line.
 
-    Guards against a library that reads every decimal number as a float.
+    Guards against a KDL library that reads every decimal number as a float.
     """
     path = tmp_path / "operator.kdl"
     path.write_text("fleet {\n  fanout 4\n  quorum 3\n}\npromises {\n  copies 5\n}\n")
@@ -390,7 +391,7 @@
     message: str,
     tmp_path: Path,
 ) -> None:
-    """An operator makes a mistake in the file: the error names the file, the line and the key."""
+    """An operator file contains a mistake; the error names the file, the line and the key."""
     path = tmp_path / "operator.kdl"
     path.write_text(GOOD.replace(old, new, 1))
     with pytest.raises(OperatorFileError) as error:
@@ -400,7 +401,7 @@
 
 
 def test_the_start_reports_what_is_wrong_with_the_file(tmp_path: Path) -> None:
-    """A gateway starts that is no member, one that is, one whose operator file is missing, and one without.
+    """Gateways start that are not a member, are a member, lack their operator file, and use no operator file.
 
     The first and the third report the reason and do not start.
     """
@@ -460,10 +461,10 @@
         self.assertEqual(self.received[1], sent)
 
     async def test_a_link_reconnects_and_delivers_the_newest_messages(self) -> None:
-        """The other gateway is down while more messages are sent than fit the queue, and restarts later.
+        """More messages are sent to a gateway that is down than fit into the queue; it starts and restarts.
 
-        The oldest messages are dropped and counted, the others arrive when it starts; after its restart the
-        link reconnects.
+        The oldest messages are dropped and counted.  The other messages arrive when the gateway starts, and
+        the link reconnects after its restart.
         """
         await self.links[0].start()
         for number in range(MAX_QUEUED_MESSAGES + 20):
@@ -483,9 +484,9 @@
         await self.until(is_resent)
 
     async def test_an_invalid_frame_closes_its_connection_only(self) -> None:
-        """Connections send a frame that is too long, an empty one and a truncated one.
+        """Three connections send a frame that is too long, an empty frame and a truncated frame.
 
-        Each is closed, and a gateway's own link still delivers.
+        All three are closed, and the link of another gateway still delivers messages.
         """
         await self.links[1].start()
         for raw in (FRAME_HEADER.pack(1 << 30), FRAME_HEADER.pack(0), b"\x00"):
@@ -500,7 +501,7 @@
 
 
 def test_a_link_that_is_down_keeps_the_newest_messages() -> None:
-    """A link is down while more messages are sent than fit its queue: the oldest are dropped and counted."""
+    """More messages are sent over a link that is down than fit into its queue; the oldest are dropped."""
     link = Link(("127.0.0.1", 1), random.Random(1))
     for number in range(MAX_QUEUED_MESSAGES + 5):
         link.send(str(number).encode())
--- a/tests/fleet/test_fleet_guards.py
+++ b/tests/fleet/test_fleet_guards.py
@@ -1,6 +1,6 @@
 """Fleets in virtual time: the guarantees hold in seeded schedules of faults.
 
-For each guarantee one test removes the guard that upholds it, and the checker has to detect the violation: a
+For each guarantee, one test removes the check that enforces it, and the checker must detect the violation.  A
 checker that never reports a violation would prove nothing.
 """
 
@@ -26,21 +26,21 @@
 from shaletiller.lab.virtual_fleet import VirtualFleet
 
 SEEDS = range(1, 31)
-SUM_EXCEEDED = "add up to"  # how the checker reports quotas that exceed a limit together
+SUM_EXCEEDED = "add up to"  # part of the checker's report that the sum of all quotas exceeds a limit
 
 
 def violations(seeds: range) -> list[str]:
-    """The guarantees violated in the schedules of these seeds."""
+    """Return the violations of guarantees in the schedules of these seeds."""
     return [violation for seed in seeds for violation in run_schedule(seed).violations]
 
 
 def sum_is_exceeded(seeds: range) -> bool:
-    """Whether the quotas of all gateways exceed a limit in any of these schedules."""
+    """Return whether the sum of all quotas exceeds a limit in any of these schedules."""
     return any(SUM_EXCEEDED in violation for violation in violations(seeds))
 
 
 def test_every_guarantee_holds_in_schedules_of_faults() -> None:
-    """Fleets go through loss, delay, partitions, crashes and pauses: no guarantee is violated."""
+    """Fleets experience message loss, delay, partitions, crashes and pauses; no guarantee is violated."""
     assert violations(SEEDS) == []
 
 
@@ -55,7 +55,7 @@
 
 
 def test_an_unchecked_lease_expiry_is_detected() -> None:
-    """A gateway does not check the expiry of its leases against the clock, and keeps them for too long."""
+    """A gateway does not check the expiry of its leases against the clock, and keeps them too long."""
     checked = LimitAccounts.quota
 
     def quota(self: LimitAccounts, account: LimitAccount, now_ms: float) -> Quota:
@@ -75,7 +75,7 @@
 
 
 def _excess_after_restart() -> float:
-    """By how much quotas exceed a limit when an idle owner is killed and restarts, its part leased."""
+    """Return the excess of quotas over a limit after an idle owner restarts while its share is leased."""
     world = VirtualFleet(3, 3, FleetOptions())
     limit = Limit("v:strict", Allowance(100.0, 60.0))
     for gateway in world.gateways:
@@ -90,7 +90,7 @@
 
 
 def test_a_restarted_member_that_does_not_wait_is_detected() -> None:
-    """A restarted member spends its own part at once, although it had pledged it before."""
+    """A restarted member spends its own share at once, although it had pledged that share before."""
     waiting = LimitAccounts.own_part
 
     def own_part(self: LimitAccounts, account: LimitAccount, when_ms: float) -> Allowance:
@@ -103,7 +103,7 @@
 
 
 def test_a_granter_that_does_not_count_its_leases_is_detected() -> None:
-    """A granter leases the pledges to each holder anew, whatever it has leased to the others."""
+    """A granter leases the pledges to each holder without deducting the leases of other holders."""
 
     def allocate(self: Granter, pool: LimitPool, holder: int, now_ms: float) -> Allowance:
         return pool.demands[holder].allowance.minimum(self._sum(pool.pledged, now_ms))
@@ -113,7 +113,7 @@
 
 
 def _overshoot_of_moved_traffic() -> float:
-    """By how much a warm-up budget is exceeded when its traffic moves from one gateway to the others."""
+    """Return the excess over a warm-up budget after its traffic moves from one gateway to the others."""
     world = VirtualFleet(3, 5, FleetOptions())
     limit = Limit("c:n", Allowance(0.0, 30.0), settle_ms=3_000.0)
     for gateway in world.gateways:
@@ -126,7 +126,7 @@
 
 
 def test_a_windowed_budget_that_is_leased_again_at_once_is_detected() -> None:
-    """A warm-up budget counts sends in a window: leased again at once, it is spent twice in one window."""
+    """A warm-up budget is leased again at once, so its units are spent twice in one window."""
 
     def own_part(self: LimitAccounts, account: LimitAccount, when_ms: float) -> Allowance:
         if when_ms < account.quiet_until_ms:
@@ -139,7 +139,7 @@
 
 
 def test_merging_in_order_of_arrival_is_detected() -> None:
-    """Gateways let the record that arrives last overwrite the newest one."""
+    """Gateways overwrite the newest record with the one that arrives last."""
 
     def merge(self: HealthGossip, record: HealthRecord, wall_ms: float) -> bool:
         if record.expires_ms <= wall_ms or record in set(self):
@@ -157,7 +157,7 @@
 
 
 def test_the_checkers_measure_what_exceeds_a_limit() -> None:
-    """Spends within a limit pass; those beyond its rate, its burst or its window are measured."""
+    """Spends within a limit pass; the excess over its rate, its burst or its window is measured."""
     limit = Limit("v", Allowance(10.0, 5.0))
     spends = [Spend(at, 0, "v", 5.0) for at in (0.0, 500.0, 1_000.0)]
     assert overshoot(spends, limit) == 0.0
@@ -172,10 +172,10 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_message_rate_is_independent_of_fleet_size_and_records_spread_in_time(loss: float) -> None:
-    """Operators eject nodes in fleets of 5 and of 30 gateways, without and with 30 % loss.
+    """Operators eject nodes in fleets of 5 and of 30 gateways, with message loss of 0 % and 30 %.
 
-    The larger fleet sends less than twice the messages of each gateway, every record reaches all gateways in
-    time, and the limit is used and not exceeded.
+    Gateways of the larger fleet send less than twice as many messages as those of the smaller one.  Every
+    record reaches all gateways in time, and the limit is used and not exceeded.
     """
     small, large = measure_size(5, 1, loss, news=3), measure_size(30, 1, loss, news=3)
     assert large.messages_a_second < 2.0 * small.messages_a_second
--- a/tests/fleet/test_fleet_process.py
+++ b/tests/fleet/test_fleet_process.py
@@ -1,4 +1,4 @@
-"""Real gateway processes that share a limit and health records, with faults on the links between them."""
+"""Tests with real gateway processes that share a limit and health records, with faults on their links."""
 
 from __future__ import annotations
 
@@ -26,22 +26,23 @@
     ],
 )
 def test_five_processes_uphold_their_guarantees(faults: str, carrier: str) -> None:
-    """Five gateways serve load while links are cut, the lease holder pauses or the granter is killed.
+    """Five gateways serve load while links are cut, the lease holder is paused or the granter is killed.
 
-    All guarantees hold, the limit was used, and at the end all five see each other.
+    All guarantees hold, the limit is used, and at the end all five gateways are members of each other's
+    fleet.
     """
     out = asyncio.run(fleet_scenarios.run(5, SECONDS, 1, scenario.load(faults), carrier))
     assert out.kept, "\n".join([*out.course, *out.lines()])
-    named = [each.name for each in out.guarantees]
-    assert named == ["over the strict limit", "staleness of the ban of n4", "writes run twice", "unanswered"]
-    assert out.figures["units_limited"] > fleet_testbed.LIMIT.rate * SECONDS / 4  # and it was used
+    names = [guarantee.name for guarantee in out.guarantees]
+    assert names == ["over the strict limit", "staleness of the ban of n4", "writes run twice", "unanswered"]
+    assert out.figures["units_limited"] > fleet_testbed.LIMIT.rate * SECONDS / 4  # the limit was used
     for stats in out.figures["stats"].values():
         assert stats["edge.fleet.members"] == 5
         assert stats["edge.fleet.received"] > 0
 
 
 def run_fleet_command(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run the laboratory's command for fleets of real processes."""
+    """Run the laboratory command for fleets of real processes."""
     return subprocess.run(
         [sys.executable, "-m", "shaletiller.lab", "fleet", *arguments],
         cwd=ROOT,
@@ -52,13 +53,13 @@
 
 
 def test_the_command_reports_its_findings_and_exits_with_the_result(tmp_path: Path) -> None:
-    """The laboratory's command runs with valid faults and with unknown ones: exit codes 0 and 2."""
+    """The laboratory command exits with 0 if all guarantees hold, and with 2 if a fault is unknown."""
     path = tmp_path / "out.json"
     found = run_fleet_command("--gateways", "3", "--seconds", "6", "--json", str(path))
     assert found.returncode == 0, found.stdout + found.stderr
     report = json.loads(path.read_text())
     assert report["kept"]
-    assert all(each["kept"] for each in report["guarantees"])
+    assert all(guarantee["kept"] for guarantee in report["guarantees"])
     assert "over the strict limit" in found.stdout
     wrong = run_fleet_command("--faults", "nonsense")
     assert wrong.returncode == 2
@@ -66,7 +67,7 @@
 
 
 def test_a_violated_guarantee_fails_the_run() -> None:
-    """One guarantee holds and one is violated: the run fails, and its lines show which."""
+    """One guarantee holds and one is violated; the run fails, and its lines show which one."""
     out = Outcome("x", 1, [Guarantee("a", 1.0, 1.0), Guarantee("b", 0.95, 0.94, "at least")])
     assert not out.kept
     assert [line[:2] for line in out.lines()] == ["ok", "!!"]
@@ -74,7 +75,7 @@
 
 
 def test_only_a_violated_guarantee_prints_its_violations() -> None:
-    """Guards against failures of a scenario of which nobody can say which request it was."""
+    """Guards against scenario failures whose requests cannot be identified."""
     kept = Guarantee("a", 1.0, 1.0, violations=("request r1",))
     violated = Guarantee("b", 0.0, 1.0, violations=("request r2",))
     lines = list(Outcome("x", 1, [kept, violated]).lines())
