--- a/shaletiller/fleet/broadcast_queue.py
+++ b/shaletiller/fleet/broadcast_queue.py
@@ -63,7 +63,7 @@
         self._levels[0][key] = payload
         self._level_of[key] = 0
 
-    def take(self, max_bytes: int, max_updates: int) -> list[bytes]:
+    def next_batch(self, max_bytes: int, max_updates: int) -> list[bytes]:
         """Select updates for one message, and increment their transmission counts.
 
         :param max_bytes: space left in the message.
--- a/shaletiller/fleet/codec.py
+++ b/shaletiller/fleet/codec.py
@@ -266,7 +266,7 @@
         """
         try:
             envelope = self._decode(data)
-            self._check_head(envelope, wall_ms)
+            self._check_header(envelope, wall_ms)
             messages = self._decode_messages(envelope)
             self._check_replay(envelope)
         except EnvelopeError as error:
@@ -280,7 +280,7 @@
         except _DECODE_ERRORS as error:
             raise EnvelopeError(self._decode_failure(data)) from error
 
-    def _check_head(self, envelope: Envelope, wall_ms: float) -> None:
+    def _check_header(self, envelope: Envelope, wall_ms: float) -> None:
         if envelope.version != VERSION:
             raise EnvelopeError("version")
         if envelope.group != self._group:
@@ -318,8 +318,8 @@
         An envelope of another version may have other fields, so it is distinguished from a malformed one.
         """
         try:
-            head = _ARRAY_DECODER.decode(data)
-            same_version = not head or msgspec.msgpack.decode(head[0], type=int) == VERSION
+            fields = _ARRAY_DECODER.decode(data)
+            same_version = not fields or msgspec.msgpack.decode(fields[0], type=int) == VERSION
         except _DECODE_ERRORS:
             return "malformed"
         return "malformed" if same_version else "version"
--- a/shaletiller/fleet/coordinator.py
+++ b/shaletiller/fleet/coordinator.py
@@ -50,10 +50,10 @@
     def set_ejected(self, node: str, is_ejected: bool) -> None:
         """Apply an operator's command from another gateway: eject a node, or end its ejection."""
 
-    def restart_node(self, node: str, started_ms: float) -> None:
+    def on_node_restart(self, node: str, started_ms: float) -> None:
         """Handle a restart of a node that another gateway's endpoint list reports."""
 
-    def receive_departure(self, node: str, incarnation: int, departure: Departure) -> None:
+    def on_node_departure(self, node: str, incarnation: int, departure: Departure) -> None:
         """Handle the departure state of a node in another gateway's endpoint list."""
 
 
@@ -99,27 +99,27 @@
         self._now_ms = now_ms
         self._preceding = []
         if isinstance(event, Request):
-            self._on_request(event)
+            self._handle_request(event)
         elif isinstance(event, AttemptEnded):
-            self._observer.on_attempt_ended(event, now_ms)
+            self._observer.handle_attempt_ended(event, now_ms)
         elif isinstance(event, EndpointListUpdate):
-            self._observer.on_list_update(event, now_ms)
+            self._observer.handle_list_update(event, now_ms)
         preceding, self._preceding = self._preceding, None
         return preceding
 
-    def _on_request(self, request: Request) -> None:
+    def _handle_request(self, request: Request) -> None:
         plan = next((plan for plan in self._settings.plans if plan.name == request.plan), None)
         if plan is not None and plan.limit_rate > 0:
             limit = Allowance(plan.limit_rate, plan.limit_burst)
             is_available = self._policies.get(plan.name, "strict") == "available"
-            even_part = limit.scaled(1 / max(1, request.volume_gateways)) if is_available else NO_ALLOWANCE
+            equal_share = limit.scaled(1 / max(1, request.volume_gateways)) if is_available else NO_ALLOWANCE
             self.fleet.record_demand(
                 f"{VOLUME_PREFIX}{request.volume}",
                 limit,
                 request.units,
                 self._settings.max_units,
                 self._now_ms,
-                partitioned_allowance=even_part,
+                partitioned_allowance=equal_share,
             )
         warming = self._observer.warming_node(request.shard, self._now_ms)
         if warming is not None and self._shares_warm_up_budgets:
@@ -172,7 +172,7 @@
         self._now_ms = now_ms
         self.fleet.tick(now_ms)
         if self.fleet.connected:
-            self.fleet.health.extend(
+            self.fleet.health.extend_expiry(
                 HealthKind.EJECTED, now_ms + EJECTION_LIFETIME_MS / 2, now_ms + EJECTION_LIFETIME_MS, now_ms
             )
 
@@ -218,13 +218,13 @@
         agreed = self.fleet.agreed_health(node, HealthKind.WARMING_UP, self._now_ms)
         incarnation = self._observer.incarnation_of(node)
         if incarnation is not None and agreed is not None and agreed.incarnation > incarnation:
-            self._gateway.restart_node(node, float(agreed.incarnation))
+            self._gateway.on_node_restart(node, float(agreed.incarnation))
 
     def _on_departure(self, node: str) -> None:
         record = self.fleet.health.departure_record(node)
         departure = Departure.from_value(record.value) if record is not None else None
         if record is not None and departure is not None:
-            self._gateway.receive_departure(node, record.incarnation, departure)
+            self._gateway.on_node_departure(node, record.incarnation, departure)
 
     def member_changed(self, member: int, before: MemberState, after: MemberState) -> None:
         """Ignore state changes of members: they affect the choice of granters, but not the scheduler."""
@@ -248,7 +248,7 @@
             "fleet.superseded": int(fleet.membership.superseded),
             "fleet.limits": len(quotas),
             "fleet.leases": sum(bool(quota.steps) for quota in quotas),
-            "fleet.granting": len(fleet.leases.granted()),
+            "fleet.granting": len(fleet.leases.granted_totals()),
             "fleet.verdicts": len(records),
             **{
                 f"fleet.verdicts.{name}": sum(record.kind == kind and record.value > 0 for record in records)
--- a/shaletiller/fleet/core.py
+++ b/shaletiller/fleet/core.py
@@ -196,7 +196,7 @@
     def agreed_health(self, node: str, kind: HealthKind, now_ms: float) -> HealthSummary | None:
         """Return the summary of the records about a node, or `None` if they have no quorum of observers."""
         quorum = 1 if kind in SINGLE_OBSERVER_KINDS else self.options.quorum
-        return self.health.with_quorum(node, kind, quorum, now_ms)
+        return self.health.quorum_summary(node, kind, quorum, now_ms)
 
     def record_demand(
         self,
@@ -248,7 +248,7 @@
         self.membership.record_contact(envelope.sender, envelope.incarnation, now_ms)
         for message in received.messages:
             self._dispatch(envelope.sender, envelope.incarnation, message)
-        self._complete()
+        self._finish_step()
 
     def _dispatch(self, sender: int, incarnation: int, message: AnyMessage) -> None:
         if isinstance(message, LeaseMessage):
@@ -287,7 +287,7 @@
         self.leases.tick(now_ms)
         if now_ms - self._gossiped_ms >= self.options.gossip_ms:
             self._start_gossip_round()
-        self._complete()
+        self._finish_step()
 
     def stop(self, now_ms: float) -> None:
         """Shut down gracefully: set all quotas to zero and notify the other members."""
@@ -295,7 +295,7 @@
         self.leases.stop(now_ms)
         self.membership.leave()
         self._start_gossip_round()
-        self._complete()
+        self._finish_step()
 
     def _enqueue(self, member: int, message: AnyMessage) -> None:
         if member == self.me:
@@ -318,7 +318,7 @@
         for member in self._random.sample(others, min(self.options.fanout, len(others))):
             self._outgoing.setdefault(member, [])
 
-    def _complete(self) -> None:
+    def _finish_step(self) -> None:
         """Set all quotas to zero if a newer process runs as this member, then send queued messages."""
         if self.membership.superseded and not self.leases.stopped:
             self.leases.stop(self._now_ms)
@@ -350,7 +350,7 @@
                 batch, free = [], capacity
             batch.append(payload)
             free -= len(payload)
-        batch += self.broadcasts.take(free, codec.MAX_MESSAGES - len(batch))
+        batch += self.broadcasts.next_batch(free, codec.MAX_MESSAGES - len(batch))
         if batch:
             self._send_datagram(member, batch)
 
--- a/shaletiller/fleet/health_gossip.py
+++ b/shaletiller/fleet/health_gossip.py
@@ -199,7 +199,9 @@
             if key.kind == HealthKind.EJECTED and record.value > 0 and record.expires_ms > wall_ms
         )
 
-    def with_quorum(self, node: str, kind: HealthKind, quorum: int, wall_ms: float) -> HealthSummary | None:
+    def quorum_summary(
+        self, node: str, kind: HealthKind, quorum: int, wall_ms: float
+    ) -> HealthSummary | None:
         """Aggregate the records of one kind about a node.
 
         :param quorum: number of distinct observers required.
@@ -297,7 +299,7 @@
                 node: incarnation for node, incarnation in self._incarnations.items() if node in nodes
             }
 
-    def extend(self, kind: HealthKind, before_ms: float, expires_ms: float, wall_ms: float) -> None:
+    def extend_expiry(self, kind: HealthKind, before_ms: float, expires_ms: float, wall_ms: float) -> None:
         """Extend the lifetimes of the records of one kind that expire before `before_ms`.
 
         The records keep their timestamps, so that a record published later still wins.
--- a/shaletiller/fleet/leases/accounts.py
+++ b/shaletiller/fleet/leases/accounts.py
@@ -35,10 +35,11 @@
     """A member's account of one limit.
 
     :param limit: limit of the entire fleet.
-    :param own_part: fixed share of the limit that this member owns.
+    :param own_share: fixed share of the limit that this member owns.
     :param settle_ms: length of the window in which spent units count, or 0 for a rate limit.
     :param max_request_units: number of units of the largest request.
-    :param quiet_until_ms: time before which the own share is unavailable, because it may still be pledged.
+    :param unavailable_until_ms: time before which the own share is unavailable, because it may still be
+        pledged.
     :param demand: rate of the units requested, including rejected requests.
     :param pledged: allowances that this member has pledged.
     :param pledged_to: granter that received the latest pledge.
@@ -50,10 +51,10 @@
     """
 
     limit: Allowance
-    own_part: Allowance
+    own_share: Allowance
     settle_ms: float
     max_request_units: float
-    quiet_until_ms: float
+    unavailable_until_ms: float
     demand: DecayingRate
     pledged: ExpiringAllowances = field(default_factory=ExpiringAllowances)
     pledged_to: GranterId | None = None
@@ -128,27 +129,29 @@
     def _new_account(
         self, previous: LimitAccount | None, allowance: Allowance, settle_ms: float, now_ms: float
     ) -> LimitAccount:
-        quiet_until_ms = self._started_ms + self._timing.pledge_wait_ms + settle_ms
+        unavailable_until_ms = self._started_ms + self._timing.pledge_wait_ms + settle_ms
         account = LimitAccount(
             limit=allowance,
-            own_part=allowance.scaled(1 / self._members),
+            own_share=allowance.scaled(1 / self._members),
             settle_ms=settle_ms,
             max_request_units=0.0,
-            quiet_until_ms=quiet_until_ms,
+            unavailable_until_ms=unavailable_until_ms,
             demand=DecayingRate(memory_ms=DEMAND_MEMORY_MS),
             last_used_ms=now_ms,
         )
         if previous is not None:
             # The limit was reconfigured: pledges and leases of the old value must expire first.
-            account.quiet_until_ms = max(quiet_until_ms, now_ms + self._timing.pledge_wait_ms + settle_ms)
+            account.unavailable_until_ms = max(
+                unavailable_until_ms, now_ms + self._timing.pledge_wait_ms + settle_ms
+            )
             account.demand, account.max_request_units = previous.demand, previous.max_request_units
         return account
 
-    def own_part(self, account: LimitAccount, when_ms: float) -> Allowance:
+    def available_share(self, account: LimitAccount, when_ms: float) -> Allowance:
         """Return the member's own share minus its pledges."""
-        if when_ms < account.quiet_until_ms or self.stopped:
+        if when_ms < account.unavailable_until_ms or self.stopped:
             return NO_ALLOWANCE
-        return account.own_part.minus(account.pledged.at(when_ms - account.settle_ms))
+        return account.own_share.minus(account.pledged.at(when_ms - account.settle_ms))
 
     def quota(self, account: LimitAccount, now_ms: float) -> Quota:
         """Return the currently available own share, plus each lease until it expires.
@@ -157,7 +160,7 @@
         """
         if self.stopped:
             return Quota()
-        own = self.own_part(account, now_ms)
+        own = self.available_share(account, now_ms)
         if account.partitioned_allowance != NO_ALLOWANCE and not self._is_connected():
             own = own.maximum(account.partitioned_allowance)
         expiries = sorted(expiry for expiry in set(account.leased.expiries()) if expiry > now_ms)
@@ -177,7 +180,7 @@
 
     def shortage(self, account: LimitAccount, now_ms: float) -> Allowance | None:
         """Return what the member needs beyond its own share, or `None` if that covers the demand."""
-        needed, own = account.needed(now_ms), self.own_part(account, now_ms)
+        needed, own = account.needed(now_ms), self.available_share(account, now_ms)
         return needed.minus(own) if needed.exceeds(own) else None
 
     def prune(self, account: LimitAccount, now_ms: float) -> None:
--- a/shaletiller/fleet/leases/election.py
+++ b/shaletiller/fleet/leases/election.py
@@ -18,7 +18,7 @@
         """
         self.me = me
         self._alive = alive
-        self._cached_for: tuple[int, ...] = ()
+        self._cached_members: tuple[int, ...] = ()
         self._granters: dict[str, int] = {}
 
     def alive(self) -> tuple[int, ...]:
@@ -28,8 +28,8 @@
     def granter_of(self, limit: str) -> int:
         """Return the granter of a limit, or this member itself if no member is known to be alive."""
         alive = self._alive()
-        if alive is not self._cached_for:
-            self._cached_for, self._granters = alive, {}
+        if alive is not self._cached_members:
+            self._cached_members, self._granters = alive, {}
         granter = self._granters.get(limit)
         if granter is None:
             found = highest_ranked(limit, alive)
--- a/shaletiller/fleet/leases/granter.py
+++ b/shaletiller/fleet/leases/granter.py
@@ -22,7 +22,7 @@
 # a predecessor are dated by its clock.  It is far above the error of time synchronization.
 MAX_CLOCK_SKEW_MS = 1_000.0
 # Holder number for the leases of a granter's predecessor; no member has this number.
-PREDECESSOR = -1
+PREDECESSOR_HOLDER = -1
 # Ratio of the collected pledges to the requested rate.  A larger value sends more pledge requests than
 # needed; with a smaller value, holders receive too little when demand grows before the next round.
 COLLECTION_MARGIN = 1.1
@@ -218,9 +218,9 @@
         return now_ms + self._timing.lease_wait_ms
 
     @staticmethod
-    def _sum(parts: dict[int, ExpiringAllowances], when_ms: float) -> Allowance:
+    def _sum(allowances_by_member: dict[int, ExpiringAllowances], when_ms: float) -> Allowance:
         total = NO_ALLOWANCE
-        for allowances in parts.values():
+        for allowances in allowances_by_member.values():
             total = total.plus(allowances.at(when_ms))
         return total
 
@@ -252,14 +252,14 @@
         demand = self._total_demand(pool, now_ms)
         if demand == NO_ALLOWANCE or self._election.granter_of(limit) != self._election.me:
             return
-        own_part = pool.limit.scaled(1 / self._members)
+        own_share = pool.limit.scaled(1 / self._members)
         expected = NO_ALLOWANCE
         for owner in self._owners_by_pledge(pool):
             if expected.rate >= COLLECTION_MARGIN * demand.rate and expected.burst >= demand.burst:
                 return
             pledges = pool.pledged.setdefault(owner, ExpiringAllowances())
             pledges.prune(now_ms)
-            expected = expected.plus(pledges.at(now_ms) if pledges.entries else own_part)
+            expected = expected.plus(pledges.at(now_ms) if pledges.entries else own_share)
             self._renew_pledge(limit, pool, owner, now_ms)
 
     def _total_demand(self, pool: LimitPool, now_ms: float) -> Allowance:
@@ -290,7 +290,7 @@
         pool.pledge_requested_ms[owner] = now_ms
         request = PledgeRequest(
             limit,
-            self._requests.issue(now_ms),
+            self._requests.issue_nonce(now_ms),
             *to_wire(pool.limit),
             int(pool.settle_ms),
             *pool.table.previous_granter,
@@ -320,7 +320,7 @@
         table = pool.table
         table.is_acquiring, table.is_acquired, table.previous_granter = False, True, previous or NO_GRANTER
         end_ms = min(self._lease_end_ms(now_ms), self._lease_end_ms(written_ms + MAX_CLOCK_SKEW_MS))
-        predecessor = pool.leased.setdefault(PREDECESSOR, ExpiringAllowances())
+        predecessor = pool.leased.setdefault(PREDECESSOR_HOLDER, ExpiringAllowances())
         predecessor.add(end_ms + pool.settle_ms, leased)
         self._collect_pledges(limit, pool, now_ms)
 
--- a/shaletiller/fleet/leases/holder.py
+++ b/shaletiller/fleet/leases/holder.py
@@ -61,7 +61,7 @@
         account.last_lease_request_ms = now_ms
         request = LeaseRequest(
             limit,
-            self._requests.issue(now_ms),
+            self._requests.issue_nonce(now_ms),
             *to_wire(shortage),
             *to_wire(account.limit),
             int(account.settle_ms),
--- a/shaletiller/fleet/leases/manager.py
+++ b/shaletiller/fleet/leases/manager.py
@@ -93,7 +93,7 @@
         """Return the granter of a limit in this member's view of the membership."""
         return self._election.granter_of(limit)
 
-    def granted(self) -> dict[str, PoolTotals]:
+    def granted_totals(self) -> dict[str, PoolTotals]:
         """Return the totals of pledges and leases at the last tick, by limit that this member grants."""
         return self._granter.totals(self._ticked_ms)
 
--- a/shaletiller/fleet/leases/owner.py
+++ b/shaletiller/fleet/leases/owner.py
@@ -41,7 +41,7 @@
             return
         account = self._accounts.open(request.limit, limit, float(request.settle_ms), now_ms)
         account.last_used_ms = now_ms
-        if self._accounts.stopped or now_ms < account.quiet_until_ms:
+        if self._accounts.stopped or now_ms < account.unavailable_until_ms:
             return
         may_pledge = self._has_fenced(account, request) or self._may_pledge(account, granter, now_ms)
         if may_pledge and self._election.granter_of(request.limit) == granter.member:
@@ -73,7 +73,7 @@
     def _pledge(
         self, account: LimitAccount, granter: GranterId, request: PledgeRequest, now_ms: float
     ) -> None:
-        rate, burst = to_wire(account.own_part.minus(self._reserved(account, now_ms)))
+        rate, burst = to_wire(account.own_share.minus(self._reserved(account, now_ms)))
         account.pledged_to = granter
         account.pledged.add(now_ms + self._timing.pledge_wait_ms, from_wire(rate, burst))
         # Published before the pledge is sent, because this member must not spend what may be lent out.
@@ -86,7 +86,7 @@
         """Return the portion of its own share that the member keeps."""
         spent = account.units_in_window(now_ms)
         minimum = Allowance(
-            RESERVED_FRACTION * account.own_part.rate,
-            max(spent, min(account.max_request_units, account.own_part.burst)),
+            RESERVED_FRACTION * account.own_share.rate,
+            max(spent, min(account.max_request_units, account.own_share.burst)),
         )
         return minimum.maximum(account.needed(now_ms))
--- a/shaletiller/fleet/leases/requests.py
+++ b/shaletiller/fleet/leases/requests.py
@@ -11,7 +11,7 @@
         self._last_nonce = 0
         self._sent_ms: dict[int, float] = {}
 
-    def issue(self, now_ms: float) -> int:
+    def issue_nonce(self, now_ms: float) -> int:
         """Return the nonce for a request that is sent now."""
         self._last_nonce += 1
         self._sent_ms[self._last_nonce] = now_ms
--- a/shaletiller/fleet/membership.py
+++ b/shaletiller/fleet/membership.py
@@ -272,8 +272,8 @@
         if incarnation > peer.incarnation:
             self._set_state(member, MemberState.ALIVE, incarnation, 0, now_ms)
             return
-        is_doubted = peer.state >= MemberState.SUSPECT and incarnation == peer.incarnation
-        if is_doubted and now_ms - peer.last_notified_ms >= self.timing.ack_ms:
+        is_suspect_or_dead = peer.state >= MemberState.SUSPECT and incarnation == peer.incarnation
+        if is_suspect_or_dead and now_ms - peer.last_notified_ms >= self.timing.ack_ms:
             peer.last_notified_ms = now_ms
             self._send(member, Rumor(member, peer.state, peer.incarnation, peer.refutations))
 
@@ -312,8 +312,8 @@
     def _on_rumor_about_self(self, sender: int, rumor: Rumor) -> None:
         """Refute a suspicion of this member, again if needed: an earlier refutation may have been lost."""
         self.superseded = self.superseded or rumor.incarnation > self.incarnation
-        is_doubted = rumor.state >= MemberState.SUSPECT and rumor.incarnation == self.incarnation
-        if is_doubted and not self.has_left:
+        is_suspect_or_dead = rumor.state >= MemberState.SUSPECT and rumor.incarnation == self.incarnation
+        if is_suspect_or_dead and not self.has_left:
             self.refutations = max(self.refutations, rumor.refutations + 1)
             refutation = Rumor(self.me, MemberState.ALIVE, self.incarnation, self.refutations)
             self._broadcast(refutation)
--- a/shaletiller/fleet/node_observer.py
+++ b/shaletiller/fleet/node_observer.py
@@ -80,7 +80,7 @@
     def _is_warming(self, started_ms: float, now_ms: float) -> bool:
         return started_ms > 0 and now_ms - started_ms < self._settings.slow_start_ms
 
-    def on_list_update(self, update: EndpointListUpdate, now_ms: float) -> None:
+    def handle_list_update(self, update: EndpointListUpdate, now_ms: float) -> None:
         """Apply an update of the endpoint list, and publish which nodes are warming up."""
         if update.kind is UpdateKind.FAILED:
             return
@@ -89,9 +89,9 @@
             self._nodes = {name: node for name, node in self._nodes.items() if name in listed}
             self._warming = {shard: node for shard, node in self._warming.items() if node.name in listed}
         for entry in update.entries:
-            self._on_entry(entry, now_ms)
+            self._handle_entry(entry, now_ms)
 
-    def _on_entry(self, entry: EndpointEntry, now_ms: float) -> None:
+    def _handle_entry(self, entry: EndpointEntry, now_ms: float) -> None:
         if entry.state is EndpointState.GONE:
             self._nodes.pop(entry.node, None)
             return
@@ -105,25 +105,27 @@
                 entry.node, HealthKind.WARMING_UP, incarnation, 1, remaining_ms, now_ms
             )
 
-    def on_attempt_ended(self, attempt: AttemptEnded, now_ms: float) -> None:
+    def handle_attempt_ended(self, attempt: AttemptEnded, now_ms: float) -> None:
         """Update the failure counters and the latency of the node, and publish the resulting statements."""
         node = self._nodes.get(attempt.node)
         if node is None:
             return
-        self._count(node, attempt)
+        self._record_outcome(node, attempt)
         is_unreachable = node.failures >= FAILURE_THRESHOLD
-        self._update(
+        self._publish_statement(
             attempt.node, HealthKind.UNREACHABLE, int(is_unreachable), UNREACHABLE_LIFETIME_MS, now_ms
         )
         if self._settings.peer_message_cost > 0:
             return  # messages have a cost, and no decision depends on the statements below
         is_rejecting = node.rejections >= FAILURE_THRESHOLD
-        self._update(attempt.node, HealthKind.REJECTING, int(is_rejecting), REJECTING_LIFETIME_MS, now_ms)
+        self._publish_statement(
+            attempt.node, HealthKind.REJECTING, int(is_rejecting), REJECTING_LIFETIME_MS, now_ms
+        )
         is_slow = node.latency_ms > SLOW_FACTOR * self._average_latency_ms
         latency_ms = int(node.latency_ms) if is_slow else 0
-        self._update(attempt.node, HealthKind.SLOW, latency_ms, SLOW_LIFETIME_MS, now_ms)
+        self._publish_statement(attempt.node, HealthKind.SLOW, latency_ms, SLOW_LIFETIME_MS, now_ms)
 
-    def _count(self, node: _ObservedNode, attempt: AttemptEnded) -> None:
+    def _record_outcome(self, node: _ObservedNode, attempt: AttemptEnded) -> None:
         if attempt.outcome in UNANSWERED_OUTCOMES:
             node.failures += 1
         elif attempt.outcome is Outcome.OK:
@@ -132,7 +134,9 @@
             self._average_latency_ms = _moving_average(self._average_latency_ms, attempt.latency_ms)
         node.rejections = node.rejections + 1 if attempt.outcome is Outcome.FULL else 0
 
-    def _update(self, name: str, kind: HealthKind, value: int, lifetime_ms: float, now_ms: float) -> None:
+    def _publish_statement(
+        self, name: str, kind: HealthKind, value: int, lifetime_ms: float, now_ms: float
+    ) -> None:
         """Publish a statement, repeating it in time before it expires; a `value` of 0 withdraws it."""
         node = self._nodes[name]
         last_ms = node.published_ms.get(kind)
--- a/shaletiller/net/fleet.py
+++ b/shaletiller/net/fleet.py
@@ -45,7 +45,7 @@
     def __init__(
         self,
         config: Config,
-        part: FleetConfig,
+        fleet_config: FleetConfig,
         engine: Engine,
         clock: Clock,
         on_departure: DepartureHandler,
@@ -53,7 +53,7 @@
         """Create the gateway's member on the transport that the operator file configures.
 
         :param config: configuration of the gateway.
-        :param part: section `fleet` of the operator file.
+        :param fleet_config: section `fleet` of the operator file.
         :param engine: engine that receives the events of the fleet.
         :param clock: clock of the gateway.
         :param on_departure: called with the states of nodes in the endpoint lists of other gateways.
@@ -68,35 +68,37 @@
         self._ticked_ms = clock.now_ms()
         self._late_ticks = 0
         self._on_replication_message: Callable[[bytes], None] | None = None
-        names, me = self._members(config, part)
+        names, me = self._members(config, fleet_config)
         self.coordinator = FleetCoordinator(
             me,
             names,
             clock.now_ms(),
             config.settings,
-            part.options(len(names)),
-            {limit.name: limit.policy for limit in part.limit},
+            fleet_config.options(len(names)),
+            {limit.name: limit.policy for limit in fleet_config.limit},
             self,
             config.seed,
-            self._fleet_name(config, part),
-            part.cold_budgets,
+            self._fleet_name(config, fleet_config),
+            fleet_config.cold_budgets,
         )
-        if part.carrier == "tcp":
-            addresses = [read_address(each.address, f"fleet.member {each.name}") for each in part.member]
+        if fleet_config.carrier == "tcp":
+            addresses = [
+                read_address(entry.address, f"fleet.member {entry.name}") for entry in fleet_config.member
+            ]
             self._links = Links(me, addresses, self.receive, config.seed)
 
     @staticmethod
-    def _fleet_name(config: Config, part: FleetConfig) -> str:
+    def _fleet_name(config: Config, fleet_config: FleetConfig) -> str:
         """Return the name by which members of the same fleet recognize each other.
 
         Gateways that replicate lease tables lend by different rules, so they form a fleet of their own.
         """
         replication = config.operator.replication if config.operator is not None else None
         has_tables = replication is not None and replication.on and replication.lease_tables
-        return f"{part.name}+tables" if has_tables else part.name
+        return f"{fleet_config.name}+tables" if has_tables else fleet_config.name
 
     @staticmethod
-    def _members(config: Config, part: FleetConfig) -> tuple[list[str], int]:
+    def _members(config: Config, fleet_config: FleetConfig) -> tuple[list[str], int]:
         """Return the names of all members, and the number of this member.
 
         With the transport `datagrams`, the platform numbers the gateways, and each gateway has its own
@@ -104,14 +106,14 @@
 
         :raises ConfigError: if the settings do not allow datagrams between gateways.
         """
-        if part.carrier == "datagrams":
+        if fleet_config.carrier == "datagrams":
             if not config.settings.peer_messages_allowed or not config.peers:
                 raise ConfigError(
                     "EDGE_OPERATOR: fleet.carrier: the settings do not allow datagrams between gateways"
                 )
             return [str(number) for number in range(len(config.peers))], config.settings.gateway_index
-        names = [member.name for member in part.member]
-        return names, names.index(part.me or config.name)
+        names = [member.name for member in fleet_config.member]
+        return names, names.index(fleet_config.me or config.name)
 
     async def start(
         self, peers: PeerEndpoint, ejections: ManualEjections, announce_ejections: bool = True
@@ -219,10 +221,10 @@
         else:
             self._ejections.remove(node)
 
-    def restart_node(self, node: str, started_ms: float) -> None:
+    def on_node_restart(self, node: str, started_ms: float) -> None:
         """Notify the engine of a restart of a node that another gateway's endpoint list reports."""
         self._engine.note_restart(node, started_ms)
 
-    def receive_departure(self, node: str, incarnation: int, departure: Departure) -> None:
+    def on_node_departure(self, node: str, incarnation: int, departure: Departure) -> None:
         """Handle the departure state of a node in another gateway's endpoint list."""
         self._on_departure(node, incarnation, departure.version, ENDPOINT_STATES[departure.state])
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -201,11 +201,11 @@
     queue = BroadcastQueue(5)
     queue.add("a", b"a")
     queue.add("b", b"b")
-    transmitted = [payload for _ in range(100) for payload in queue.take(1, 1)]
+    transmitted = [payload for _ in range(100) for payload in queue.next_batch(1, 1)]
     assert transmitted.count(b"a") == transmitted.count(b"b") == queue.transmit_limit
     queue.add("c", b"old")
     queue.add("c", b"new")
-    assert queue.take(100, 9) == [b"new"]
+    assert queue.next_batch(100, 9) == [b"new"]
 
 
 # ---- health gossip
@@ -278,8 +278,8 @@
     changed: list[tuple[str, HealthKind]] = []
     gossip = HealthGossip(lambda record: None, lambda node, kind: changed.append((node, kind)))
     gossip.merge(RECORD, INCARNATION)
-    assert gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 1, INCARNATION) is not None
-    assert gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 1, RECORD.expires_ms) is None
+    assert gossip.quorum_summary("s-1", HealthKind.UNREACHABLE, 1, INCARNATION) is not None
+    assert gossip.quorum_summary("s-1", HealthKind.UNREACHABLE, 1, RECORD.expires_ms) is None
     newer = HealthRecord(
         "s-1", HealthKind.WARMING_UP, 1, 6, timestamp_of(INCARNATION), INCARNATION + 60_000, 1
     )
@@ -296,13 +296,13 @@
     """
     for timestamp in range(3):
         gossip.merge(unreachable(2, timestamp, 9_000), INCARNATION)
-    assert gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 2, INCARNATION) is None
+    assert gossip.quorum_summary("s-1", HealthKind.UNREACHABLE, 2, INCARNATION) is None
     gossip.merge(unreachable(3, 0, 4_000), INCARNATION)
-    agreed = gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 2, INCARNATION)
+    agreed = gossip.quorum_summary("s-1", HealthKind.UNREACHABLE, 2, INCARNATION)
     assert agreed is not None
     assert agreed.expires_ms == INCARNATION + 4_000
     gossip.merge(unreachable(3, 1, 9_000, value=0), INCARNATION)
-    assert gossip.with_quorum("s-1", HealthKind.UNREACHABLE, 2, INCARNATION) is None
+    assert gossip.quorum_summary("s-1", HealthKind.UNREACHABLE, 2, INCARNATION) is None
 
 
 def test_any_operators_enable_lifts_any_operators_disable(gossip: HealthGossip) -> None:
@@ -336,7 +336,7 @@
     The extended ejection remains in force, and the later ENABLE still wins although it expires earlier.
     """
     gossip.merge(ejection(0, 10, 1_000, 1), INCARNATION)
-    gossip.extend(HealthKind.EJECTED, INCARNATION + 5_000, INCARNATION + 9_000, INCARNATION)
+    gossip.extend_expiry(HealthKind.EJECTED, INCARNATION + 5_000, INCARNATION + 9_000, INCARNATION)
     assert gossip.ejected_nodes(INCARNATION + 8_000) == {"s-1"}
     gossip.merge(ejection(1, 11, 2_000, 0), INCARNATION)
     assert gossip.ejected_nodes(INCARNATION) == frozenset()
@@ -572,7 +572,7 @@
     return granter
 
 
-def test_a_restarted_member_waits_for_a_term_before_it_spends_its_own_part() -> None:
+def test_a_restarted_member_waits_for_a_term_before_it_spends_its_own_share() -> None:
     """A member restarts and does not know its earlier pledges, which may still be leased to other members.
 
     Its own share is unavailable until all pledges of its previous incarnation have certainly expired.
@@ -694,7 +694,7 @@
 @pytest.mark.parametrize(
     ("partitioned_allowance", "expected_rate"), [(NO_ALLOWANCE, 50.0), (Allowance(80.0, 30.0), 80.0)]
 )
-def test_a_partitioned_member_gets_the_even_part_of_available_limits_only(
+def test_a_partitioned_member_gets_the_equal_share_of_available_limits_only(
     partitioned_allowance: Allowance, expected_rate: float
 ) -> None:
     """A member is partitioned from the majority of the fleet.
--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -37,7 +37,7 @@
 from tests.core.test_engine import CALL, ScriptedUpstream
 from tests.support.scheduler_host import ScriptedGateway, entry, settings
 
-CAPPED = PlanSpec("basic", base_rate=4, reserved_rate=2, limit_rate=10, limit_burst=16)
+LIMITED_PLAN = PlanSpec("basic", base_rate=4, reserved_rate=2, limit_rate=10, limit_burst=16)
 
 
 # ---- the scheduler
@@ -48,7 +48,7 @@
 
     A request is rejected.  After the gateway has received a lease, the next request is sent.
     """
-    gateway = ScriptedGateway(plans=(CAPPED,))
+    gateway = ScriptedGateway(plans=(LIMITED_PLAN,))
     gateway.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0))))
     gateway.run_to(10_000)
     gateway.request("none", units=2, volume_gateways=1)
@@ -66,7 +66,7 @@
 
     A request after the pause is rejected.
     """
-    gateway = ScriptedGateway(plans=(CAPPED,))
+    gateway = ScriptedGateway(plans=(LIMITED_PLAN,))
     lease = ExpiringAllowance(2_000.0, Allowance(10.0, 16.0))
     gateway.handle(QuotaUpdated("v1", Quota(Allowance(0.0, 0.0), (lease,))))
     gateway.run_to(1_900)
@@ -136,10 +136,10 @@
     def set_ejected(self, node: str, is_ejected: bool) -> None:
         self.ejections.append((node, is_ejected))
 
-    def restart_node(self, node: str, started_ms: float) -> None:
+    def on_node_restart(self, node: str, started_ms: float) -> None:
         self.restarts.append((node, started_ms))
 
-    def receive_departure(self, node: str, incarnation: int, departure: Departure) -> None:
+    def on_node_departure(self, node: str, incarnation: int, departure: Departure) -> None:
         self.departures.append((node, incarnation, departure))
 
 
@@ -148,7 +148,7 @@
 
     def __init__(self, **changes: Any) -> None:
         self.network: list[tuple[int, bytes]] = []
-        known = settings(plans=(CAPPED,), slow_start_ms=9_000.0, warm_up_units=40.0, **changes)
+        known = settings(plans=(LIMITED_PLAN,), slow_start_ms=9_000.0, warm_up_units=40.0, **changes)
         self.gateways = [RecordingGateway(self.network, number) for number in range(3)]
         self.gateway = self.gateways[0]
         self.coordinators = [
@@ -329,7 +329,7 @@
 
 # ---- the operator file
 
-GOOD = """
+VALID_OPERATOR_FILE = """
 fleet {
     name "campus"
     member "g0" address="127.0.0.1:7100" zone="a"
@@ -342,7 +342,7 @@
 
 def test_the_operator_file_configures_the_fleet(tmp_path: Path) -> None:
     path = tmp_path / "operator.kdl"
-    path.write_text(GOOD)
+    path.write_text(VALID_OPERATOR_FILE)
     fleet = read_operator_file(path).fleet
     assert fleet.on
     assert [member.name for member in fleet.member] == ["g0", "g1"]
@@ -393,7 +393,7 @@
 ) -> None:
     """An operator file contains a mistake; the error names the file, the line and the key."""
     path = tmp_path / "operator.kdl"
-    path.write_text(GOOD.replace(old, new, 1))
+    path.write_text(VALID_OPERATOR_FILE.replace(old, new, 1))
     with pytest.raises(OperatorFileError) as error:
         read_operator_file(path)
     assert "operator.kdl: " in str(error.value)
@@ -412,7 +412,7 @@
         '"contracts": [{"name": "b"}]}}'
     )
     path = tmp_path / "operator.kdl"
-    path.write_text(GOOD)
+    path.write_text(VALID_OPERATOR_FILE)
     env = {"EDGE_CONFIG": str(config), "EDGE_OPERATOR": str(path)}
     with pytest.raises(ConfigError, match=r"fleet\.me: no member 'g9'"):
         read_config(env)
--- a/tests/fleet/test_fleet_guards.py
+++ b/tests/fleet/test_fleet_guards.py
@@ -56,10 +56,10 @@
 
 def test_an_unchecked_lease_expiry_is_detected() -> None:
     """A gateway does not check the expiry of its leases against the clock, and keeps them too long."""
-    checked = LimitAccounts.quota
+    original = LimitAccounts.quota
 
     def quota(self: LimitAccounts, account: LimitAccount, now_ms: float) -> Quota:
-        return Quota(checked(self, account, now_ms).base.plus(account.leased.at(-1e18)))
+        return Quota(original(self, account, now_ms).base.plus(account.leased.at(-1e18)))
 
     def prune(self: ExpiringAllowances, now_ms: float) -> None:
         self.entries = [entry for entry in self.entries if entry.expires_ms > now_ms - 1_500.0]
@@ -91,14 +91,14 @@
 
 def test_a_restarted_member_that_does_not_wait_is_detected() -> None:
     """A restarted member spends its own share at once, although it had pledged that share before."""
-    waiting = LimitAccounts.own_part
+    original = LimitAccounts.available_share
 
-    def own_part(self: LimitAccounts, account: LimitAccount, when_ms: float) -> Allowance:
-        account.quiet_until_ms = 0.0
-        return waiting(self, account, when_ms)
+    def available_share(self: LimitAccounts, account: LimitAccount, when_ms: float) -> Allowance:
+        account.unavailable_until_ms = 0.0
+        return original(self, account, when_ms)
 
     assert _excess_after_restart() == 0.0
-    with replaced(LimitAccounts, "own_part", own_part):
+    with replaced(LimitAccounts, "available_share", available_share):
         assert _excess_after_restart() > 10.0
 
 
@@ -128,13 +128,13 @@
 def test_a_windowed_budget_that_is_leased_again_at_once_is_detected() -> None:
     """A warm-up budget is leased again at once, so its units are spent twice in one window."""
 
-    def own_part(self: LimitAccounts, account: LimitAccount, when_ms: float) -> Allowance:
-        if when_ms < account.quiet_until_ms:
+    def available_share(self: LimitAccounts, account: LimitAccount, when_ms: float) -> Allowance:
+        if when_ms < account.unavailable_until_ms:
             return NO_ALLOWANCE
-        return account.own_part.minus(account.pledged.at(when_ms))
+        return account.own_share.minus(account.pledged.at(when_ms))
 
     assert _overshoot_of_moved_traffic() == 0.0
-    with replaced(LimitAccounts, "own_part", own_part):
+    with replaced(LimitAccounts, "available_share", available_share):
         assert _overshoot_of_moved_traffic() > 0.0
 
 
