--- a/shaletiller/fleet/coordinator.py
+++ b/shaletiller/fleet/coordinator.py
@@ -181,17 +181,17 @@
         self._now_ms = now_ms
         self.fleet.stop(now_ms)
 
-    # `send` and the `..._changed` methods implement core.FleetListener.
+    # `send` and the `on_..._changed` methods implement core.FleetListener.
 
     def send(self, member: int, data: bytes) -> None:
         """Send a datagram to a member."""
         self._gateway.send(member, data)
 
-    def quota_changed(self, limit: str, quota: Quota) -> None:
+    def on_quota_changed(self, limit: str, quota: Quota) -> None:
         """Notify the scheduler of a new quota."""
         self._emit(QuotaUpdated(limit.partition(":")[2], quota))
 
-    def health_changed(self, node: str, kind: HealthKind) -> None:
+    def on_health_changed(self, node: str, kind: HealthKind) -> None:
         """Evaluate changed records; kinds that are only displayed to operators need no action."""
         if kind is HealthKind.EJECTED:
             self._on_ejection(node)
@@ -226,7 +226,7 @@
         if record is not None and departure is not None:
             self._gateway.on_node_departure(node, record.incarnation, departure)
 
-    def member_changed(self, member: int, before: MemberState, after: MemberState) -> None:
+    def on_member_changed(self, member: int, before: MemberState, after: MemberState) -> None:
         """Ignore state changes of members: they affect the choice of granters, but not the scheduler."""
 
     def _emit(self, event: Event) -> None:
--- a/shaletiller/fleet/core.py
+++ b/shaletiller/fleet/core.py
@@ -81,13 +81,13 @@
     def send(self, member: int, data: bytes) -> None:
         """Send a datagram to a member; it may be lost."""
 
-    def quota_changed(self, limit: str, quota: Quota) -> None:
+    def on_quota_changed(self, limit: str, quota: Quota) -> None:
         """Apply a new quota before this call returns."""
 
-    def health_changed(self, node: str, kind: HealthKind) -> None:
+    def on_health_changed(self, node: str, kind: HealthKind) -> None:
         """Evaluate the records of one kind about a node after they have changed."""
 
-    def member_changed(self, member: int, before: MemberState, after: MemberState) -> None:
+    def on_member_changed(self, member: int, before: MemberState, after: MemberState) -> None:
         """Handle a state change of a member."""
 
 
@@ -153,7 +153,7 @@
         self._writer = codec.EnvelopeWriter(group, me, self.incarnation)
         self.reader = codec.EnvelopeReader(group, me, len(members))
         self.broadcasts = BroadcastQueue(len(members))
-        self.health = HealthGossip(self._broadcast_record, listener.health_changed)
+        self.health = HealthGossip(self._broadcast_record, listener.on_health_changed)
         self.membership = Membership(
             me,
             len(members),
@@ -163,7 +163,7 @@
             send=self._enqueue,
             broadcast=self._broadcast_rumor,
             digest=lambda: self.health.digest,
-            on_change=listener.member_changed,
+            on_change=listener.on_member_changed,
         )
         self.leases = LeaseManager(
             me,
@@ -172,7 +172,7 @@
             now_ms,
             send=self._enqueue,
             alive=self.membership.alive,
-            on_quota_change=listener.quota_changed,
+            on_quota_change=listener.on_quota_changed,
             is_connected=lambda: self.connected,
         )
         self._outgoing: dict[int, list[bytes]] = {}
--- a/shaletiller/lab/virtual_gateway.py
+++ b/shaletiller/lab/virtual_gateway.py
@@ -125,12 +125,12 @@
         """Send a message to another gateway."""
         self.world.transmit(self.number, member, data)
 
-    def quota_changed(self, limit: str, quota: Quota) -> None:
+    def on_quota_changed(self, limit: str, quota: Quota) -> None:
         """Take a new quota, and check it together with those of the others."""
         self.quotas[limit] = quota
         self.world.check_quota_sum(limit)
 
-    def health_changed(self, node: str, kind: HealthKind) -> None:
+    def on_health_changed(self, node: str, kind: HealthKind) -> None:
         """Record that this gateway received a health record."""
         assert self.fleet is not None
         agreed = self.fleet.agreed_health(node, kind, self.clock()) is not None
@@ -138,7 +138,7 @@
             HealthChange(self.world.time.now_ms, self.number, node, kind, agreed)
         )
 
-    def member_changed(self, member: int, before: MemberState, after: MemberState) -> None:
+    def on_member_changed(self, member: int, before: MemberState, after: MemberState) -> None:
         """Ignore changes of the membership: no check is made of them."""
 
     # ---- what arrives
