--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -352,9 +352,9 @@
         self.now_ms = float(INCARNATION)
         self.in_flight: deque[Callable[[], None]] = deque()
         self.cut: set[tuple[int, int]] = set()
-        self.members = [self.make(number, count) for number in range(count)]
+        self.members = [self.create_member(number, count) for number in range(count)]
 
-    def make(self, number: int, count: int) -> Membership:
+    def create_member(self, number: int, count: int) -> Membership:
         def send(receiver: int, message: codec.AnyMessage) -> None:
             def arrive() -> None:
                 member = self.members[receiver]
@@ -434,7 +434,7 @@
     network = MemberNetwork(3)
     network.run(5_000)
     old = network.members[1]
-    network.members[1] = network.make(1, 3)
+    network.members[1] = network.create_member(1, 3)
     network.run(3_000)
     assert network.members[0].incarnation_of(1) == network.members[1].incarnation > old.incarnation
     old.receive(0, codec.Rumor(1, MemberState.ALIVE, network.members[1].incarnation, 0), network.now_ms)
--- a/tests/fleet/test_fleet_gateway.py
+++ b/tests/fleet/test_fleet_gateway.py
@@ -157,7 +157,7 @@
         ]
         self.first, self.second, self.third = self.coordinators
 
-    def meet(self, now_ms: float, *entries: EndpointEntry) -> None:
+    def connect_all(self, now_ms: float, *entries: EndpointEntry) -> None:
         """Send all gateways an endpoint list with these entries, if any, and let them discover each other."""
         for coordinator in self.coordinators:
             if entries:
@@ -229,7 +229,7 @@
 
     The first gateway is notified when both report the node, and again when one of them withdraws its report.
     """
-    three.meet(0.0, entry())
+    three.connect_all(0.0, entry())
     for n in range(3):
         three.second.events_before(attempt("n1"), 600.0 + n)
     three.deliver(610.0)
@@ -250,7 +250,7 @@
 
     The first gateway applies both commands.
     """
-    three.meet(0.0)
+    three.connect_all(0.0)
     three.second.set_ejected("n1", True, 700.0)
     three.deliver(710.0)
     three.third.set_ejected("n1", False, 1_400.0)
@@ -263,7 +263,7 @@
 
     The first gateway is notified of the new incarnation.
     """
-    three.meet(200.0, entry(started_ms=100.0))
+    three.connect_all(200.0, entry(started_ms=100.0))
     update = EndpointListUpdate(UpdateKind.CHANGES, (entry(started_ms=900.0),))
     three.second.events_before(update, 1_000.0)
     three.deliver(1_010.0)
@@ -274,7 +274,7 @@
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
-    def make(self, services: EngineServices | None = None) -> tuple[Engine, list[Event]]:
+    def create_engine(self, services: EngineServices | None = None) -> tuple[Engine, list[Event]]:
         """Return an engine with one node, and the list of the events that its scheduler handles."""
         engine = Engine(settings(), 1, SettableClock(1_000.0), services)
         engine.update_endpoints(UpdateKind.FULL, 1, (Endpoint(entry(), "a:1", ScriptedUpstream()),))
@@ -295,7 +295,7 @@
             def events_before(self, event: Event, now_ms: float) -> list[Event]:
                 return [QuotaUpdated("v1", Quota())] if isinstance(event, Request) else []
 
-        engine, handled = self.make(QuotaFirst())
+        engine, handled = self.create_engine(QuotaFirst())
         engine.submit(CALL, lambda answer: None)
         self.assertEqual([type(event) for event in handled], [QuotaUpdated, Request])
 
@@ -308,7 +308,7 @@
                     raise RuntimeError
                 return []
 
-        engine, handled = self.make(Failing())
+        engine, handled = self.create_engine(Failing())
         engine.submit(CALL, lambda answer: None)
         self.assertEqual([type(event) for event in handled], [Request])
 
@@ -317,7 +317,7 @@
 
         The scheduler handles only the first report, and the endpoint list keeps its nodes and addresses.
         """
-        engine, handled = self.make()
+        engine, handled = self.create_engine()
         engine.note_restart("n1", 900.0)
         engine.note_restart("n9", 900.0)
         engine.note_restart("n1", 500.0)
@@ -437,12 +437,12 @@
             server.close()
             await server.wait_closed()
         self.addresses = [("127.0.0.1", port) for port in ports]
-        self.links = [self.make(number) for number in range(2)]
+        self.links = [self.create_links(number) for number in range(2)]
 
-    def make(self, number: int) -> Links:
+    def create_links(self, number: int) -> Links:
         return Links(number, self.addresses, self.received[number].append, number)
 
-    async def until(self, condition: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(10.0):
             while not condition():
                 await asyncio.sleep(0.01)
@@ -457,7 +457,7 @@
         sent = [bytes([number % 250]) * (1 + number * 7) for number in range(200)]
         for data in sent:
             self.links[0].send(1, data)
-        await self.until(lambda: len(self.received[1]) == len(sent))
+        await self.wait_until(lambda: len(self.received[1]) == len(sent))
         self.assertEqual(self.received[1], sent)
 
     async def test_a_link_reconnects_and_delivers_the_newest_messages(self) -> None:
@@ -471,17 +471,17 @@
             self.links[0].send(1, str(number).encode())
         self.assertEqual(self.links[0].dropped, 20)
         await self.links[1].start()
-        await self.until(lambda: len(self.received[1]) == MAX_QUEUED_MESSAGES)
+        await self.wait_until(lambda: len(self.received[1]) == MAX_QUEUED_MESSAGES)
         self.assertEqual(self.received[1][0], b"20")
         self.links[1].close()
-        self.links[1] = self.make(1)
+        self.links[1] = self.create_links(1)
         await self.links[1].start()
 
         def is_resent() -> bool:
             self.links[0].send(1, b"again")
             return b"again" in self.received[1]
 
-        await self.until(is_resent)
+        await self.wait_until(is_resent)
 
     async def test_an_invalid_frame_closes_its_connection_only(self) -> None:
         """Three connections send a frame that is too long, an empty frame and a truncated frame.
@@ -497,7 +497,7 @@
             writer.close()
         await self.links[0].start()
         self.links[0].send(1, b"good")
-        await self.until(lambda: self.received[1] == [b"good"])
+        await self.wait_until(lambda: self.received[1] == [b"good"])
 
 
 def test_a_link_that_is_down_keeps_the_newest_messages() -> None:
