--- a/shaletiller/fleet/codec.py
+++ b/shaletiller/fleet/codec.py
@@ -200,14 +200,14 @@
         :param sender: number of this member.
         :param incarnation: incarnation of this member.
         """
-        self._head = (group, sender, incarnation)
+        self._header = (group, sender, incarnation)
         self._seq = 0
         # Size of the longest header, plus two bytes for the length of the message list.
         self.overhead = len(self._encode(1 << 40, 1 << 62, [])) + 2
 
     def _encode(self, seq: int, timestamp: int, messages: Sequence[bytes]) -> bytes:
         raw = [msgspec.Raw(message) for message in messages]
-        return _ENCODER.encode(Envelope(VERSION, *self._head, seq, timestamp, raw))
+        return _ENCODER.encode(Envelope(VERSION, *self._header, seq, timestamp, raw))
 
     def write(self, timestamp: int, messages: Sequence[bytes]) -> bytes:
         """Encode the next envelope.
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -298,7 +298,7 @@
     for frame in frames:
         gate.fleet.receive(frame)
     fleet = gate.fleet.coordinator.fleet
-    return (fleet._writer._head[0], gate.replication.port.codec._fleet), heard, dict(fleet.reader.dropped)
+    return (fleet._writer._header[0], gate.replication.port.codec._fleet), heard, dict(fleet.reader.dropped)
 
 
 async def fleet_ends(gate):
