--- a/shaletiller/net/replication/__init__.py
+++ b/shaletiller/net/replication/__init__.py
@@ -1,10 +1,10 @@
-"""Replication on the wire and on disk: the links, the store and the engine for `shaletiller.replication`.
+"""Replication adapters: connect `shaletiller.replication` to the links, the store and the engine.
 
-- agent: composition, start and stop, figures.
+- agent: composition, start and stop, metrics.
 - port: messages, timer and persistence of the replication node.
-- storage: opens the store.
+- storage: opening of the store.
 - writes: intents and outcomes of client writes.
-- commands: the operators' ejections and drain.
-- endpoint_lists: the endpoint list cached for a start without discovery.
-- lease_tables: the lease tables of the limits granted here.
+- commands: operator commands, that is ejections and drains.
+- endpoint_lists: the endpoint list, cached for a start without discovery.
+- lease_tables: the lease tables of the limits granted by this gateway.
 """
--- a/shaletiller/net/replication/agent.py
+++ b/shaletiller/net/replication/agent.py
@@ -1,4 +1,4 @@
-"""The replication agent: composes the parts of replication in one gateway, and starts and stops them."""
+"""The replication agent: creates, starts and stops the replication components of one gateway."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 logger = logging.getLogger(__name__)
 
-LOCK_RETRY_S = 0.1  # how often to try a store that the process before this one still has open
+LOCK_RETRY_S = 0.1  # Time between attempts to open a store that another process still has open.
 
 
 class ReplicationAgent:
-    """One gateway's part in replication."""
+    """The replication components of one gateway."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         drain_switch: DrainSwitch,
         list_consumer: EndpointListConsumer,
     ) -> None:
-        """Compose the parts.
+        """Create the components.
 
         :param gateway: name of this gateway.
-        :param drain_switch: set at a start to what the replicas hold.
-        :param list_consumer: given the endpoint lists that were cached, at a start.
+        :param drain_switch: set at a start to the drain state stored on the replicas.
+        :param list_consumer: called at a start with each cached endpoint list.
         """
         settings = operator.replication
         member = fleet.coordinator.fleet
@@ -70,12 +70,12 @@
             member.leases.use_table(self.lease_tables)
         fleet.set_replication_handler(self.port.receive)
 
-    # ---- start and stop
-
     def open(self) -> bool:
-        """Open the store, before anything is served; `start` retries one that another process has open.
+        """Open the store; called before the gateway serves requests.
+
+        If the store cannot be opened, for example because another process has it open, `start` retries.
 
-        :returns: whether it is open.
+        :returns: whether the store is open.
         """
         store = self._opener.open()
         if store is None:
@@ -84,17 +84,19 @@
         writer.start()
         records = [(record.kind, record.key, record.value) for record in store]
         self.port.open(writer, records)
-        logger.info("store: %d records, incarnation %d", len(records), self.node.acceptor.incarnation)
+        logger.info(
+            "store: opened with %d records, incarnation %d", len(records), self.node.acceptor.incarnation
+        )
         self.endpoint_lists.restore_from_store(store)
         return True
 
     async def start(self) -> None:
-        """Start the timer, and the recovery in the background."""
+        """Start the timer, and start recovery in the background."""
         self.port.start()
         self._engine.spawn(self._recover())
 
     async def _recover(self) -> None:
-        """Take over the store, then apply what it and the other replicas hold."""
+        """Open the store if necessary, then apply the state that it and the other replicas hold."""
         while self.port.writer is None:
             await asyncio.sleep(LOCK_RETRY_S)
             if self._closed or self.open():
@@ -102,21 +104,19 @@
         self.commands.apply_local_ejections()
         while not self.node.fully_synced:
             await asyncio.sleep(IDLE_TICK_MS / 1000)
-        logger.info("replication: state transfer complete, this gateway votes on all its keys")
+        logger.info("replication: state transfer complete, this gateway votes on all keys of its groups")
         self.commands.apply_local_ejections()
         self.commands.publish_unreplicated_ejections()
         await self.commands.apply_drain()
         await self.endpoint_lists.restore_from_replicas()
 
     async def close(self) -> None:
-        """Stop the timer, and close the store for the next process."""
+        """Stop the timer and close the store, so that the next process can open it."""
         self._closed = True
         await self.port.close()
 
-    # ---- figures
-
     def figures(self) -> dict[str, int]:
-        """Return the figures of replication and of the store for STATS; see docs/operations.md."""
+        """Return the metrics of replication and of the store for STATS; see docs/operations.md."""
         return {**self._replication_figures(), **self._store_figures()}
 
     def _replication_figures(self) -> dict[str, int]:
--- a/shaletiller/net/replication/commands.py
+++ b/shaletiller/net/replication/commands.py
@@ -1,4 +1,4 @@
-"""Replicated operator commands: ejections of storage nodes, and the drain of this gateway."""
+"""Replicated operator commands: ejections of storage nodes and the drain of this gateway."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 logger = logging.getLogger(__name__)
 
-# Prefixes of register keys: a format of the stores.
+# Prefixes of register keys. They are part of the stored data and must not change.
 EJECTION_PREFIX, DRAIN_PREFIX = "ban:", "drain:"
-COMMAND_TIMEOUT_MS = 2_000.0  # an operator waits for the answer; a majority that is up answers within
-# No request waits for it at a start; the endpoint list is restored after it.
+COMMAND_TIMEOUT_MS = 2_000.0  # An operator waits for the result; a majority that is up replies sooner.
+# Timeout for reading the drain state at a start. No request waits for it, but the endpoint list is restored
+# from the replicas only afterwards.
 RECOVERY_TIMEOUT_MS = 30_000.0
 
 
@@ -28,11 +29,11 @@
     """Drains the gateway's listeners."""
 
     def set_draining(self, draining: bool) -> None:
-        """Report the gateway as draining, or no longer."""
+        """Start or stop draining the gateway."""
 
 
 class ReplicatedCommands:
-    """Commits operator commands to the replicas, and applies at a start what they hold."""
+    """Commits operator commands to the replicas, and applies the stored commands at a start."""
 
     def __init__(
         self,
@@ -43,25 +44,27 @@
         clock: Clock,
         gateway: str,
     ) -> None:
-        """Replicate the commands given at the gateway of this name."""
+        """Create the replication of the commands that operators give at one gateway.
+
+        :param drain_switch: set at a start to the drain state stored on the replicas.
+        :param gateway: name of the gateway.
+        """
         self._port, self._coordinator, self._ejections = port, coordinator, ejections
         self._drain_switch, self._clock, self._gateway = drain_switch, clock, gateway
 
-    # ---- commands given here
-
     async def replicate_ejection(self, node: str) -> None:
-        """Commit the ejection of a storage node, or its end, which is in effect here already.
+        """Commit the ejection of a storage node or its removal, which is already in effect at this gateway.
 
-        :raises NotReplicatedError: if no majority of the replicas has it in time.
+        :raises NotReplicatedError: if no majority of the replicas accepts the command in time.
         """
         record = self._coordinator.fleet.health.ejection_record(node)
         if record is not None:
             await self._commit(f"{EJECTION_PREFIX}{node}", record.value > 0, record.timestamp)
 
     async def replicate_drain(self, drained: bool) -> None:
-        """Commit the drain of this gateway, or its end, which is in effect already.
+        """Commit the drain of this gateway or its removal, which is already in effect.
 
-        :raises NotReplicatedError: if no majority of the replicas has it in time.
+        :raises NotReplicatedError: if no majority of the replicas accepts the command in time.
         """
         stamp = self._coordinator.fleet.clock.now(self._clock.now_ms())
         await self._commit(f"{DRAIN_PREFIX}{self._gateway}", drained, stamp)
@@ -73,10 +76,8 @@
         if not result.committed and result.indeterminate:
             raise NotReplicatedError
 
-    # ---- commands found at a start
-
     def local_ejections(self) -> dict[str, OperatorCommand]:
-        """Return the ejection commands, by storage node, of which this gateway holds a replica."""
+        """Return the ejection commands by storage node of which this gateway holds a replica."""
         commands = {}
         for key, row in self._port.node.acceptor.rows.items():
             command = decode_value(row.value) if key.startswith(EJECTION_PREFIX) else None
@@ -85,9 +86,9 @@
         return commands
 
     def apply_local_ejections(self) -> None:
-        """Apply the local replicas of ejection commands, with the stamps they were given.
+        """Apply the ejection commands of the local replicas, with their original stamps.
 
-        They take precedence over what the process before this one left in its file.
+        They take precedence over the ejections in the file that the previous process wrote.
         """
         now_ms = self._clock.now_ms()
         for node, command in self.local_ejections().items():
@@ -107,12 +108,12 @@
             )
 
     def publish_unreplicated_ejections(self) -> None:
-        """Gossip the ejections that only this gateway's file has."""
+        """Gossip the ejections that are only in this gateway's file."""
         for node in sorted(self._ejections.nodes - self.local_ejections().keys()):
             self._coordinator.set_ejected(node, True, self._clock.now_ms())
 
     async def apply_drain(self) -> None:
-        """Apply the drain of this gateway as the replicas have it."""
+        """Apply the drain state of this gateway that is stored on the replicas."""
         key = f"{DRAIN_PREFIX}{self._gateway}"
         result = await self._port.propose(key, Precondition.READ_ONLY, b"", RECOVERY_TIMEOUT_MS)
         command = decode_value(result.value)
--- a/shaletiller/net/replication/endpoint_lists.py
+++ b/shaletiller/net/replication/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""The cache of the endpoint list, in the store and on the replicas, for a start without discovery."""
+"""Cache of the endpoint list, in the store and on the replicas, for a start without discovery."""
 
 from __future__ import annotations
 
@@ -16,26 +16,34 @@
 
 logger = logging.getLogger(__name__)
 
-# The key of the record in the store, and the prefix of the register: a format of the stores.
+# Key of the record in the store, and prefix of the register's key. They are part of the stored data and must
+# not change.
 LIST_KEY, LIST_PREFIX = b"list", "list:"
-UPDATE_INTERVAL_MS = 1_000.0  # empirical: a list that changes all the time against the load of writing it
-UPDATE_TIMEOUT_MS = 5_000.0  # the next update replaces one that no majority has by then
-RECOVERY_TIMEOUT_MS = 30_000.0  # no request waits for it at a start
-MAX_REPLICATED_BYTES = 1 << 16  # a longer list is cached in the local store only: replicas hold it in memory
+# Minimum time between two writes of the list. A larger value leaves the cache out of date for longer; a
+# smaller value causes more writes if the list changes all the time.
+UPDATE_INTERVAL_MS = 1_000.0
+UPDATE_TIMEOUT_MS = 5_000.0  # An update without a majority is given up; the next update replaces it.
+RECOVERY_TIMEOUT_MS = 30_000.0  # No request waits for the restoration of the list at a start.
+# A larger list is cached only in the local store, because replicas hold their rows in memory.
+MAX_REPLICATED_BYTES = 1 << 16
 
 
 class EndpointListConsumer(Protocol):
-    """Takes an endpoint list that was cached, where nothing newer is known yet."""
+    """Callback for a cached endpoint list, which is used if nothing newer is known yet."""
 
     def __call__(self, cached: ServerList, /) -> None:
-        """Use a cached list."""
+        """Apply a cached list."""
 
 
 class EndpointListCache(PortListener):
-    """Caches the newest list of discovery, and restores it at a start."""
+    """Caches the newest endpoint list of discovery, and restores it at a start."""
 
     def __init__(self, port: ReplicationPort, consumer: EndpointListConsumer, gateway: str) -> None:
-        """Cache the list of the gateway of this name."""
+        """Create a cache for the endpoint list of one gateway.
+
+        :param consumer: called with each restored list.
+        :param gateway: name of the gateway.
+        """
         self._port, self._consumer = port, consumer
         self._register = f"{LIST_PREFIX}{gateway}"
         self._pending: ServerList | None = None
@@ -44,12 +52,12 @@
         port.subscribe(self)
 
     def update(self, endpoints: ServerList) -> None:
-        """Cache the list that discovery has now, soon; an empty one is no use at a start."""
+        """Schedule a list for the next write; an empty list is ignored, as it is of no use at a start."""
         if endpoints.servers:
             self._pending = endpoints
 
     def tick(self, now_ms: float) -> None:
-        """Write the newest list when it is time to; see `PortListener`."""
+        """Write the newest list at most once per `UPDATE_INTERVAL_MS`; see `PortListener`."""
         if self._pending is None or now_ms - self._updated_ms < UPDATE_INTERVAL_MS:
             return
         raw = msgspec.json.encode(self._pending)
@@ -75,13 +83,13 @@
             )
 
     def restore_from_store(self, store: SegmentStore) -> None:
-        """Restore the list of the local store, if it has one."""
+        """Restore the list from the local store, if it has one."""
         raw = store.get(META, LIST_KEY)
         if raw is not None:
             self._restore(raw)
 
     async def restore_from_replicas(self) -> None:
-        """Restore the list of the replicas, if they have one."""
+        """Restore the list from the replicas, if they have one."""
         result = await self._port.propose(self._register, Precondition.READ_ONLY, b"", RECOVERY_TIMEOUT_MS)
         cached = decode_value(result.value)
         if isinstance(cached, CachedEndpointList):
@@ -91,4 +99,4 @@
         try:
             self._consumer(msgspec.json.decode(raw, type=ServerList))
         except msgspec.MsgspecError as error:
-            logger.warning("store: the cached endpoint list is ignored: %s", error)
+            logger.warning("store: cached endpoint list ignored, it cannot be decoded: %s", error)
--- a/shaletiller/net/replication/lease_tables.py
+++ b/shaletiller/net/replication/lease_tables.py
@@ -1,6 +1,7 @@
-"""Storage of lease tables on the replicas, so that a granter's successor need not wait out its leases.
+"""Storage of lease tables on the replicas.
 
-Implements `shaletiller.fleet.leases.LeaseTable`.
+The successor of a granter reads the table instead of waiting until all leases of its predecessor have
+expired. Implements `shaletiller.fleet.leases.LeaseTable`.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 from shaletiller.replication.proposer import Precondition
 from shaletiller.replication.records import LeaseTableRecord, decode_value, pack
 
-LEASE_PREFIX = "lease:"  # of register keys: a format of the stores
-# Under half of the default lease; a table that is not committed by then backs no grant.
+LEASE_PREFIX = "lease:"  # Prefix of register keys. It is part of the stored data and must not change.
+# Less than half of the default lease duration. A table that is not committed by then supports no grant.
 WRITE_TIMEOUT_MS = 400.0
-RETENTION_MS = 600_000.0  # longer than any pledge
+RETENTION_MS = 600_000.0  # Longer than the duration of any pledge.
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,7 +32,7 @@
 
 
 class LeaseTableStorage:
-    """The lease tables of the limits that this gateway grants."""
+    """Reads and writes the lease tables of the limits that this gateway grants."""
 
     def __init__(
         self,
@@ -40,20 +41,27 @@
         clock: Clock,
         spawn: Callable[[Coroutine[Any, Any, None]], object],
     ) -> None:
-        """Store the tables of this member of the fleet.
+        """Create the storage for the lease tables of one member.
 
+        :param member: this member of the fleet.
         :param spawn: runs a coroutine in the background.
         """
         self._port, self._member, self._clock, self._spawn = port, member, clock, spawn
-        self._tables: dict[str, _CommittedTable] = {}  # by limit: what this gateway committed last
+        self._tables: dict[str, _CommittedTable] = {}  # The last table that this gateway committed, by limit.
         self._number = 0
 
     def take_over(self, limit: str) -> None:
-        """Begin to write the table of a limit in this granter's name; `LeaseManager` gets the result."""
+        """Start to take over the table of a limit from its previous granter.
+
+        `LeaseManager` is notified of the result.
+        """
         self._spawn(self._take_over(limit))
 
     def write(self, limit: str, leased: Allowance) -> None:
-        """Begin to write all that this granter has leased of a limit; `LeaseManager` gets the result."""
+        """Start to write the total that this granter has leased of a limit.
+
+        `LeaseManager` is notified of the result.
+        """
         self._spawn(self._write(limit, *to_wire(leased)))
 
     async def _take_over(self, limit: str) -> None:
@@ -63,9 +71,9 @@
             self._member.leases.on_table_written(limit, False, self._clock.now_ms())
 
     async def _replace(self, limit: str, key: str, found: OperationResult) -> bool:
-        """Replace the table of the granter before, with the same amounts.
+        """Replace the table of the previous granter by one of this granter with the same amounts.
 
-        :returns: whether it is committed.
+        :returns: whether the new table is committed.
         """
         stored = decode_value(found.value)
         before = stored if isinstance(stored, LeaseTableRecord) else None
--- a/shaletiller/net/replication/port.py
+++ b/shaletiller/net/replication/port.py
@@ -1,4 +1,4 @@
-"""The port of the replication node: its messages, its timer, and the persistence of its rows."""
+"""The replication port: messages, timer and persistence of the replication node."""
 
 from __future__ import annotations
 
@@ -23,30 +23,32 @@
 
 logger = logging.getLogger(__name__)
 
-BUSY_TICK_MS = 4.0  # while operations are under way: no coarser than the shortest wait of the proposer
-IDLE_TICK_MS = 25.0  # else: state transfer and anti-entropy need no more
-RECORD_RETENTION_MS = 365 * 24 * 3600_000.0  # of operator commands and endpoint lists, which nobody renews
+# Tick interval while operations are in progress, no longer than the shortest wait of the proposer.
+BUSY_TICK_MS = 4.0
+IDLE_TICK_MS = 25.0  # Tick interval otherwise, short enough for state transfer and anti-entropy.
+# Retention of operator commands and endpoint lists, which are not renewed.
+RECORD_RETENTION_MS = 365 * 24 * 3600_000.0
 
 
 class PortListener:
-    """What a user of the port is notified of; this base class ignores everything."""
+    """Callbacks of the port; this base class ignores all of them."""
 
     def operation_finished(self, result: OperationResult, now_ms: float) -> bool:
         """Handle the result of an operation.
 
-        :returns: whether the operation was this listener's.
+        :returns: whether this listener started the operation.
         """
         return False
 
     def effects_carried_out(self) -> None:
-        """Handle that all effects of an event have been carried out."""
+        """Handle the completion of all effects of an event."""
 
     def tick(self, now_ms: float) -> None:
-        """Handle the passing of time, at least every `IDLE_TICK_MS`."""
+        """Handle a tick of the timer; called at least every `IDLE_TICK_MS`."""
 
 
 class ReplicationPort:
-    """Runs a replication node on the links, the clock and the store of a gateway."""
+    """Connects a replication node to the links, the clock and the store of a gateway."""
 
     def __init__(
         self,
@@ -56,12 +58,12 @@
         membership: Membership,
         clock: Clock,
     ) -> None:
-        """Connect a node.
+        """Create a port for a node.
 
-        :param send: sends a frame to a member; it may be lost.
+        :param send: sends a frame to a member; the frame may be lost.
         """
         self.node, self.codec = node, codec
-        self.writer: StoreWriter | None = None  # None until the store is open
+        self.writer: StoreWriter | None = None  # None until the store is open.
         self._send, self._membership, self._clock = send, membership, clock
         self._listeners: list[PortListener] = []
         self._results: dict[int, asyncio.Future[OperationResult]] = {}
@@ -69,13 +71,13 @@
         self._ticks_fast = False
 
     def subscribe(self, listener: PortListener) -> None:
-        """Notify a listener from now on."""
+        """Register a listener for all further callbacks."""
         self._listeners.append(listener)
 
     def open(self, writer: StoreWriter, records: list[tuple[int, bytes, bytes]]) -> None:
-        """Give the node its store.
+        """Connect the node to its store.
 
-        :param records: what the store holds: kind, key and value each.
+        :param records: kind, key and value of each record in the store.
         :raises msgspec.MsgspecError: for a record that cannot be decoded.
         """
         self.writer = writer
@@ -86,14 +88,12 @@
         self._tick()
 
     async def close(self) -> None:
-        """Stop the timer, and close the store once what is queued is committed."""
+        """Stop the timer, and close the store once all queued updates are committed."""
         if self._timer is not None:
             self._timer.cancel()
         if self.writer is not None:
             await self.writer.stop()
 
-    # ---- operations
-
     async def propose(
         self,
         key: str,
@@ -104,12 +104,12 @@
         position: CommitPosition | None = None,
         retention_ms: float = RECORD_RETENTION_MS,
     ) -> OperationResult:
-        """Run an operation on a register.
+        """Run an operation on a register, and wait for its result.
 
-        :param timeout_ms: after which its result is indeterminate.
+        :param timeout_ms: time after which the result is indeterminate.
         :param expected: the bytes that `Precondition.EQUALS` compares with.
-        :param position: where this gateway committed the value that the register holds.
-        :param retention_ms: how long the value is kept.
+        :param position: the position at which this gateway committed the current value of the register.
+        :param retention_ms: time until the value expires.
         """
         now_ms = self._clock.now_ms()
         result: asyncio.Future[OperationResult] = asyncio.get_running_loop().create_future()
@@ -117,23 +117,23 @@
             key, precondition, value, now_ms + retention_ms, now_ms + timeout_ms, now_ms, expected, position
         )
         self._results[operation] = result
-        self.run(lambda: None)  # carries out the effects of the proposal
+        self.run(lambda: None)  # Execute the effects of the proposal.
         return await result
 
     def run(self, call: Callable[[], object]) -> None:
-        """Make a call to the node, and carry out the effects it has."""
+        """Call the node, and execute the effects of the call."""
         try:
             call()
             self._carry_out_effects()
         except Exception:
-            # A fault of replication must not reach the requests that are served without it: it shows as this
-            # line, and the operations concerned end as indeterminate at their deadlines.
-            logger.exception("replication: an event failed, and its effects are lost")
+            # A fault in replication must not affect requests that are served without it. It is logged, and
+            # the operations concerned end as indeterminate at their deadlines.
+            logger.exception("replication: handling of an event failed, its effects are lost")
 
     def group_has_majority(self, key: str) -> bool:
         """Return whether a majority of a key's group may be up.
 
-        A member whose state is not known yet may be: right after a start that is all of them.
+        Members whose state is still unknown, as all are right after a start, are assumed to be up.
         """
         groups, peers = self.node.groups, self._membership.peers
         dead = sum(
@@ -142,10 +142,8 @@
         )
         return groups.replicas - dead >= groups.majority
 
-    # ---- events
-
     def receive(self, data: bytes) -> None:
-        """Handle a frame of another member; an invalid one is counted and dropped."""
+        """Handle a frame from another member; an invalid frame is counted and dropped."""
         found = self.codec.read(data)
         if found is not None:
             sender, message = found
@@ -170,7 +168,7 @@
         for listener in self._listeners:
             listener.effects_carried_out()
         if self.node.busy and not self._ticks_fast and self._timer is not None:
-            self._timer.cancel()  # it was set when no operation was under way
+            self._timer.cancel()  # It was started with the idle interval, before the operation began.
             self._ticks_fast = True
             self._timer = self._clock.call_later(BUSY_TICK_MS, self._tick)
 
--- a/shaletiller/net/replication/storage.py
+++ b/shaletiller/net/replication/storage.py
@@ -1,4 +1,4 @@
-"""Opening the store of a gateway: its lock, and what happens to a damaged one."""
+"""Opens the store of a gateway; handles a locked store and a damaged one."""
 
 from __future__ import annotations
 
@@ -17,30 +17,32 @@
 
 
 class StoreOpener:
-    """Opens the store that the operators' file names."""
+    """Opens the store configured in the operators' file."""
 
     def __init__(self, settings: StoreConfig, clock: Clock) -> None:
-        """Open stores by these settings; nothing is opened yet."""
+        """Create an opener with these settings; nothing is opened yet."""
         self._settings, self._clock = settings, clock
         self._directory = Path(settings.dir)
         self._files = FaultInjectingFileSystem(Path(settings.drill)) if settings.drill else FileSystem()
         self.found_damaged = False
 
     def open(self) -> SegmentStore | None:
-        """Open the store; a damaged one is moved aside, and an empty one filled from the replicas.
+        """Open the store.
 
-        :returns: None while another process has it open, or where the disk does not allow it.
+        A damaged store is moved aside and replaced by an empty one, which is filled from the replicas.
+
+        :returns: the store, or None if another process has it open or the file system reports an error.
         """
         try:
             store = self._open_or_replace()
         except (StoreLockedError, OSError) as error:
             logger.warning(
-                "store: cannot be opened: %s; until it is, this gateway neither votes nor replicates", error
+                "store: cannot be opened, this gateway does not vote until it is: %s", error
             )
             return None
         if store.torn_bytes:
             logger.warning(
-                "store: %d bytes behind the last complete record of %s discarded",
+                "store: discarded %d bytes after the last complete record of %s",
                 store.torn_bytes,
                 store.torn_file,
             )
@@ -54,7 +56,7 @@
             aside = self._directory.with_name(f"{self._directory.name}.damaged-{int(self._clock.now_ms())}")
             self._directory.rename(aside)
             logger.error(
-                "store: damaged: %s; moved to %s, and recovered from the replicas", error, aside.name
+                "store: damaged: %s; moved to %s, a new store is filled from the replicas", error, aside.name
             )
             return self._open()
 
--- a/shaletiller/net/replication/writes.py
+++ b/shaletiller/net/replication/writes.py
@@ -1,4 +1,4 @@
-"""Replicated client writes: between the engine's requests and their intents and outcomes on the replicas."""
+"""Replicated client writes: connects the engine's requests to their intents and outcomes on the replicas."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class WriteReplicator(PortListener):
-    """Delays the writes of replicated classes until their intent is committed, and their answers likewise."""
+    """Delays replicated writes until the intent is committed, and their responses until the outcome is."""
 
     def __init__(
         self,
@@ -40,7 +40,10 @@
         clock: Clock,
         replicated_classes: frozenset[str],
     ) -> None:
-        """Replicate the writes of these classes."""
+        """Create a replicator.
+
+        :param replicated_classes: the request classes whose writes are replicated.
+        """
         self._port, self._writes, self._engine, self._clock = port, writes, engine, clock
         self._replicated_classes = replicated_classes
         self._exchanges: dict[int, Exchange] = {}
@@ -48,9 +51,9 @@
         port.subscribe(self)
 
     def replicate_intent(self, exchange: Exchange) -> bool:
-        """Take over a request whose write is replicated; it is admitted once its intent is committed.
+        """Commit the intent of a write that is replicated, and then admit its request.
 
-        :returns: False for any other request, which the engine admits itself.
+        :returns: False for a request that is not replicated, which the engine admits itself.
         """
         call = exchange.call
         if call.request_class not in self._replicated_classes or not call.write:
@@ -73,13 +76,13 @@
         return True
 
     def _answered(self, number: int, answer: FinalResponse | None) -> None:
-        """Handle the engine's answer to a replicated write; None where its client has disconnected."""
+        """Handle the engine's response to a replicated write, or None if its client has disconnected."""
         exchange = self._exchanges[number]
         if answer is not None and answer.result is FinalResult.SERVED:
             verdict = WriteVerdict.SERVED
         else:
             self._exchanges.pop(number, None)
-            # A rejection may be safe for other reasons than that nothing ran: what is proven is recorded.
+            # A rejection does not prove that nothing ran; `never_ran` does, and only that is recorded.
             verdict = WriteVerdict.REJECTED if exchange.never_ran else WriteVerdict.FAILED
         body = answer.body if answer is not None else b""
         self._port.run(lambda: self._writes.end(number, verdict, body, self._clock.now_ms()))
@@ -89,7 +92,7 @@
         return self._writes.operation_finished(result, now_ms)
 
     def effects_carried_out(self) -> None:
-        """Act on the decisions that the effects have led to."""
+        """Execute the decisions that result from the effects."""
         for decision in self._writes.take_decisions():
             self._decided(decision)
 
@@ -101,7 +104,7 @@
             remaining_ms = exchange.deadline_ms - self._clock.now_ms()
             if remaining_ms > 0:
                 self._engine.admit(exchange, remaining_ms)
-            return  # past its deadline the engine answers it, and the claim is released
+            return  # Past its deadline the engine responds to the request, and the claim is released.
         self._exchanges.pop(decision.number, None)
         if decision.reason:
             logger.warning(
@@ -113,10 +116,10 @@
 
 
 def register_key(call: ClientCall) -> str:
-    """Return the key that the attempts of one write share.
+    """Return the register key of a write, which all its retries share.
 
-    That is its class, its volume, and its idempotency key, or else its own id; hashed where that is
-    too long for a key.
+    The key consists of the class, the volume and the idempotency key, or the request id if there is none. A
+    key that would be too long is replaced by a hash.
     """
     key = f"w:{call.request_class}:{call.volume}:{call.idempotency_key or call.id}"
     return key if len(key) <= MAX_KEY_CHARS else f"w:{xxhash.xxh3_128_hexdigest(key.encode())}"
--- a/shaletiller/replication/acceptor.py
+++ b/shaletiller/replication/acceptor.py
@@ -1,16 +1,17 @@
-"""The acceptor: the replicas one gateway holds, a register for each key, and whether it may vote on them.
-
-Each register is one of CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018): a value
-is committed when a majority of the key's group has accepted it under one ballot and step.  The first round of
-a key is a fast round (Lamport, "Fast Paxos", 2006): any gateway may write to a free register without a
-prepare phase, and its value is committed when all of the group have accepted it.
-
-A store that is lost with its machine must not vote as if it were the store before.  Each store therefore has
-an incarnation, a number that grows; every request names the incarnations of the whole group, and an acceptor
-that knows others replies STALE_INCARNATION (fencing).  A new store votes on a key only once every other
-member of the key's group has noted its incarnation and then transferred all the rows they share
-(state_transfer.py).  A promise of a past incarnation no longer counts, and what that incarnation had
-acknowledged is either with the others, who are queried, or was never committed.
+"""The acceptor: the replicas stored by one gateway, one register per key, and its right to vote on them.
+
+Each register follows CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018): a value
+is committed when a majority of the key's group has accepted it under the same ballot and step. The first
+round of a key is a fast round (Lamport, "Fast Paxos", 2006): any gateway may write to a free register without
+a prepare phase, and the value is committed when every member of the group has accepted it.
+
+A member that lost its store with its machine must not vote as if it still had that store. Each store
+therefore has an incarnation, a number that only increases. Every request names the incarnations of the whole
+group, and an acceptor that knows different ones replies STALE_INCARNATION (fencing). A member with a new
+store votes on a key only after every other member of the key's group has recorded the new incarnation and
+then transferred all the rows that the two members share (state_transfer.py). Promises made by a past
+incarnation no longer count. A value that the past incarnation accepted is either held by other members, which
+are queried, or was never committed.
 """
 
 from __future__ import annotations
@@ -34,29 +35,37 @@
 )
 from shaletiller.store.record_format import RecordUpdate
 
-# Keys of the META records: a format of the store.
+# Keys of the META records. They are part of the store's file format and must not change.
 INCARNATION_KEY, INCARNATIONS_KEY, SYNCED_KEY = b"life", b"lives", b"synced"
 EMPTY_ROW = Row()
-MAX_EXPIRED_AT_ONCE = 500  # empirical: bounds the pause of one tick against the delay of a mass expiry
+# Maximum rows that one tick removes. A larger value makes a tick with many expired rows block for longer; a
+# smaller value takes more ticks to remove them.
+MAX_EXPIRED_AT_ONCE = 500
 
 
 def digest_bucket(key: str) -> int:
-    """Return the anti-entropy bucket of a key; the same at every member and in every version."""
+    """Return the anti-entropy bucket of a key; all members and versions must compute the same one."""
     return xxhash.xxh3_64_intdigest(key.encode()) % DIGEST_BUCKETS
 
 
 def row_digest(key: str, row: Row) -> int:
-    """Hash the version of a row; 0 where nothing has been accepted.  The hashed text is a wire format."""
+    """Hash the version of a row; 0 if nothing has been accepted.
+
+    Members compare these digests over the network, so the hashed text must not change.
+    """
     if row.ballot == NO_BALLOT:
         return 0
     return xxhash.xxh3_64_intdigest(f"({tuple(row.ballot)}, {row.step}) {key}".encode())
 
 
 class Acceptor:
-    """One gateway's registers.  A call returns the reply, and the updates to persist before it is sent."""
+    """The registers of one gateway.
+
+    Each request handler returns a reply and the updates that must be persisted before the reply is sent.
+    """
 
     def __init__(self, member: int, groups: ReplicaGroups) -> None:
-        """Start without a store.
+        """Create an acceptor without a store; see `load` and `start_incarnation`.
 
         :param member: number of this member in the fleet.
         :param groups: the replica groups of the fleet.
@@ -65,20 +74,20 @@
         self.member_count = len(groups.zones)
         self.incarnation = 0
         self.incarnations = [0] * self.member_count
-        self.synced: set[int] = set()  # members that have transferred all shared rows to this incarnation
+        self.synced: set[int] = set()  # Members that have transferred all shared rows to this incarnation.
         self.rows: dict[str, Row] = {}
-        self.metadata_changed = False  # the store does not have the newest incarnations yet
-        self.superseded = False  # the fleet knows a later incarnation: this store is an old copy
+        self.metadata_changed = False  # Whether the store lacks the newest incarnations.
+        self.superseded = False  # Whether the fleet knows a later incarnation: this store is an old copy.
         self._expirations: list[tuple[int, str]] = []
         self.bucket_keys: dict[int, set[str]] = {}
         self.digests: dict[int, list[int]] = {
             other: [0] * DIGEST_BUCKETS for other in range(self.member_count) if other != member
         }
 
-    # ---- the store
-
     def load(self, records: Iterable[tuple[int, bytes, bytes]]) -> None:
-        """Load the records (kind, key, value) of the store at the start.
+        """Load the records of the store when the gateway starts.
+
+        :param records: kind, key and value of each record.
 
         :raises msgspec.MsgspecError: for a record that cannot be decoded.
         """
@@ -100,9 +109,9 @@
             self.synced = set(msgspec.msgpack.decode(value, type=list[int]))
 
     def start_incarnation(self, incarnation: int) -> list[RecordUpdate]:
-        """Begin an incarnation on a new store.
+        """Start an incarnation on a new store.
 
-        :returns: the metadata to persist.
+        :returns: the metadata updates to persist.
         """
         self.incarnation, self.synced = incarnation, set()
         self.incarnations[self.member] = incarnation
@@ -110,7 +119,7 @@
         return self.metadata_updates()
 
     def metadata_updates(self) -> list[RecordUpdate]:
-        """Return the metadata to persist."""
+        """Return the metadata updates to persist, and mark the metadata as unchanged."""
         self.metadata_changed = False
         return [
             RecordUpdate(META, INCARNATION_KEY, pack(self.incarnation)),
@@ -119,12 +128,13 @@
         ]
 
     def observe_incarnations(self, incarnations: dict[int, int]) -> bool:
-        """Note the incarnations, by member, that another member knows.
+        """Record the incarnations known to another member.
 
-        To believe an incarnation before its own member has requested a transfer only fences its predecessor
-        earlier.
+        It is safe to record an incarnation before its member has requested a state transfer: the previous
+        incarnation of that member is merely fenced earlier.
 
-        :returns: whether one of them is new.
+        :param incarnations: the incarnations by member.
+        :returns: whether any of them was unknown here.
         """
         changed = False
         for member, incarnation in incarnations.items():
@@ -135,19 +145,17 @@
         return changed
 
     def incarnations_of(self, key: str) -> tuple[int, ...]:
-        """Return the incarnations of the members of a key's group, in its order."""
+        """Return the incarnations of the members of a key's group, in group order."""
         return tuple(self.incarnations[member] for member in self.groups.members_of(key))
 
     def may_vote(self, key: str) -> bool:
-        """Return whether this member votes on a key: its replica of it is known to be complete."""
+        """Return whether this member may vote on a key: its replica of the key is known to be complete."""
         return not self.superseded and all(
             member == self.member or member in self.synced for member in self.groups.members_of(key)
         )
 
-    # ---- rows
-
     def row(self, key: str, now_ms: float) -> Row:
-        """Return the row of a key; an expired row is an empty one."""
+        """Return the row of a key, or an empty row if it is unknown or has expired."""
         row = self.rows.get(key, EMPTY_ROW)
         return row if row.expires_ms > now_ms else EMPTY_ROW
 
@@ -169,7 +177,7 @@
                     self.digests[member][bucket] ^= before ^ after
 
     def expire(self, now_ms: float) -> list[RecordUpdate]:
-        """Drop expired rows, at most `MAX_EXPIRED_AT_ONCE`.
+        """Remove at most `MAX_EXPIRED_AT_ONCE` expired rows.
 
         :returns: the deletions to persist.
         """
@@ -188,10 +196,11 @@
         return deletions
 
     def merge(self, key: str, received: Row, now_ms: float, recovering: bool = False) -> list[RecordUpdate]:
-        """Merge the row of another member, as if what it accepted and promised had arrived here, late.
+        """Merge a row of another member, as if the requests it reflects had arrived here late.
 
-        :param recovering: this store is new and does not vote yet.  What others accepted then counts whatever
-            they have promised since: the store before this one may have accepted it too, and so committed it.
+        :param recovering: whether this store is new and does not vote yet. A value accepted by another member
+            is then merged regardless of later promises: the lost store may have accepted it too, in which
+            case it may be committed.
         :returns: the updates to persist.
         """
         row = self.row(key, now_ms)
@@ -214,13 +223,11 @@
         self._set_row(key, new)
         return [RecordUpdate(REGISTER, key.encode(), pack(new))]
 
-    # ---- requests
-
     def _reply(self, request: Prepare | Accept, status: ReplyStatus, row: Row) -> Reply:
         return Reply(request.nonce, status, self.incarnation, row, self.incarnations_of(request.key))
 
     def _fence(self, request: Prepare | Accept) -> Reply | None:
-        """Refuse a request that this member may not vote on, or that names other incarnations."""
+        """Return a refusal if this member may not vote, or if the request names other incarnations."""
         if self.member not in self.groups.members_of(request.key) or not self.may_vote(request.key):
             return self._reply(request, ReplyStatus.RECOVERING, EMPTY_ROW)
         if request.incarnations != self.incarnations_of(request.key):
@@ -228,7 +235,7 @@
         return None
 
     def prepare(self, request: Prepare, now_ms: float) -> tuple[Reply, list[RecordUpdate]]:
-        """Handle phase 1.
+        """Handle a prepare request (phase 1).
 
         :returns: the reply, and the updates to persist before it is sent.
         """
@@ -243,7 +250,7 @@
         return self._reply(request, ReplyStatus.OK, new), self._replace_row(request.key, row, new)
 
     def accept(self, request: Accept, now_ms: float) -> tuple[Reply, list[RecordUpdate]]:
-        """Handle phase 2.
+        """Handle an accept request (phase 2).
 
         :returns: the reply, and the updates to persist before it is sent.
         """
@@ -255,16 +262,16 @@
         if expired or request.ballot < row.promised or not self._may_replace(request, row):
             return self._reply(request, ReplyStatus.REJECTED, row), []
         new = Row(request.ballot, request.ballot, request.step, request.value, request.expires_ms)
-        if row.version == new.version:  # a duplicate
+        if row.version == new.version:  # A duplicate of a request that was accepted before.
             return self._reply(request, ReplyStatus.OK, row), []
         return self._reply(request, ReplyStatus.OK, new), self._replace_row(request.key, row, new)
 
     @staticmethod
     def _may_replace(request: Accept, row: Row) -> bool:
-        """Return whether the value may be accepted into a row whose promise allows its ballot."""
+        """Return whether the value may replace that of a row whose promise allows the request's ballot."""
         version = request.ballot, request.step
         if version == row.version:
             return request.value == row.value
         if request.ballot == FAST_BALLOT and request.step == 0:
-            return row.ballot == NO_BALLOT  # in the fast round the first value to arrive is accepted
+            return row.ballot == NO_BALLOT  # A fast round accepts only the first value to arrive.
         return version > row.version
--- a/shaletiller/replication/anti_entropy.py
+++ b/shaletiller/replication/anti_entropy.py
@@ -1,9 +1,9 @@
-"""Anti-entropy: replicas that have diverged are found and repaired.
+"""Anti-entropy: finds and repairs replicas that have diverged.
 
-Once a second a member sends another a digest of their shared rows for each of 256 buckets of the keys' hash;
-where two differ they exchange versions, and then the rows that one lacks: a Merkle tree of two levels
-(Merkle, "A digital signature based on a conventional encryption function", 1987; DeCandia et al., "Dynamo",
-2007).
+Keys are hashed into 256 buckets. Once per second a member sends another member one digest per bucket,
+computed over the rows that both hold. If the digests of a bucket differ, the two members exchange the
+versions of its rows, and then the rows that either lacks. This is a Merkle tree with two levels (Merkle, "A
+digital signature based on a conventional encryption function", 1987; DeCandia et al., "Dynamo", 2007).
 """
 
 from __future__ import annotations
@@ -24,17 +24,23 @@
 from shaletiller.replication.transfer_budget import TransferBudget, row_bytes
 from shaletiller.store.record_format import RecordUpdate
 
-COMPARE_INTERVAL_MS = 1_000.0  # empirical: how long replicas stay diverged against traffic while they agree
-VERSION_OVERHEAD_BYTES = 30  # of a key's version in a message beside the key, approximately
-MAX_BUCKETS_PER_COMPARISON = 4  # empirical: bounds the burst that one comparison causes
-MAX_KEYS_PER_REQUEST = 200  # empirical: bounds what one request makes another member send
+# Time between two comparisons. A larger value leaves replicas diverged for longer; a smaller value causes
+# more traffic between replicas that agree.
+COMPARE_INTERVAL_MS = 1_000.0
+VERSION_OVERHEAD_BYTES = 30  # Approximate encoded size of one entry of BucketVersions, without its key.
+# Maximum buckets whose versions one comparison sends. A larger value allows larger bursts of traffic; a
+# smaller value takes more comparisons to repair many buckets.
+MAX_BUCKETS_PER_COMPARISON = 4
+# Maximum keys in one RowRequest. A larger value lets one request cause a larger response; a smaller value
+# takes more comparisons to repair a bucket.
+MAX_KEYS_PER_REQUEST = 200
 
 
 class AntiEntropy:
-    """One member's part in it.  The caller empties `outbox` after each call."""
+    """The anti-entropy state of one member; the caller empties `outbox` after each call."""
 
     def __init__(self, acceptor: Acceptor, budget: TransferBudget) -> None:
-        """Start with the rows of this acceptor; `budget` is shared with state transfer."""
+        """Compare and repair the rows of an acceptor; `budget` is shared with state transfer."""
         self.acceptor = acceptor
         self.budget = budget
         self.outbox: list[SendMessage] = []
@@ -43,9 +49,9 @@
         self._turn = 0
 
     def tick(self, now_ms: float, alive: tuple[int, ...]) -> None:
-        """Send digests to the next member, when it is time to.
+        """Send digests to the next member once per `COMPARE_INTERVAL_MS`.
 
-        :param alive: the members that can be reached.
+        :param alive: the members that are reachable.
         """
         acceptor = self.acceptor
         others = [each for each in alive if each != acceptor.member and each in acceptor.synced]
@@ -84,11 +90,11 @@
         return [key for key in keys if member in acceptor.groups.members_of(key)]
 
     def _compare_digests(self, sender: int, message: BucketDigests) -> None:
-        """Send the versions in some of the buckets whose digests differ."""
+        """Send the row versions of some of the buckets whose digests differ."""
         pairs = zip(self.acceptor.digests[sender], message.digests, strict=True)
         differing = [bucket for bucket, (ours, theirs) in enumerate(pairs) if ours != theirs]
-        # From another bucket each time: a budget that is spent on the first ones would never reach the
-        # others.
+        # Start at a different bucket each time. Otherwise a budget that only suffices for the first buckets
+        # would never reach the others.
         seed = f"{self._turn} {len(differing)}".encode()
         start = xxhash.xxh3_64_intdigest(seed) % max(1, len(differing))
         self._turn += 1
@@ -110,7 +116,7 @@
         self.outbox.append(SendMessage(recipient, BucketVersions(bucket, tuple(versions))))
 
     def _compare_versions(self, sender: int, message: BucketVersions, now_ms: float) -> None:
-        """Send the rows that are newer here, and request those that are newer there."""
+        """Send the rows that are newer here, and request those that are newer at the sender."""
         acceptor, nothing = self.acceptor, EMPTY_ROW.version
         theirs = {key: (ballot, step) for key, ballot, step in message.versions}
         ours = {key: acceptor.row(key, now_ms).version for key in self._shared_keys(message.bucket, sender)}
@@ -126,7 +132,7 @@
             self.outbox.append(SendMessage(sender, request))
 
     def _send_rows(self, recipient: int, keys: list[str], now_ms: float) -> None:
-        """Send rows, in messages of bounded size, as far as the budget reaches."""
+        """Send rows, in messages of bounded size, until the budget is exhausted."""
         rows: list[tuple[str, Row]] = []
         size = 0
         for key in keys:
--- a/shaletiller/replication/effects.py
+++ b/shaletiller/replication/effects.py
@@ -1,4 +1,4 @@
-"""What a replication node asks its environment to do, as data, to be carried out in order."""
+"""Effects: actions, as data, that a replication node requests from its caller, to be executed in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CommitPosition:
-    """Where a value was committed: the next one may follow at the next step, without a prepare phase."""
+    """The ballot and step at which a value was committed.
+
+    Its proposer may write the next value at the next step without a prepare phase.
+    """
 
     ballot: Ballot
     step: int
@@ -28,11 +31,11 @@
 
 @dataclass(slots=True, frozen=True)
 class OperationResult:
-    """How an operation ended.
+    """The result of an operation.
 
-    `committed`: its own value is committed, at `position`.  Otherwise `value` is what is committed instead,
-    b"" where the key is free; or, with `indeterminate`, nothing could be established before the deadline, and
-    its own value may yet be committed.
+    If `committed`, the value of the operation is committed at `position`. Otherwise `value` is the value that
+    is committed instead, or b"" if the key is free. If `indeterminate`, nothing could be established before
+    the deadline, and the value of the operation may still be committed later.
     """
 
     operation: int
@@ -44,9 +47,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistRecords:
-    """Persist these updates, then call `ReplicationNode.persisted` with the token, or `persist_failed`.
+    """Persist updates, then call `ReplicationNode.persisted`, or `persist_failed`, with the token.
 
-    In order: what is persisted later becomes durable no sooner.  Without updates it is a barrier.
+    Requests are persisted in order: a later one becomes durable no sooner than an earlier one. A request
+    without updates is a barrier.
     """
 
     token: int
--- a/shaletiller/replication/errors.py
+++ b/shaletiller/replication/errors.py
@@ -4,7 +4,7 @@
 
 
 class ReplicationError(Exception):
-    """Base of the errors of replication."""
+    """Base class of the errors of replication."""
 
 
 class NotReplicatedError(ReplicationError):
--- a/shaletiller/replication/groups.py
+++ b/shaletiller/replication/groups.py
@@ -1,7 +1,7 @@
 """Replica groups: which members of the fleet hold the replicas of a key.
 
-Rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), spread
-over zones; every member computes the same group.
+Groups are computed by rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit
+rates", 1998) and spread over zones. Every member computes the same group.
 """
 
 from __future__ import annotations
@@ -12,9 +12,11 @@
 
 from shaletiller.fleet.rendezvous import ranked
 
-DEFAULT_REPLICAS = 3  # the smallest group that keeps a majority when one machine is lost
-CACHED_KEYS = 1 << 16  # empirical: memory against hashing a key again
-CACHED_FLEETS = 64  # groupings of one process: one in a gateway, many in a simulation
+DEFAULT_REPLICAS = 3  # The smallest group that keeps a majority when one machine is lost.
+# Number of keys whose group is cached. A larger value uses more memory; a smaller value hashes keys again
+# more often.
+CACHED_KEYS = 1 << 16
+CACHED_FLEETS = 64  # Number of cached ReplicaGroups objects: a gateway has one, a simulation has many.
 
 
 class ReplicaGroups:
@@ -23,15 +25,15 @@
     def __init__(self, zones: Sequence[str], replicas: int = DEFAULT_REPLICAS) -> None:
         """Define the groups.
 
-        :param zones: the zone of each member, "" where it has none.
-        :param replicas: members per group; a smaller fleet has groups of all its members.
+        :param zones: the zone of each member, "" for a member without a zone.
+        :param replicas: members per group; in a smaller fleet each group consists of all members.
         """
         self.zones = tuple(zones)
         self.replicas = min(replicas, len(self.zones))
         self.members_of = lru_cache(maxsize=CACHED_KEYS)(self._members_of)
 
     def _members_of(self, key: str) -> tuple[int, ...]:
-        """List the group of a key: the first member of its order in each zone, then the first of the rest."""
+        """Return the group of a key: the first-ranked member of each zone, then the first of the rest."""
         order = ranked(key, range(len(self.zones)))
         members: list[int] = []
         for one_per_zone in (True, False):
@@ -45,16 +47,16 @@
         return tuple(members)
 
     def __reduce__(self) -> tuple[Any, ...]:
-        """Pickle the definition only; the cache is not copied."""
+        """Pickle only the definition, without the cache."""
         return _cached_groups, (self.zones, self.replicas)
 
     @property
     def majority(self) -> int:
-        """The size of a quorum: any two of them share a member."""
+        """The size of a majority quorum; any two such quorums share a member."""
         return self.replicas // 2 + 1
 
 
 @lru_cache(maxsize=CACHED_FLEETS)
 def _cached_groups(zones: tuple[str, ...], replicas: int) -> ReplicaGroups:
-    """Return the same object for each unpickled copy, so that copies share their cache."""
+    """Return one shared object for all unpickled copies, so that they share their cache."""
     return ReplicaGroups(zones, replicas)
--- a/shaletiller/replication/messages.py
+++ b/shaletiller/replication/messages.py
@@ -2,11 +2,11 @@
 
     frame = "P" followed by the MessagePack array [version, fleet, sender, message]
 
-The prefix tells them from the envelopes of gossip on the same links.  Messages may be lost, duplicated,
-delayed and reordered: what a replica does with one depends on its own rows only.  A frame that cannot be
-decoded is dropped and counted by reason.
+The prefix distinguishes replication frames from the gossip envelopes on the same links. Messages may be lost,
+duplicated, delayed and reordered, so a replica handles each message based on its own rows only. A frame that
+cannot be decoded is dropped and counted by reason.
 
-Messages are encoded as arrays: the order of their fields and their tags are the wire format and may not
+Messages are encoded as arrays: their tags and the order of their fields are the wire format and must not
 change.
 """
 
@@ -22,26 +22,26 @@
 
 PROTOCOL_VERSION = 1
 FRAME_PREFIX = b"P"
-MAX_MESSAGE_BYTES = 60_000  # of rows in one message: well below the frame limit of a link
+MAX_MESSAGE_BYTES = 60_000  # Maximum bytes of rows in one message, well below the frame limit of a link.
 DIGEST_BUCKETS = 256
 
-NONCE_BITS = 20
+NONCE_BITS = 20  # Low bits of a nonce that count up; the bits above hold the start time of the process.
 
-Incarnations = tuple[
-    UnsignedInt, ...
-]  # of the members of the key's group, in its order, as the sender knows them
+# The incarnations of the members of the key's group, in group order, as known to the sender.
+Incarnations = tuple[UnsignedInt, ...]
 
 
 def first_nonce(process_start_ms: int) -> int:
-    """Return the nonce a process starts from, so that replies to an earlier process match none of its own.
+    """Return the first nonce of a process.
 
-    A process uses fewer than 2**20 nonces in each millisecond that it runs.
+    Replies to an earlier process match no nonce of this one, because a process uses fewer than 2**20 nonces
+    per millisecond.
     """
     return process_start_ms << NONCE_BITS
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, gc=False, tag_field="k"):
-    """Base of the messages; a `nonce` matches a reply to its request."""
+    """Base class of the messages; a reply carries the `nonce` of its request."""
 
     def __deepcopy__(self, memo: Any) -> Message:
         """Return the same object: it is immutable."""
@@ -49,7 +49,7 @@
 
 
 class Prepare(Message, tag=1, frozen=True):
-    """Phase 1: promise to accept nothing below this ballot, and reply with the row accepted last."""
+    """Phase 1: promise to accept nothing below this ballot, and reply with the last accepted row."""
 
     nonce: UnsignedInt
     key: Key
@@ -73,14 +73,14 @@
 class ReplyStatus(IntEnum):
     """The result of a request at an acceptor."""
 
-    OK = 0  # done, and persisted
-    REJECTED = 1  # a higher ballot is promised, or another value accepted
-    STALE_INCARNATION = 2  # the sender knows other incarnations of the group than this acceptor
-    RECOVERING = 3  # this acceptor has lost its store and does not vote on this key yet
+    OK = 0  # The request was executed and its row persisted.
+    REJECTED = 1  # A higher ballot was promised, or another value accepted.
+    STALE_INCARNATION = 2  # The request names other incarnations of the group than this acceptor knows.
+    RECOVERING = 3  # This acceptor does not vote on the key, for example because its store is new.
 
 
 class Reply(Message, tag=3, frozen=True):
-    """The reply of an acceptor to Prepare and Accept."""
+    """The reply of an acceptor to `Prepare` or `Accept`."""
 
     nonce: UnsignedInt
     status: ReplyStatus
@@ -90,7 +90,7 @@
 
 
 class StateTransferRequest(Message, tag=4, frozen=True):
-    """From a member with a new store: note its incarnation, and send a page of shared rows after a key."""
+    """Request of a member with a new store: record its incarnation, and send shared rows after a key."""
 
     nonce: UnsignedInt
     incarnation: UnsignedInt
@@ -98,11 +98,11 @@
 
 
 class StateTransferPage(Message, tag=5, frozen=True):
-    """Rows for a member with a new store.
+    """A page of rows for a member with a new store.
 
-    `after` is the last key of the page, "" on the last page.  `accepted` is False where the sender knows a
-    newer incarnation of the requester.  `known_incarnations` are those of all members, as the sender knows
-    them.
+    `after` is the last key of the page, or "" on the last page. `accepted` is False if the sender knows a
+    newer incarnation of the requester. `known_incarnations` are the incarnations of all members, as known to
+    the sender.
     """
 
     nonce: UnsignedInt
@@ -114,26 +114,26 @@
 
 
 class BucketDigests(Message, tag=6, frozen=True):
-    """Anti-entropy: a digest of the shared rows for each bucket of the keys' hash."""
+    """Anti-entropy: one digest of the shared rows per bucket of keys."""
 
     digests: Annotated[tuple[int, ...], msgspec.Meta(min_length=DIGEST_BUCKETS, max_length=DIGEST_BUCKETS)]
 
 
 class BucketVersions(Message, tag=7, frozen=True):
-    """Anti-entropy: key, ballot and step of each shared row in a bucket whose digests differ."""
+    """Anti-entropy: key, ballot and step of each shared row of a bucket whose digests differ."""
 
     bucket: Annotated[int, msgspec.Meta(ge=0, lt=DIGEST_BUCKETS)]
     versions: tuple[tuple[Key, Ballot, Step], ...]
 
 
 class RowRequest(Message, tag=8, frozen=True):
-    """Anti-entropy: send the rows of these keys."""
+    """Anti-entropy: a request for the rows of these keys."""
 
     keys: tuple[Key, ...]
 
 
 class RowTransfer(Message, tag=9, frozen=True):
-    """Anti-entropy: rows that the recipient lacks, or has in an older version."""
+    """Anti-entropy: rows that the recipient lacks, or holds in an older version."""
 
     rows: tuple[tuple[Key, Row], ...]
 
@@ -155,14 +155,14 @@
 
 
 class Codec:
-    """Encodes the frames of one member and decodes those of the others."""
+    """Encodes the frames of one member and decodes the frames of the others."""
 
     def __init__(self, fleet: int, member: int, members: int) -> None:
         """Configure the codec.
 
         :param fleet: hash of the fleet's name and members.
         :param member: number of this member.
-        :param members: how many members the fleet has.
+        :param members: number of members of the fleet.
         """
         self._fleet, self._member, self._members = fleet, member, members
         self.dropped: Counter[str] = Counter()
@@ -175,7 +175,7 @@
     def read(self, data: bytes) -> tuple[int, AnyMessage] | None:
         """Decode a frame.
 
-        :returns: the sender and the message; None where the frame is invalid, which is counted in `dropped`.
+        :returns: the sender and the message, or None for an invalid frame, which is counted in `dropped`.
         """
         try:
             frame = _FRAME_DECODER.decode(data[len(FRAME_PREFIX) :])
--- a/shaletiller/replication/node.py
+++ b/shaletiller/replication/node.py
@@ -1,8 +1,8 @@
-"""One gateway's replication node: acceptor, proposer, state transfer and anti-entropy.
+"""The replication node of one gateway: acceptor, proposer, state transfer and anti-entropy.
 
-`ReplicationNode` reads no clock, socket or file.  It is given what arrived, what has been persisted and the
-time, and its effects are data, see effects.py.  A reply of its acceptor is sent only once the rows it rests
-on are persisted.
+`ReplicationNode` reads no clock, socket or file. Its caller passes in received messages, completions of
+persist requests and the time, and executes the effects that it returns (effects.py). A reply of the acceptor
+is sent only after the rows that it depends on are persisted.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _PeerTransferred:
-    """After persisting: this member has transferred all the rows it shares with this one."""
+    """Follow-up to a persist request: this member has transferred all the rows that it shares with us."""
 
     member: int
 
@@ -40,9 +40,10 @@
 
 
 class ReplicationNode:
-    """Times are milliseconds of the Unix epoch.
+    """The replication node of one gateway.
 
-    Expirations are compared with the clocks of all members, which must be within a second of each other.
+    Times are in milliseconds since the Unix epoch. Each member compares expiry times with its own clock, so
+    the clocks of all members must be within one second of each other.
     """
 
     def __init__(
@@ -53,11 +54,12 @@
         now_ms: float,
         bytes_per_second: float = DEFAULT_BYTES_PER_SECOND,
     ) -> None:
-        """Start a node.
+        """Create a node.
 
         :param member: number of this member in the fleet.
-        :param stored: the records of the store; None while it is not open: the node then only proposes.
-        :param bytes_per_second: bound on what state transfer and anti-entropy send.
+        :param stored: kind, key and value of each record in the store, or None if the store is not open yet;
+            the node only proposes until `open` is called.
+        :param bytes_per_second: bandwidth limit of state transfer and anti-entropy.
         """
         self.member, self.groups = member, groups
         self.acceptor = Acceptor(member, groups)
@@ -67,27 +69,27 @@
         self.state_transfer = StateTransfer(self.acceptor, process_start_ms, self.budget)
         self.anti_entropy = AntiEntropy(self.acceptor, self.budget)
         self.effects: list[Effect] = []
-        # Members known to be down: a fast round, which needs the whole group, is not tried then.
+        # Members known to be down. A fast round needs the whole group, so it is skipped if one of the group
+        # is in this set.
         self.unreachable: frozenset[int] = frozenset()
-        self._after_persist: dict[int, _AfterPersist] = {}  # by token
-        self._persisting: dict[int, tuple[str, ...]] = {}  # by token: the registers in it
-        self._unpersisted: set[str] = set()  # registers whose newest row failed to persist
+        self._after_persist: dict[int, _AfterPersist] = {}  # Follow-ups by token.
+        self._persisting: dict[int, tuple[str, ...]] = {}  # Keys of the registers being persisted, by token.
+        self._unpersisted: set[str] = set()  # Keys of the registers whose newest row failed to persist.
         self._token = 0
         self._operations = 0
         if stored is not None:
             self.open(stored, now_ms)
 
     def open(self, stored: Iterable[tuple[int, bytes, bytes]], now_ms: float) -> None:
-        """Load the store: from now on this node is an acceptor.
+        """Load the store; from now on the node also acts as an acceptor.
 
+        :param stored: kind, key and value of each record in the store.
         :raises msgspec.MsgspecError: for a record that cannot be decoded.
         """
         self.acceptor.load(stored)
         if self.acceptor.incarnation == 0:
             self._persist(self.acceptor.start_incarnation(int(now_ms)))
 
-    # ---- operations
-
     def propose(
         self,
         key: str,
@@ -100,11 +102,13 @@
         position: CommitPosition | None = None,
         fast: bool = True,
     ) -> int:
-        """Start an operation; its result is one of the effects.
+        """Start an operation; its result is returned as an effect.
 
-        :param expires_ms: when the register expires, if the value is committed.
+        :param expires_ms: expiry time of the register if the value is committed.
+        :param deadline_ms: time at which an unfinished operation ends as indeterminate.
         :param expected: the bytes that `Precondition.EQUALS` compares with.
-        :param position: where this gateway committed the value that the register holds.
+        :param position: the position at which this gateway committed the current value of the register.
+        :param fast: whether a fast round may be tried.
         :returns: the number of the operation.
         """
         self._operations += 1
@@ -118,29 +122,27 @@
 
     @property
     def busy(self) -> bool:
-        """Whether operations are under way."""
+        """Whether any operation is in progress."""
         return bool(self.proposer.operations)
 
     @property
     def fully_synced(self) -> bool:
-        """Whether this node votes on all keys of its groups."""
+        """Whether this node votes on all keys whose groups it belongs to."""
         acceptor = self.acceptor
         return len(acceptor.synced) == acceptor.member_count - 1 and not acceptor.superseded
 
     @property
     def rows_received(self) -> int:
-        """How many rows state transfer and anti-entropy have brought."""
+        """Number of rows received by state transfer and anti-entropy."""
         return self.state_transfer.rows_received + self.anti_entropy.rows_received
 
-    # ---- events
-
     def receive(self, sender: int, message: AnyMessage, now_ms: float) -> None:
         """Handle a message of another member."""
         self._dispatch(sender, message, now_ms)
         self._flush(now_ms)
 
     def persisted(self, token: int, now_ms: float) -> None:
-        """Handle that the updates of a `PersistRecords` are durable."""
+        """Handle the completion of a `PersistRecords` effect: its updates are durable."""
         self._persisting.pop(token, None)
         after = self._after_persist.pop(token, None)
         if isinstance(after, _PeerTransferred):
@@ -152,10 +154,11 @@
         self._flush(now_ms)
 
     def persist_failed(self, token: int) -> None:
-        """Handle that the updates of a `PersistRecords` are not durable.
+        """Handle the failure of a `PersistRecords` effect: its updates are not durable.
 
-        Nothing is sent that rests on them or on what is being persisted after them; before anything else is
-        sent they are persisted again.  State transfers begin again: pages before this one may be missing.
+        Messages that depend on these updates, or on updates submitted after them, are discarded. The updates
+        are persisted again together with the next ones, before any reply that depends on those is sent. State
+        transfers restart, because rows of earlier pages may not be durable.
         """
         self._after_persist.clear()
         self._unpersisted.update(self._persisting.pop(token, ()))
@@ -163,11 +166,12 @@
         self.acceptor.metadata_changed = True
 
     def tick(self, now_ms: float, alive: tuple[int, ...]) -> None:
-        """Handle the passing of time.
+        """Handle timeouts, transfers and expiry.
 
-        To be called every few milliseconds while operations are under way, else a few times per second.
+        The caller calls this every few milliseconds while operations are in progress, otherwise several times
+        per second.
 
-        :param alive: the members that can be reached.
+        :param alive: the members that are reachable.
         """
         self.proposer.tick(now_ms)
         if self.acceptor.incarnation:
@@ -185,8 +189,6 @@
         effects, self.effects = self.effects, []
         return effects
 
-    # ---- internals
-
     def _persist(self, updates: list[RecordUpdate], after: _AfterPersist | None = None) -> None:
         if self._unpersisted:
             updates = [*map(self._current_update, sorted(self._unpersisted)), *updates]
@@ -215,7 +217,8 @@
         match message:
             case Reply():
                 self.proposer.receive(sender, message, now_ms)
-            # A reply without updates may rest on rows that are still being persisted: it waits for them too.
+            # A reply without updates may depend on rows that are still being persisted, so it goes through
+            # `_persist` as well.
             case Prepare():
                 reply, updates = self.acceptor.prepare(message, now_ms)
                 self._persist(updates, SendMessage(sender, reply))
@@ -238,13 +241,13 @@
             self._persist(updates, _PeerTransferred(sender) if complete else None)
         acceptor = self.acceptor
         if acceptor.superseded and not acceptor.synced:
-            # A new store that has never voted, on a machine whose clock is behind: it takes a later
-            # incarnation.
+            # The store is new and has never voted, but the clock of this machine is behind that of its
+            # predecessor: start a later incarnation.
             self.state_transfer.restart()
             self._persist(acceptor.start_incarnation(acceptor.incarnations[self.member] + 1))
 
     def _flush(self, now_ms: float) -> None:
-        """Turn what the parts have gathered into effects; messages to this member are handled immediately."""
+        """Collect the effects of all components; messages to this member are handled immediately."""
         while self.proposer.outbox or self.state_transfer.outbox or self.anti_entropy.outbox:
             requests, self.proposer.outbox = self.proposer.outbox, []
             for request in requests:
--- a/shaletiller/replication/proposer.py
+++ b/shaletiller/replication/proposer.py
@@ -1,13 +1,14 @@
-"""The proposer: compare-and-set on one key at a time, in one round trip where all goes well.
+"""The proposer: compare-and-set operations on single keys, in one round trip in the absence of conflicts.
 
-An `Operation` states a precondition and the value to write when it holds.  It is committed when a majority of
-the key's group has accepted the value (in the fast round: all of the group); otherwise its result is the
-value that it found, which is then certain to be committed as well.
+An `Operation` states a precondition and the value to write if it holds. The operation is committed when a
+majority of the key's group has accepted the value (in the fast round: the whole group). Otherwise its result
+is the value found in the register, which is then known to be committed.
 
-Rounds: fast (only where the key is expected to be free), else prepare and accept under a ballot above all
-that were seen.  Whoever has committed a value may write the next one under the same ballot and the next step,
-in one round, as long as no other proposer has prepared a higher ballot: that is how an intent becomes an
-outcome, and how a proposer that was partitioned away is fenced.
+An operation starts with a fast round if the key is expected to be free, otherwise with a prepare and an
+accept round under a ballot above all ballots seen. The proposer that committed a value may write the next one
+under the same ballot and the next step, in one round, as long as no other proposer has prepared a higher
+ballot. This is how a write outcome replaces a write intent, and how a proposer that was partitioned from the
+others is fenced.
 """
 
 from __future__ import annotations
@@ -30,27 +31,35 @@
     decode_value,
 )
 
-# The times are empirical, for replicas a few milliseconds apart whose stores sync in about ten.
-FAST_ROUND_TIMEOUT_MS = 40.0  # a slow replica delays a write by this much against a second round
-RETRANSMIT_MS = 80.0  # a lost request delays an operation by this much against duplicates to a slow store
-MIN_BACKOFF_MS, MAX_BACKOFF_MS = 4.0, 60.0  # competing proposers: latency against repeated collisions
-REJECTION_GRACE_MS = 10.0  # after a rejection the rest of the group may still make a majority
-RECOVERING_RETRY_MS = 30.0  # before a group that does not vote yet is asked again
-MAX_BACKOFF_DOUBLINGS = 8  # bounds the power; MAX_BACKOFF_MS is reached before
+# The times below suit replicas that are a few milliseconds apart and stores that sync in about 10 ms.
+
+# Time after which a fast round is abandoned for a prepare. With a larger value a slow replica delays a write
+# for longer; a smaller value abandons more fast rounds that would have succeeded.
+FAST_ROUND_TIMEOUT_MS = 40.0
+# Time after which a request is sent again. With a larger value a lost request delays its operation for
+# longer; a smaller value sends more duplicates to a slow store.
+RETRANSMIT_MS = 80.0
+# Backoff of competing proposers. Larger values increase latency; smaller values cause repeated conflicts.
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 4.0, 60.0
+# Wait after a rejection, during which the rest of the group may still form a majority.
+REJECTION_GRACE_MS = 10.0
+# Wait before a retry at a group of which no majority votes yet.
+RECOVERING_RETRY_MS = 30.0
+MAX_BACKOFF_DOUBLINGS = 8  # Bounds the exponent; the backoff reaches MAX_BACKOFF_MS before.
 
 
 class Precondition(Enum):
-    """What the register must hold for the value to be written."""
+    """The condition on the current value of the register for the new value to be written."""
 
     FREE = "free"
-    EQUALS = "equals"  # the bytes of `Operation.expected`
-    OLDER_STAMP = "older stamp"  # nothing, or an operator command with a lower stamp
+    EQUALS = "equals"  # The register holds the bytes of `Operation.expected`.
+    OLDER_STAMP = "older stamp"  # The register holds no operator command, or one with a lower stamp.
     ANY = "any"
-    READ_ONLY = "read only"  # never written
+    READ_ONLY = "read only"  # Never holds: the operation only reads.
 
 
 class Phase(StrEnum):
-    """Where an operation stands; a string, so that operations can be sorted."""
+    """The phase of an operation; a string enumeration, so that operations can be sorted."""
 
     NEW = ""
     FAST = "fast"
@@ -61,13 +70,13 @@
 
 @dataclass(slots=True)
 class Operation:
-    """A compare-and-set under way; times are milliseconds of the Unix epoch."""
+    """A compare-and-set operation in progress; times are in milliseconds since the Unix epoch."""
 
     number: int
     key: str
     precondition: Precondition
     value: bytes
-    expires_ms: int  # of the register, if the value is committed
+    expires_ms: int  # Expiry time of the register if the value is committed.
     deadline_ms: float
     expected: bytes = b""
     phase: Phase = Phase.NEW
@@ -77,7 +86,7 @@
     incarnations: tuple[int, ...] = ()
     proposed: bytes = b""
     proposed_expires_ms: int = 0
-    proposes_own_value: bool = False  # else it completes the round of another proposer
+    proposes_own_value: bool = False  # If false, it completes the round of another proposer.
     replies: dict[int, Reply] = field(default_factory=dict)
     highest_round: int = 0
     retries: int = 0
@@ -92,22 +101,25 @@
         self.proposes_own_value = True
 
     def count(self, *statuses: ReplyStatus) -> int:
-        """Count the replies of the current phase with these statuses."""
+        """Count the replies in the current phase that have one of these statuses."""
         return sum(reply.status in statuses for reply in self.replies.values())
 
 
 class Proposer:
-    """The operations under way at one gateway.  The caller empties `outbox` and `results` after each call."""
+    """The operations in progress at one gateway.
+
+    The caller empties `outbox` and `results` after each call.
+    """
 
     def __init__(self, acceptor: Acceptor, process_start_ms: int) -> None:
-        """Start without operations.
+        """Create a proposer without operations.
 
-        :param process_start_ms: in milliseconds of the Unix epoch, which tells this process from earlier
-            processes of the same gateway.
+        :param process_start_ms: start time of this process in milliseconds since the Unix epoch; it
+            distinguishes this process from earlier processes of the same gateway.
         """
         self.member, self.groups, self._acceptor = acceptor.member, acceptor.groups, acceptor
         self.operations: dict[int, Operation] = {}
-        self._nonces: dict[int, int] = {}  # operation by the nonce of its current phase
+        self._nonces: dict[int, int] = {}  # Operation numbers by the nonce of the operation's current phase.
         self._nonce = first_nonce(process_start_ms)
         self.outbox: list[SendMessage] = []
         self.results: list[OperationResult] = []
@@ -122,8 +134,8 @@
     ) -> None:
         """Start an operation.
 
-        :param position: where this gateway committed the value that the register holds; the new value follows
-            at the next step.
+        :param position: the position at which this gateway committed the current value of the register; the
+            new value is proposed at the next step.
         :param fast: whether a fast round may be tried.
         """
         self.operations[operation.number] = operation
@@ -174,22 +186,22 @@
 
     def _begin_prepare(self, operation: Operation, now_ms: float) -> None:
         operation.highest_round = max(operation.highest_round, operation.ballot.round, FAST_BALLOT.round) + 1
-        # Two operations of one process on one key may reach the same round: the nonce keeps their ballots
-        # apart.
+        # Two operations of one process on one key may reach the same round; the nonce makes their ballots
+        # distinct.
         operation.ballot = Ballot(operation.highest_round, self.member, self._nonce + 1)
         operation.step = 0
         operation.incarnations = self._acceptor.incarnations_of(operation.key)
         self._begin_phase(operation, Phase.PREPARE, now_ms)
 
     def _back_off(self, operation: Operation, now_ms: float, wait_ms: float | None = None) -> None:
-        """Wait before the next prepare: another proposer competes, or the group cannot answer yet.
+        """Wait before the next prepare: another proposer competes, or the group does not vote yet.
 
-        Exponential backoff with full jitter, unless `wait_ms` is given.
+        The wait is an exponential backoff with full jitter unless `wait_ms` is given.
         """
         operation.retries += 1
         self._nonces.pop(operation.nonce, None)
         if wait_ms is None:
-            # Derived from the operation: a simulation repeats exactly for the same events.
+            # The jitter is derived from the operation, so that simulations are reproducible.
             seed = f"{self.member} {operation.number} {operation.retries}".encode()
             jitter = xxhash.xxh3_64_intdigest(seed) / 2.0**64
             longest_ms = MIN_BACKOFF_MS * 2 ** min(operation.retries, MAX_BACKOFF_DOUBLINGS)
@@ -202,7 +214,7 @@
         self.results.append(result)
 
     def tick(self, now_ms: float) -> None:
-        """Handle timeouts; to be called every few milliseconds while there are operations."""
+        """Handle timeouts; called every few milliseconds while operations are in progress."""
         for operation in list(self.operations.values()):
             self._check_timeouts(operation, now_ms)
 
@@ -223,10 +235,8 @@
             group = self.groups.members_of(operation.key)
             self._send(operation, [member for member in group if member not in operation.replies])
 
-    # ---- replies
-
     def receive(self, sender: int, reply: Reply, now_ms: float) -> None:
-        """Handle a reply; one to a finished phase, or of another incarnation of its sender, is ignored."""
+        """Handle a reply; ignore one to a past phase, or from another incarnation of its sender."""
         operation = self.operations.get(self._nonces.get(reply.nonce, -1))
         if operation is None:
             return
@@ -240,7 +250,7 @@
             if self._acceptor.incarnations_of(operation.key) != operation.incarnations:
                 self._begin_prepare(operation, now_ms)
                 return
-            # Where this gateway knows the newer incarnation, the sender learns it from the member concerned.
+            # If this gateway knows the newer incarnation, the sender will learn it from the member concerned.
             operation.replies[sender] = reply
         elif reply.incarnation == operation.incarnations[group.index(sender)]:
             operation.replies[sender] = reply
@@ -271,7 +281,7 @@
         self._finish(operation, OperationResult(operation.number, own, operation.proposed, position))
 
     def _quorum_missed(self, operation: Operation, now_ms: float) -> None:
-        """Go on after so many refusals that the phase cannot reach its quorum any more."""
+        """Retry after so many refusals that the current phase can no longer reach its quorum."""
         not_voting = operation.count(ReplyStatus.RECOVERING, ReplyStatus.STALE_INCARNATION)
         if not_voting > self.groups.replicas - self.groups.majority:
             self._back_off(operation, now_ms, RECOVERING_RETRY_MS)
@@ -282,10 +292,10 @@
             self._back_off(operation, now_ms)
 
     def _committed_value(self, operation: Operation) -> bytes | None:
-        """Return the value that the replies alone prove to be committed, where the operation needs no more.
+        """Return a value that the replies alone prove to be committed, if it completes the operation.
 
-        That is one which a majority has accepted under one ballot and step (in the fast round: all of the
-        group).  A repeat of a settled key thus takes one round and no sync.
+        This is a value that a majority has accepted under one ballot and step (in the fast round: the whole
+        group). A retry of a completed write thus takes one round, and no replica has to sync its store.
         """
         if operation.precondition not in (Precondition.FREE, Precondition.READ_ONLY):
             return None
@@ -302,7 +312,7 @@
         return None
 
     def _choose_value(self, operation: Operation, now_ms: float) -> None:
-        """Choose what to propose once phase 1 has its quorum: what may have been committed wins."""
+        """Choose the value to propose after phase 1; a value that may be committed takes precedence."""
         rows = [reply.row for reply in operation.replies.values() if reply.status is ReplyStatus.OK]
         current = possibly_committed(rows)
         value = current.value if current.expires_ms > now_ms else b""
@@ -339,10 +349,10 @@
 
 
 def possibly_committed(rows: list[Row]) -> Row:
-    """Return, of the rows of a majority, the one whose value may have been committed, or an empty row.
+    """Return the row, among those of a majority, whose value may be committed, or an empty row if none is.
 
-    Under a classic ballot that is the newest.  In the fast round a value is committed only by all of the
-    group: one that any of these rows lacks, or has otherwise, was not committed.
+    Under a classic ballot this is the newest row. In the fast round a value is committed only if the whole
+    group has accepted it, so a value that differs in any of these rows was not committed.
     """
     newest = max(rows, key=lambda row: row.version, default=EMPTY_ROW)
     if newest.version != (FAST_BALLOT, 0):
--- a/shaletiller/replication/records.py
+++ b/shaletiller/replication/records.py
@@ -1,7 +1,7 @@
-"""The stored records: the row of a register, the values a register holds, and their MessagePack form.
+"""The stored records: register rows, the values that registers hold, and their MessagePack encoding.
 
-The structures are encoded as arrays: their fields are positional, and the values carry a numeric tag.
-Neither the order of the fields nor a tag may change, since stores outlive the process that wrote them and
+The structures are encoded as arrays: fields are identified by position and value types by a numeric tag.
+Neither the order of the fields nor a tag may change, because stores outlive the process that wrote them and
 gateways of two versions exchange rows during an upgrade.
 """
 
@@ -11,7 +11,7 @@
 
 import msgspec
 
-# Kinds of record in a store: the row of a register, and what the gateway stores about itself.
+# Kinds of records in a store: rows of registers, and metadata of the gateway itself.
 REGISTER, META = 1, 2
 
 MAX_KEY_CHARS = 400
@@ -26,7 +26,7 @@
 class Ballot(NamedTuple):
     """A ballot, ordered by round, then member, then number.
 
-    `number` is used once by its member across all of its processes, so that no two operations ever share a
+    A member uses each `number` only once, across all of its processes, so that no two operations share a
     ballot.
     """
 
@@ -35,16 +35,16 @@
     number: UnsignedInt
 
 
-NO_BALLOT = Ballot(0, 0, 0)  # nothing promised or accepted yet
-FAST_BALLOT = Ballot(1, 0, 0)  # the fast round: any gateway may use it without a prepare phase
+NO_BALLOT = Ballot(0, 0, 0)  # Nothing has been promised or accepted yet.
+FAST_BALLOT = Ballot(1, 0, 0)  # The fast round, which any gateway may use without a prepare phase.
 
 
 class Row(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """The state of one register at one acceptor.
 
-    `promised` is the ballot below which the acceptor accepts nothing; `ballot` and `step` are those under
-    which it accepted `value`.  An empty value means that the register is free.  The row expires at
-    `expires_ms` (milliseconds of the Unix epoch) on all replicas alike.
+    The acceptor accepts nothing below the ballot `promised`, and it accepted `value` under `ballot` and
+    `step`. An empty value means that the register is free. The row expires on all replicas at `expires_ms`
+    (milliseconds since the Unix epoch).
     """
 
     promised: Ballot = NO_BALLOT
@@ -55,7 +55,7 @@
 
     @property
     def version(self) -> tuple[Ballot, int]:
-        """The order of accepted values: the ballot, then the step under it."""
+        """The sort key of accepted values: the ballot, then the step under that ballot."""
         return self.ballot, self.step
 
     def __deepcopy__(self, memo: Any) -> Row:
@@ -64,14 +64,14 @@
 
 
 class RegisterValue(msgspec.Struct, array_like=True, frozen=True, gc=False, tag_field="k"):
-    """Base of what a register can hold."""
+    """Base class of the values that a register can hold."""
 
 
 class WriteIntent(RegisterValue, tag=1, frozen=True):
-    """Gateway `owner`, in this incarnation of its process, is about to forward a write: it may have run.
+    """The intent of gateway `owner`, in this incarnation of its process, to forward a write.
 
-    `request_hash` identifies the request, `recorded_ms` is when the intent was written, and by `deadline_ms`
-    the owner has answered its client.
+    The write may or may not have run. `request_hash` identifies the request, `recorded_ms` is the time at
+    which the intent was written, and the owner answers its client by `deadline_ms`.
     """
 
     owner: MemberNumber
@@ -83,7 +83,7 @@
 
 
 class WriteOutcome(RegisterValue, tag=2, frozen=True):
-    """The final answer to a write: served with `body`, or failed."""
+    """The final response to a write: served with `body`, or failed."""
 
     served: bool
     body: bytes
@@ -92,9 +92,10 @@
 
 
 class OperatorCommand(RegisterValue, tag=3, frozen=True):
-    """An operator's ejection of a storage node, or drain of a gateway: `in_effect`, or lifted.
+    """An operator command that ejects a storage node or drains a gateway, or one that lifts it.
 
-    `issuer` is the gateway that received the command, `stamp` its hybrid logical clock at that time.
+    `in_effect` is False if the ejection or drain is lifted. `issuer` is the gateway that received the
+    command, and `stamp` the value of its hybrid logical clock at that time.
     """
 
     in_effect: bool
@@ -104,17 +105,17 @@
 
 
 class CachedEndpointList(RegisterValue, tag=4, frozen=True):
-    """The endpoint list of a gateway as of `recorded_ms`, in the JSON of the discovery protocol."""
+    """The endpoint list of a gateway as of `recorded_ms`, in the JSON format of the discovery protocol."""
 
     recorded_ms: UnsignedInt
     json: bytes
 
 
 class LeaseTableRecord(RegisterValue, tag=5, frozen=True):
-    """What the granter of a limit has leased in total, as of its table number `number`.
+    """The total that the granter of a limit has leased, as of version `number` of its lease table.
 
-    `rate` is in thousandths of a unit per second and `burst` in thousandths of a unit; `recorded_ms` is by
-    the granter's clock.
+    `rate` is in thousandths of a unit per second and `burst` in thousandths of a unit. `recorded_ms` is a
+    time of the granter's clock.
     """
 
     granter: MemberNumber
@@ -127,7 +128,7 @@
 
 StoredValue = WriteIntent | WriteOutcome | OperatorCommand | CachedEndpointList | LeaseTableRecord
 
-# Names in the output of `store show`: a fixed format of the command line.
+# Names in the output of the `store show` command. Operators' scripts read them, so they must not change.
 _SHOWN_KINDS = {REGISTER: "register", META: "meta"}
 _SHOWN_VALUES: dict[type[RegisterValue], str] = {
     WriteIntent: "intent",
@@ -142,12 +143,12 @@
 
 
 def pack(record: Any) -> bytes:
-    """Encode a row, a value, or what a gateway stores about itself, as MessagePack."""
+    """Encode a row, a register value or metadata of a gateway as MessagePack."""
     return _ENCODER.encode(record)
 
 
 def decode_value(value: bytes) -> StoredValue | None:
-    """Decode the value of a register; None where it is empty or written by a later version."""
+    """Decode the value of a register; return None if it is empty or was written by a later version."""
     try:
         return _VALUE_DECODER.decode(value) if value else None
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -157,13 +158,13 @@
 def decode_row(data: bytes) -> Row:
     """Decode a row.
 
-    :raises msgspec.MsgspecError: for bytes that are not a row.
+    :raises msgspec.MsgspecError: if the data is not an encoded row.
     """
     return _ROW_DECODER.decode(data)
 
 
 def describe(kind: int, key: bytes, value: bytes) -> dict[str, Any]:
-    """Describe a record of a store for an operator; the keys are those of `store show --json`."""
+    """Describe a stored record for operators; the keys are those of the output of `store show --json`."""
     shown: dict[str, Any] = {
         "kind": _SHOWN_KINDS.get(kind, kind),
         "key": key.decode("utf-8", "replace"),
--- a/shaletiller/replication/state_transfer.py
+++ b/shaletiller/replication/state_transfer.py
@@ -1,7 +1,7 @@
-"""State transfer: a member whose store is new is filled before it votes.
+"""State transfer: a member with a new store receives its rows from the other members before it votes.
 
-It asks each other member to note its incarnation and to send all the rows they share, page by page; when all
-of a key's group have sent theirs, it votes on that key.
+It requests each other member to record its incarnation and to send all the rows that both hold, page by page.
+It votes on a key once all other members of the key's group have sent their rows.
 """
 
 from __future__ import annotations
@@ -17,14 +17,17 @@
 from shaletiller.replication.transfer_budget import TransferBudget, row_bytes
 from shaletiller.store.record_format import RecordUpdate
 
-# Empirical: a lost page delays recovery by this much, against duplicate pages from a slow store.
+# Time after which a page is requested again. With a larger value a lost page delays recovery for longer; a
+# smaller value causes more duplicate pages from a slow store.
 RETRANSMIT_MS = 150.0
-PAGE_BYTES = 48_000  # empirical: well below a link's frame, large enough that few round trips fill a store
+# Approximate maximum size of a page, well below the frame limit of a link. A smaller value needs more round
+# trips to fill a store.
+PAGE_BYTES = 48_000
 
 
 @dataclass(slots=True)
 class _Progress:
-    """How far the transfer from one member has come."""
+    """The progress of the transfer from one member."""
 
     after: str = ""
     incarnation: int = 0
@@ -41,15 +44,15 @@
 
 
 class StateTransfer:
-    """One member's part in it: requests while its own store is new, pages for others.
+    """The state transfers of one member: requests while its own store is new, and pages for other members.
 
     The caller empties `outbox` after each call.
     """
 
     def __init__(self, acceptor: Acceptor, process_start_ms: int, budget: TransferBudget) -> None:
-        """Start without transfers.
+        """Create the state without transfers; `budget` is shared with anti-entropy.
 
-        :param process_start_ms: in milliseconds of the Unix epoch.
+        :param process_start_ms: start time of this process in milliseconds since the Unix epoch.
         """
         self.acceptor = acceptor
         self.budget = budget
@@ -59,10 +62,8 @@
         self._progress: dict[int, _Progress] = {}
         self._snapshots: dict[int, _Snapshot] = {}
 
-    # ---- as the member with a new store
-
     def tick(self, now_ms: float) -> None:
-        """Request pages from the members that have not sent everything."""
+        """Request pages from the members that have not sent all their rows yet."""
         acceptor = self.acceptor
         for member in range(acceptor.member_count):
             if member in acceptor.synced or member == acceptor.member:
@@ -72,11 +73,12 @@
                 self._request(member, progress, now_ms, retransmit=progress.nonce > 0)
 
     def restart(self) -> None:
-        """Begin all transfers again."""
+        """Restart all transfers from the first page."""
         self._progress.clear()
 
     def _request(self, member: int, progress: _Progress, now_ms: float, retransmit: bool = False) -> None:
-        if not retransmit:  # else under the same nonce: a reply may be on its way from a slow store
+        # A retransmission keeps its nonce, because the reply may still be on its way from a slow store.
+        if not retransmit:
             self._nonce += 1
             progress.nonce = self._nonce
         progress.requested_ms = now_ms
@@ -88,8 +90,8 @@
     ) -> tuple[list[RecordUpdate], bool]:
         """Merge a page.
 
-        :returns: the updates to persist, and whether the sender has sent everything, which counts once they
-            are persisted.
+        :returns: the updates to persist, and whether the transfer from the sender is complete once they are
+            persisted.
         """
         acceptor, progress = self.acceptor, self._progress.get(sender)
         if progress is None or page.nonce != progress.nonce:
@@ -102,7 +104,7 @@
         if progress.incarnation != page.incarnation:
             restart = progress.after != ""
             progress.incarnation, progress.after = page.incarnation, ""
-            if restart:  # the sender's store is a new one too: earlier pages came from the one before
+            if restart:  # The sender has a new store too; the earlier pages came from its previous store.
                 self._request(sender, progress, now_ms)
                 return [], False
         updates = [
@@ -116,10 +118,8 @@
         self._request(sender, progress, now_ms)
         return updates, False
 
-    # ---- as the member that has the rows
-
     def page_for(self, sender: int, request: StateTransferRequest, now_ms: float) -> StateTransferPage:
-        """Build a page; the metadata of the acceptor must be persisted before it is sent."""
+        """Build a page of rows; the acceptor's metadata must be persisted before the page is sent."""
         acceptor = self.acceptor
         if request.incarnation < acceptor.incarnations[sender]:
             known = tuple(acceptor.incarnations)
@@ -136,10 +136,10 @@
         )
 
     def _keys_for(self, sender: int, request: StateTransferRequest) -> list[str]:
-        """Return the keys to transfer, sorted, as of the sender's first request.
+        """Return the sorted keys to transfer, as of the first request of the sender's incarnation.
 
-        What is written after its incarnation was noted need not be transferred: those requests name that
-        incarnation already, so that it takes part in them.
+        Later writes need not be transferred: their requests name the recorded incarnation, so that the sender
+        takes part in them itself.
         """
         snapshot = self._snapshots.get(sender)
         if snapshot is None or snapshot.incarnation != request.incarnation or not request.after:
@@ -149,9 +149,9 @@
         return snapshot.keys
 
     def _collect_rows(self, keys: list[str], first: int, now_ms: float) -> tuple[list[tuple[str, Row]], int]:
-        """Collect rows from `first` on until the page is full; where the budget is spent, a single one.
+        """Collect rows from index `first` until the page is full; a single row if the budget is exhausted.
 
-        :returns: the rows, and the index of the key after the last.
+        :returns: the rows, and the index of the next key to transfer.
         """
         rows: list[tuple[str, Row]] = []
         size, index = 0, first
--- a/shaletiller/replication/transfer_budget.py
+++ b/shaletiller/replication/transfer_budget.py
@@ -1,26 +1,27 @@
-"""The bandwidth budget that state transfer and anti-entropy share: a token bucket of bytes."""
+"""The bandwidth budget shared by state transfer and anti-entropy: a token bucket of bytes."""
 
 from __future__ import annotations
 
 from shaletiller.replication.records import Row
 
-ROW_OVERHEAD_BYTES = 60  # of an encoded row beside its key and value, approximately
-DEFAULT_BYTES_PER_SECOND = 4e6  # empirical: time to fill a lost machine against the load on the links
+ROW_OVERHEAD_BYTES = 60  # Approximate size of an encoded row without its key and value.
+# Default bandwidth limit. A larger value fills a replaced machine sooner; a smaller value loads links less.
+DEFAULT_BYTES_PER_SECOND = 4e6
 
 
 def row_bytes(key: str, row: Row) -> int:
-    """Estimate the size of a row in a message."""
+    """Estimate the encoded size of a row in a message."""
     return ROW_OVERHEAD_BYTES + len(key) + len(row.value)
 
 
 class TransferBudget:
-    """Bounds the bytes per second that one member gives to others, and counts what it gave.
+    """Limits the bytes per second of rows that one member sends to others, and counts what it has sent.
 
-    Requests compete with repair for the links: after a long outage unbounded repair would delay them.
+    Requests and repair share the links: after a long outage, unlimited repair traffic would delay requests.
     """
 
     def __init__(self, bytes_per_second: float = DEFAULT_BYTES_PER_SECOND) -> None:
-        """Start with an empty bucket."""
+        """Create an empty bucket."""
         self.bytes_per_second = bytes_per_second
         self.available = 0.0
         self.rows_sent = 0
@@ -28,13 +29,13 @@
         self._refilled_ms = 0.0
 
     def refill(self, now_ms: float) -> None:
-        """Add what has accrued since the last call; at most one second's worth is saved up."""
+        """Add the bytes accrued since the last call; the bucket holds at most one second's worth."""
         accrued = self.bytes_per_second * max(0.0, now_ms - self._refilled_ms) / 1000
         self.available = min(self.bytes_per_second, self.available + accrued)
         self._refilled_ms = now_ms
 
     def spend(self, rows: int, size: int) -> None:
-        """Account for a message of so many rows and bytes; the budget may become negative."""
+        """Charge a message of `rows` rows and `size` bytes to the budget, which may become negative."""
         self.available -= size
         self.rows_sent += rows
         self.bytes_sent += size
--- a/shaletiller/replication/writes.py
+++ b/shaletiller/replication/writes.py
@@ -1,15 +1,15 @@
-"""Replicated writes: an intent is committed before a write is forwarded, its outcome before it is answered.
-
-    claim -- committed --> FORWARD -- served --> outcome committed --> answer SERVED
-      |                       |-- nothing ran --> the key is freed again (after the answer)
-      |                       `-- otherwise ----> a failed outcome is written (after the answer)
-      |-- found an outcome --> answer with it, no node is called
-      |-- found an intent whose gateway may still answer --> REJECTED: retry later
-      |-- found an intent whose gateway has not answered --> FAILED: it may have run
+"""Replicated writes: an intent is committed before a write is forwarded, its outcome before the response.
+
+    claim -- committed --> FORWARD -- served --> outcome committed --> response SERVED
+      |                       |-- nothing ran --> the key is released (after the response)
+      |                       `-- otherwise ----> a failed outcome is written (after the response)
+      |-- found an outcome --> the recorded response; no node is called
+      |-- found an intent before its deadline --> REJECTED: the owner may still respond, retry later
+      |-- found an intent past its deadline --> FAILED: the write may have run
       `-- indeterminate --> REJECTED: nothing was forwarded
 
-A rejection says that nothing was forwarded for this request; a failure leaves it open.  Free of time
-and I/O: decisions are data.
+A rejection means that nothing was forwarded for this request; after a failure the write may have run. This
+module performs no I/O and reads no clock: its decisions are plain data.
 """
 
 from __future__ import annotations
@@ -22,22 +22,26 @@
 from shaletiller.replication.proposer import Precondition
 from shaletiller.replication.records import WriteIntent, WriteOutcome, decode_value, pack
 
-# A claim that takes longer leaves too little of the request's time for the write itself.
+# Limits of the time for a claim, absolute and as a fraction of the request's remaining time: a claim that
+# takes longer leaves too little time for the write itself.
 MAX_CLAIM_MS, MAX_CLAIM_PART = 400.0, 0.4
-# How long a record that no client waits for is tried; afterwards the key reads "failed".
+# Timeout for a record that no client waits for. If it is not committed by then, retries of the write fail.
 CLEANUP_MS = 30_000.0
-CLOCK_MARGIN_MS = 2_000.0  # records outlive their retention by this much, since clocks differ by a second
-MIN_RETRY_AFTER_MS = 20.0  # empirical: an immediate retry would find the same intent
-NO_MAJORITY_RETRY_AFTER_MS = 500.0  # empirical: load of retries against delay once the majority is back
+# Time that records outlive their retention, because the clocks of members may differ by up to a second.
+CLOCK_MARGIN_MS = 2_000.0
+MIN_RETRY_AFTER_MS = 20.0  # An immediate retry would find the same intent.
+# Retry-After while there is no majority. A larger value delays clients for longer once the majority is back;
+# a smaller value causes more load by retries.
+NO_MAJORITY_RETRY_AFTER_MS = 500.0
 
 
 class WriteVerdict(StrEnum):
-    """What becomes of a write, or what has become of it."""
+    """What to do with a write, or its result."""
 
     FORWARD = "forward"
     SERVED = "served"
-    FAILED = "failed"  # it may have run
-    REJECTED = "refused"  # nothing was forwarded, or nothing ran
+    FAILED = "failed"  # The write may have run.
+    REJECTED = "refused"  # Nothing was forwarded, or nothing ran.
 
 
 class _Phase(Enum):
@@ -48,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteDecision:
-    """For the write of this number: forward it to the nodes, or the answer to its client."""
+    """A decision on write `number`: forward it to the nodes, or respond to its client."""
 
     number: int
     verdict: WriteVerdict
@@ -64,33 +68,33 @@
     request_hash: int
     deadline_ms: float
     phase: _Phase = _Phase.CLAIMING
-    operation: int = 0  # the one it waits for
+    operation: int = 0  # The operation that the write waits for.
     position: CommitPosition | None = None
     intent: bytes = b""
     body: bytes = b""
 
 
 class ReplicatedWrites:
-    """The replicated writes under way at one gateway."""
+    """The replicated writes in progress at one gateway."""
 
     def __init__(self, node: ReplicationNode, incarnation: int, retention_ms: float) -> None:
-        """Start without writes.
+        """Create the state without writes.
 
-        :param incarnation: start of this process in milliseconds of the Unix epoch.
-        :param retention_ms: how long an outcome is guaranteed to be known.
+        :param incarnation: start time of this process in milliseconds since the Unix epoch.
+        :param retention_ms: how long an outcome is retained at least.
         """
         self._node, self._incarnation, self._retention_ms = node, incarnation, retention_ms
         self._writes: dict[int, _Write] = {}
-        self._waiting: dict[int, int] = {}  # write by the operation it waits for
+        self._waiting: dict[int, int] = {}  # Write numbers by the operation that the write waits for.
         self.decisions: list[WriteDecision] = []
-        # The keys are those of the operators' STATS.
+        # The keys are part of metric names in the operators' STATS output.
         self.counts = dict.fromkeys(
             ("claimed", "made", "repeated", "in_progress", "may_have_run", "no_majority", "unmade"), 0
         )
 
     @property
     def under_way(self) -> int:
-        """How many writes wait for their claim, their answer or their record."""
+        """Number of writes that wait for their claim, for a response from a node, or for their outcome."""
         return len(self._writes)
 
     def take_decisions(self) -> list[WriteDecision]:
@@ -98,13 +102,12 @@
         decisions, self.decisions = self.decisions, []
         return decisions
 
-    # ---- from the request path
-
     def begin(self, number: int, key: str, request_hash: int, deadline_ms: float, now_ms: float) -> None:
-        """Claim the key of a write that is to be forwarded.
+        """Claim the key of a write before it is forwarded.
 
-        :param request_hash: tells a retry of the same request from another request under the same key.
-        :param deadline_ms: when its client must be answered.
+        :param number: number of the write, which its decisions carry.
+        :param request_hash: distinguishes a retry from another request with the same idempotency key.
+        :param deadline_ms: deadline of the response to the client.
         """
         member = self._node.member
         intent = pack(
@@ -120,15 +123,16 @@
         )
 
     def end(self, number: int, verdict: WriteVerdict, body: bytes, now_ms: float) -> None:
-        """Record what has become of a write.
+        """Record the result of a write.
 
-        :param verdict: SERVED with the node's answer, which the client gets once it is committed; REJECTED:
-            nothing ran; FAILED: it may have run.  The latter two have been answered already.
+        :param verdict: SERVED with the node's response, which the client receives once the outcome is
+            committed; REJECTED if nothing ran; FAILED if the write may have run. In the latter two cases the
+            client has received its response already.
         """
         write = self._writes.get(number)
         if write is None or write.phase is _Phase.RECORDING:
             return
-        if write.phase is _Phase.CLAIMING:  # answered before it was forwarded; the claim may yet be committed
+        if write.phase is _Phase.CLAIMING:  # Nothing was forwarded, but the claim may still be committed.
             self._drop(write)
             self._release(write, now_ms)
         elif verdict == WriteVerdict.SERVED:
@@ -143,12 +147,12 @@
             self._replace_intent(write, value, now_ms + CLEANUP_MS, now_ms)
 
     def _replace_intent(self, write: _Write, value: bytes, deadline_ms: float, now_ms: float) -> int:
-        # The position is used once: two values under one ballot and step would break the register.
+        # The position is used only once: two values under one ballot and step would corrupt the register.
         position, write.position = write.position, None
         return self._propose_over_intent(write, value, deadline_ms, now_ms, position)
 
     def _release(self, write: _Write, now_ms: float) -> None:
-        """Free the key of a write that was not forwarded, should its intent be committed after all."""
+        """Release the key of a write that was not forwarded, in case its intent is committed later."""
         self._propose_over_intent(write, b"", now_ms + CLEANUP_MS, now_ms, write.position)
 
     def _propose_over_intent(
@@ -181,12 +185,10 @@
         self._writes.pop(write.number, None)
         self._waiting.pop(write.operation, None)
 
-    # ---- from the replicas
-
     def operation_finished(self, result: OperationResult, now_ms: float) -> bool:
         """Handle the result of an operation.
 
-        :returns: whether a write was waiting for it.
+        :returns: whether a write was waiting for the operation.
         """
         number = self._waiting.pop(result.operation, None)
         write = self._writes.get(number) if number is not None else None
@@ -208,7 +210,7 @@
         if result.committed:
             self._count("made")
             self._decide(write, WriteVerdict.SERVED, write.body)
-        else:  # a client that got the answer might get another one to its retry
+        else:  # The outcome is not known to be committed, so a retry might get another response.
             self._count("unmade")
             self._decide(write, WriteVerdict.FAILED)
 
