--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -1,6 +1,7 @@
-"""Replication without processes: the protocol step by step, schedules of faults, and removed guards.
+"""Tests of the replication protocol without gateway processes.
 
-Each guard that is removed must be noticed by a checker.
+They cover single steps of the protocol, seeded schedules of faults on a virtual clock, and mutations: for
+each safety check that a test removes, a checker must report a violation.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 class Cluster:
-    """Members that have synced with each other, whose messages and disks the test controls."""
+    """A group of synced members whose messages, disks and clock are controlled by the test."""
 
     def __init__(self, members: int = 3, zones: tuple[str, ...] = ()) -> None:
         self.groups = ReplicaGroups(zones or ("",) * members)
@@ -56,20 +57,20 @@
         self.run(500)
 
     def start(self, member: int, wiped: bool = False) -> None:
-        """Start a member on its disk, or on an empty one."""
+        """Start a member with its disk, or with an empty one if `wiped`."""
         if wiped:
             self.disks[member] = {}
         kept = [(kind, key, value) for (kind, key), value in self.disks[member].items()]
         self.nodes[member] = ReplicationNode(member, self.groups, kept, self.now + member)
 
     def node(self, member: int) -> ReplicationNode:
-        """Return the node of a member that is up."""
+        """Return the node of a member, which must be up."""
         found = self.nodes[member]
         assert found is not None
         return found
 
     def run(self, span_ms: float, step_ms: float = 5.0) -> None:
-        """Let time pass."""
+        """Advance the clock, and execute all effects after each step."""
         until = self.now + span_ms
         while self.now < until:
             self.now += step_ms
@@ -79,14 +80,14 @@
             self.settle()
 
     def settle(self) -> None:
-        """Carry out all effects, until none are left."""
+        """Execute effects until none are left."""
         while any(node is not None and node.effects for node in self.nodes):
             for member, node in enumerate(self.nodes):
                 for effect in node.take_effects() if node is not None else ():
                     self.carry_out(member, effect)
 
     def carry_out(self, member: int, effect: Any) -> None:
-        """Deliver a message, or persist to the disk of a member, as far as the faults allow."""
+        """Execute one effect of a member, subject to the current faults."""
         node = self.node(member)
         if isinstance(effect, OperationResult):
             self.results.append(effect)
@@ -116,7 +117,7 @@
         retention_ms: float = MINUTE,
         **more: Any,
     ) -> OperationResult:
-        """Run an operation to its end."""
+        """Run an operation and return its result."""
         until, last = self.now + retention_ms, self.now + timeout_ms
         operation = self.node(member).propose(key, precondition, value, until, last, self.now, **more)
         self.settle()
@@ -126,10 +127,10 @@
                 self.results.remove(found[0])
                 return found[0]
             self.run(5.0)
-        raise AssertionError("the operation never ended")
+        raise AssertionError(f"operation {operation} on key {key!r} has not ended")
 
     def read(self, member: int, key: str) -> bytes:
-        """Read a key through a member."""
+        """Read the value of a key through a member."""
         found = self.propose(member, key, Precondition.READ_ONLY)
         assert not found.indeterminate
         return found.value
@@ -148,7 +149,7 @@
     st.text(min_size=1, max_size=20), st.lists(st.sampled_from(["", "a", "b", "c"]), min_size=1, max_size=9)
 )
 def test_a_group_spreads_over_the_zones(key: str, zones: list[str]) -> None:
-    """A group has distinct members, one per zone as far as there are zones, and a true majority."""
+    """A group has distinct members, in different zones if there are enough zones, and a strict majority."""
     groups = ReplicaGroups(zones)
     found = groups.members_of(key)
     assert len(set(found)) == len(found) == min(3, len(zones)) == groups.replicas
@@ -162,9 +163,9 @@
 
 
 def test_a_claim_of_a_free_key_takes_one_round_and_its_outcome_another(cluster: Cluster) -> None:
-    """Nothing fails: a claim and the write that follows it each cost one round of accepts.
+    """Without faults, a claim and the outcome that replaces it each take one round of accepts.
 
-    No prepare is sent, and all three replicas then read the outcome.
+    No prepare is sent, and the outcome can then be read through all three members.
     """
     cluster.sent.clear()
     claimed = cluster.propose(0, "k", value=b"mine")
@@ -181,15 +182,15 @@
 
 
 def test_a_second_claim_finds_the_first_and_a_released_key_is_free_again(cluster: Cluster) -> None:
-    """Two gateways claim one key: the second finds the value of the first.
+    """Two gateways claim the same key: the second one finds the value of the first.
 
-    Its prepare raised the ballot, so the first releases the key in a second round; a third claim then
-    succeeds.
+    The first gateway can still release the key although the second one's prepare raised the ballot; a third
+    claim then succeeds.
     """
     first = cluster.propose(0, "k", value=b"mine")
     assert not (found := cluster.propose(1, "k", value=b"yours")).committed
     assert found.value == b"mine"
-    # The second prepared a higher ballot: the first still replaces its own value, in one more round.
+    # The second gateway prepared a higher ballot: the first one needs another round to replace its own value.
     assert cluster.propose(
         0, "k", Precondition.EQUALS, b"", expected=b"mine", position=first.position
     ).committed
@@ -197,9 +198,9 @@
 
 
 def test_a_superseded_writer_commits_nothing(cluster: Cluster) -> None:
-    """One gateway commits a value, another replaces it, and the first writes late at its old position.
+    """A gateway commits a value, another one replaces it, and the first writes late at its old position.
 
-    The late write must be fenced, and must return the value that replaced its own.
+    The late write must be fenced, and must return the value that replaced the gateway's own.
     """
     first = cluster.propose(0, "k", value=b"mine")
     assert cluster.propose(1, "k", Precondition.EQUALS, b"taken over", expected=b"mine").committed
@@ -211,9 +212,9 @@
 def test_with_one_of_three_down_a_majority_commits_and_with_two_down_nothing_is_determined(
     cluster: Cluster,
 ) -> None:
-    """One of three members is down: two still commit.
+    """With one of three members down, the other two still commit.
 
-    With two down the last one must not claim to know anything: its result is indeterminate.
+    With two members down, the result at the last one must be indeterminate.
     """
     cluster.nodes[2] = None
     assert cluster.propose(0, "k", value=b"mine").committed
@@ -222,10 +223,9 @@
 
 
 def test_a_fast_round_is_not_tried_while_a_member_is_known_to_be_down(cluster: Cluster) -> None:
-    """A member of the group is known to be down.
+    """The proposer must skip the fast round if a member of the group is known to be down.
 
-    A fast round needs all members and would wait 40 ms for it on every write: the proposer must prepare at
-    once.
+    A fast round needs all members, so every write would wait for its timeout of 40 ms.
     """
     cluster.nodes[2] = None
     cluster.node(0).unreachable = frozenset({2})
@@ -236,10 +236,10 @@
 
 
 def test_the_value_of_a_fast_round_counts_only_if_all_replies_have_it() -> None:
-    """A majority replied to a prepare, and some rows come from a fast round.
+    """A majority replied to a prepare, and some of the rows were written in a fast round.
 
-    A fast value counts as possibly committed only if all of the rows have it; a later step or ballot always
-    does.
+    A value of a fast round may be committed only if all replies have it; a value of a later step or ballot
+    may always be.
     """
     mine, yours = Row(FAST_BALLOT, FAST_BALLOT, 0, b"mine", 9), Row(FAST_BALLOT, FAST_BALLOT, 0, b"yours", 9)
     assert possibly_committed([mine, mine]).value == b"mine"
@@ -249,7 +249,7 @@
         == possibly_committed([mine, Row(Ballot(2, 0, 0))]).value
     )
     settled = Row(FAST_BALLOT, FAST_BALLOT, 1, b"outcome", 9)
-    # The next step is written only once the first is committed.
+    # The next step is written only after the first one is committed.
     assert possibly_committed([mine, settled]).value == b"outcome"
     assert (
         possibly_committed([yours, Row(Ballot(3, 1, 1), Ballot(2, 1, 1), 0, b"newer", 9)]).value == b"newer"
@@ -257,9 +257,10 @@
 
 
 def test_two_operations_of_one_process_on_one_key_never_share_a_ballot(cluster: Cluster) -> None:
-    """Two retries of one key arrive at one gateway, and both operations reach the same round.
+    """Two retries with the same key arrive at one gateway, and both operations reach the same round.
 
-    Found by a schedule of the simulation: under one ballot both were committed.  Exactly one may be.
+    Exactly one may be committed. The simulation found a schedule in which both were committed, because they
+    used the same ballot.
     """
     cluster.propose(0, "k", value=b"old")
     cluster.propose(0, "k", Precondition.EQUALS, b"", expected=b"old")
@@ -274,10 +275,7 @@
 
 
 def test_operator_commands_are_ordered_by_their_stamps(cluster: Cluster) -> None:
-    """A newer operator command is committed, then an older one arrives late through another gateway.
-
-    The older one must not replace it.
-    """
+    """An operator command that arrives late through another gateway must not replace a newer one."""
     commands = [
         pack(OperatorCommand(in_effect, stamp, 0, 1 << 50)) for in_effect, stamp in ((True, 10), (False, 20))
     ]
@@ -288,9 +286,9 @@
 
 
 def test_expired_rows_are_removed_from_all_replicas_and_their_disks(cluster: Cluster) -> None:
-    """A value expires.
+    """All replicas remove an expired value, also from their disks.
 
-    All replicas drop it, their disks too; the digests are those of empty stores, and the key is free.
+    The digests must then equal those of empty stores, and the key must be free.
     """
     assert cluster.propose(0, "k", value=b"mine", retention_ms=1_000.0).committed
     assert all((1, b"k") in disk for disk in cluster.disks)
@@ -306,7 +304,8 @@
 def test_a_replica_that_was_not_persisted_is_never_counted(cluster: Cluster) -> None:
     """Two of three disks are full while a value is proposed, and the request is retransmitted.
 
-    The value must not count as committed; once there is space, what is read must be on two disks.
+    The value must not count as committed. Once there is space again, the value that is read must be on at
+    least two disks.
     """
     cluster.full_disks = {1, 2}
     assert cluster.propose(0, "k", value=b"mine", timeout_ms=300.0).indeterminate
@@ -319,9 +318,9 @@
 def test_a_retransmission_after_a_failed_commit_is_answered_only_once_the_row_is_persisted(
     cluster: Cluster,
 ) -> None:
-    """An accept is applied, its commit fails, and the same accept arrives again.
+    """An accept request is applied, persisting its row fails, and the same request arrives again.
 
-    The row in memory no longer changes, but the disk lacks it: it must be persisted before the reply is sent.
+    The request no longer changes the row in memory, but the row must be persisted before the reply is sent.
     """
     node, incarnations = cluster.node(1), cluster.node(1).acceptor.incarnations_of("k")
     ask = Accept(7, "k", FAST_BALLOT, 0, b"mine", int(cluster.now + MINUTE), incarnations)
@@ -330,7 +329,7 @@
     assert isinstance(first, PersistRecords)
     assert first.updates
     node.persist_failed(first.token)
-    node.receive(0, ask, cluster.now)  # no change in memory, but the disk lacks it
+    node.receive(0, ask, cluster.now)  # The row in memory does not change, but the disk lacks it.
     persists = [effect for effect in node.take_effects() if isinstance(effect, PersistRecords)]
     assert any(key == b"k" and value is not None for persist in persists for _, key, value in persist.updates)
     for persist in persists:
@@ -340,10 +339,10 @@
 
 
 def lose_one_with_another_down() -> Cluster:
-    """Commit a value on members 0 and 1 of three; then 1 has lost its disk and 0 is down."""
+    """Commit a value on members 0 and 1 of three, then wipe member 1 and stop member 0."""
     cluster = Cluster()
     cluster.nodes[2] = None
-    assert cluster.propose(0, "k", value=b"mine").committed  # on 0 and 1
+    assert cluster.propose(0, "k", value=b"mine").committed  # On members 0 and 1.
     cluster.nodes[0] = None
     cluster.start(2)
     cluster.start(1, wiped=True)
@@ -352,16 +351,16 @@
 
 
 def test_a_machine_that_returns_empty_does_not_vote_before_its_group_has_filled_it() -> None:
-    """Two of three committed a value; one of them lost its disk, and the other is down.
+    """Two of three members committed a value; one of them has lost its disk, and the other one is down.
 
-    The empty one must not vote, and a read must be indeterminate, until the member that has the value is
-    back.
+    Until the member that has the value is back, the wiped member must not vote, and a read must be
+    indeterminate.
     """
     cluster = lose_one_with_another_down()
     asked = Prepare(
         5, "k", Ballot(9, 2, 1), int(cluster.now + MINUTE), cluster.node(1).acceptor.incarnations_of("k")
     )
-    assert not cluster.node(1).fully_synced  # 0 has what 1 lost: without it nothing is determined
+    assert not cluster.node(1).fully_synced  # Only member 0, which is down, has the rows that member 1 lost.
     assert cluster.node(1).acceptor.prepare(asked, cluster.now)[0].status == ReplyStatus.RECOVERING
     assert cluster.propose(2, "k", Precondition.READ_ONLY, timeout_ms=300.0).indeterminate
     cluster.start(0)
@@ -371,9 +370,9 @@
 
 
 def test_a_request_that_names_a_past_incarnation_is_fenced(cluster: Cluster) -> None:
-    """A member returns with a new store, and then a request arrives that names its past incarnation.
+    """A member returns with a new store, and a request arrives that names its past incarnation.
 
-    No member may accept it, and the replies must carry the new incarnations.
+    No member may accept the request, and the replies must carry the new incarnations.
     """
     incarnations = cluster.node(0).acceptor.incarnations_of("k")
     cluster.start(2, wiped=True)
@@ -386,14 +385,14 @@
 
 
 def test_a_store_restored_from_an_old_copy_never_votes(cluster: Cluster) -> None:
-    """A machine was replaced, and then somebody puts the disk of the old machine back.
+    """A machine was replaced, and then the disk of the old machine is put back.
 
-    The old store must find out that it is superseded, and vote on nothing.
+    The member must detect that the old store is superseded, and must not vote.
     """
     before = dict(cluster.disks[2])
     cluster.start(2, wiped=True)
     cluster.run(800.0)
-    cluster.disks[2] = before  # the disk of the old machine is put back
+    cluster.disks[2] = before  # The disk of the old machine is put back.
     cluster.start(2)
     cluster.propose(2, "k", value=b"x")
     assert cluster.node(2).acceptor.superseded
@@ -401,9 +400,9 @@
 
 
 def test_a_new_machine_whose_clock_is_behind_takes_a_later_incarnation(cluster: Cluster) -> None:
-    """A machine returns empty, with a clock behind that of the machine before it.
+    """A machine returns with an empty disk, and its clock is behind that of its predecessor.
 
-    Its incarnation must become later than the past one, and it must be filled.
+    Its incarnation must become later than the past one, and state transfer must complete.
     """
     incarnations = list(cluster.node(0).acceptor.incarnations)
     cluster.disks[2] = {}
@@ -416,8 +415,9 @@
 def test_a_new_store_takes_what_others_accepted_whatever_they_have_promised_since() -> None:
     """A new store merges a row with a high promise, and the last copy of an outcome with a lower ballot.
 
-    Found by one schedule of 10,000: the promise kept it from taking the outcome, which a client had been
-    given. While it recovers it must take both; an acceptor that votes must not, since it has promised.
+    While it recovers it must merge both. An acceptor that votes must not, because it has promised to accept
+    nothing lower. One of 10,000 simulated schedules found that the promise prevented the merge of an outcome
+    that a client had already received.
     """
     copy = Acceptor(2, ReplicaGroups(("", "", "")))
     first = Row(Ballot(19, 3, 1), FAST_BALLOT, 0, b"never committed", 9_000)
@@ -431,7 +431,7 @@
         )
     voter = Acceptor(2, ReplicaGroups(("", "", "")))
     voter.merge("k", first, 1_000.0)
-    voter.merge("k", committed, 1_000.0)  # an acceptor that votes has promised not to
+    voter.merge("k", committed, 1_000.0)  # Refused: it has promised to accept nothing below ballot 19.
     assert voter.row("k", 1_000.0).value == b"never committed"
 
 
@@ -439,9 +439,9 @@
 
 
 def test_a_member_is_repaired_within_the_budget() -> None:
-    """A member is cut off while sixty values are committed, then it is back.
+    """A member is partitioned from the others while sixty values are committed.
 
-    Anti-entropy must bring it every value it lacks, within the budget of bytes per second.
+    Afterwards anti-entropy must send it every value that it lacks, within the limit of bytes per second.
     """
     cluster = Cluster(5)
     cluster.partitioned = {4}
@@ -474,20 +474,20 @@
 
 
 class WriteClient:
-    """Writes through one member of a cluster."""
+    """Performs replicated writes through one member of a cluster."""
 
     def __init__(self, cluster: Cluster, member: int) -> None:
         self.cluster, self.member, self.number = cluster, member, 0
         self.writes = ReplicatedWrites(cluster.node(member), int(cluster.now) + member, MINUTE)
 
     def begin(self, key: str, request_hash: int = 1, timeout_ms: float = 900.0) -> int:
-        """Begin a write and return its number."""
+        """Start a write and return its number."""
         self.number += 1
         self.writes.begin(self.number, key, request_hash, self.cluster.now + timeout_ms, self.cluster.now)
         return self.number
 
     def decided(self) -> list[tuple[int, WriteVerdict, bytes]]:
-        """Wait for the next decisions."""
+        """Wait for the next decisions, and return number, verdict and body of each."""
         self.cluster.settle()
         for _ in range(200):
             for done in list(self.cluster.results):
@@ -500,18 +500,19 @@
         return []
 
     def decide(self, number: int) -> WriteVerdict:
-        """Return the decision for a write."""
+        """Wait for the next decisions, and return the verdict on one write."""
         return {each: verdict for each, verdict, _ in self.decided()}[number]
 
     def decide_new(self, key: str) -> WriteVerdict:
-        """Begin a write and return its decision."""
+        """Start a write and return the verdict on it."""
         return self.decide(self.begin(key))
 
 
 def test_a_retry_through_another_gateway_gets_the_recorded_answer(cluster: Cluster) -> None:
     """A client retries a served write through another gateway.
 
-    It must get the recorded answer without a node being asked; another request under the same key must fail.
+    It must receive the recorded response, without a call to a node. Another request with the same idempotency
+    key must fail.
     """
     first, second = WriteClient(cluster, 0), WriteClient(cluster, 1)
     number = first.begin("k")
@@ -521,16 +522,16 @@
     again = second.begin("k")
     assert second.decided() == [(again, WriteVerdict.SERVED, b"body")]
     other = second.begin("k", request_hash=2)
-    assert second.decided() == [(other, WriteVerdict.FAILED, b"")]  # the key was used for another request
+    assert second.decided() == [(other, WriteVerdict.FAILED, b"")]  # The key was used for another request.
 
 
 def test_a_retry_is_rejected_while_the_first_is_out_and_fails_after_its_gateway_died(
     cluster: Cluster,
 ) -> None:
-    """A client retries a write that its first gateway has forwarded but not answered; that gateway dies.
+    """A gateway is killed after it has forwarded a write, and the client retries through another gateway.
 
-    Until the deadline of the first the retry is rejected; after it the write may have run, so the retry must
-    fail.
+    A retry before the deadline of the first request is rejected. After the deadline it must fail, because the
+    write may have run.
     """
     first, second = WriteClient(cluster, 0), WriteClient(cluster, 1)
     number = first.begin("k")
@@ -538,13 +539,13 @@
     assert second.decide(second.begin("k")) == WriteVerdict.REJECTED
     cluster.nodes[0] = None
     cluster.run(1_000.0)
-    assert second.decide(second.begin("k")) == WriteVerdict.FAILED  # it may have run
+    assert second.decide(second.begin("k")) == WriteVerdict.FAILED  # The write may have run.
 
 
 def test_a_write_that_never_ran_may_be_retried_immediately(cluster: Cluster) -> None:
-    """A claimed write is rejected: nothing ran.
+    """A claimed write is rejected by the nodes without having run.
 
-    Its key must be free for a retry through another gateway.
+    Its key must be released, so that a retry through another gateway is forwarded.
     """
     first, second = WriteClient(cluster, 0), WriteClient(cluster, 1)
     number = first.begin("k")
@@ -555,10 +556,9 @@
 
 
 def test_an_outcome_that_cannot_be_committed_is_not_answered(cluster: Cluster) -> None:
-    """A write was served by a node, but its gateway is cut off from the replicas.
+    """A node has served a write, but its gateway is partitioned from the other replicas.
 
-    The client must not be told that it was served, since a retry might find otherwise; it must never run
-    twice.
+    The response must not be SERVED, because a retry might get another one. The write must not run twice.
     """
     first = WriteClient(cluster, 0)
     number = first.begin("k")
@@ -568,14 +568,14 @@
     assert first.decided() == [(number, WriteVerdict.FAILED, b"")]
     cluster.partitioned = set()
     cluster.run(1_000.0)
-    # It may be committed after the answer; what must never happen is a second run.
+    # The outcome may be committed after the response, but the write must not be forwarded again.
     assert WriteClient(cluster, 1).decide_new("k") in (WriteVerdict.FAILED, WriteVerdict.SERVED)
 
 
 def test_without_a_majority_nothing_is_forwarded_and_the_key_is_released(cluster: Cluster) -> None:
-    """A gateway without a majority claims a key.
+    """A gateway that is partitioned from the majority claims a key.
 
-    The write must be rejected without being forwarded, and its key must be free once the majority is back.
+    The write must be rejected without being forwarded, and its key must be free once the partition ends.
     """
     first = WriteClient(cluster, 0)
     cluster.partitioned = {0}
@@ -590,7 +590,7 @@
 
 @given(st.binary(max_size=80))
 def test_any_bytes_are_dropped_and_counted(data: bytes) -> None:
-    """Arbitrary bytes arrive as a frame: they must be dropped and counted, and raise nothing."""
+    """A frame of arbitrary bytes must be dropped and counted, and must not raise an exception."""
     codec = Codec(7, 0, 3)
     assert codec.read(b"P" + data) is None
     assert sum(codec.dropped.values()) == 1
@@ -607,7 +607,7 @@
 
 
 def test_values_of_a_later_version_decode_to_nothing() -> None:
-    """An empty value, or one with a tag of a later version, must decode to nothing and raise nothing."""
+    """An empty value, or one with a tag of a later version, must decode to None without an exception."""
     assert decode_value(b"") is None
     assert decode_value(b"\x93\x63\x01\x02") is None
     assert isinstance(decode_value(pack(WriteIntent(1, 2, 3, 4, 5, 6))), WriteIntent)
@@ -617,9 +617,10 @@
 
 
 def test_every_order_of_events_on_two_keys_keeps_the_guarantees() -> None:
-    """Two keys are claimed, in every order of events: without faults, with a timeout, with a message lost.
+    """Explore every order of events for claims of two keys.
 
-    No two claims of a key may both be committed, and no committed outcome may be lost.
+    The runs are without faults, with a timeout, and with a late request and a lost message. No two claims of
+    one key may both be committed, and no committed outcome may be lost.
     """
     for bounds in (
         FaultBounds(),
@@ -639,7 +640,7 @@
 def test_a_schedule_of_faults_breaks_no_guarantee(seed: int) -> None:
     """Five gateways serve writes and retries under a seeded schedule of faults.
 
-    No write may run twice, and no retry may get another answer than the first.
+    No write may run twice, and no retry may receive a different response than the first request.
     """
     result = run_schedule(seed)
     assert not result.violations, (result.faults, result.violations)
@@ -647,11 +648,11 @@
     assert result.repeated_answers > 10
 
 
-# ---- the guards taken out, one by one
+# ---- removal of single safety checks
 
 
 def find_violations(node_factory: Callable[..., Any] = ReplicationNode, seeds: int = 40) -> list[str]:
-    """Return the violations found in the first schedule that has any."""
+    """Return the violations of the first schedule that has any."""
     for seed in range(seeds):
         found = run_schedule(seed, node_factory=node_factory).violations
         if found:
@@ -660,13 +661,13 @@
 
 
 def test_a_wrong_majority_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The guard taken out: a single member counts as a majority.  The simulation must find a violation."""
+    """If a single member counts as a majority, the simulation must find a violation."""
     monkeypatch.setattr(ReplicaGroups, "majority", property(lambda self: 1))
     assert find_violations()
 
 
 class RepliesBeforeSync(ReplicationNode):
-    """Replies before the rows are persisted."""
+    """A faulty node that replies before its rows are persisted."""
 
     def _persist(self, updates: list[Any], after: Any = None) -> None:
         reply_now = isinstance(after, SendMessage)
@@ -676,26 +677,26 @@
 
 
 def test_an_acknowledgement_before_the_sync_is_caught() -> None:
-    """The guard taken out: replies are sent before their rows are persisted, and a member is killed.
+    """If replies are sent before their rows are persisted, and a member is killed, a write can be lost.
 
-    The exhaustive exploration must find the violation.
+    The exhaustive exploration must find this violation.
     """
     found = explore(ProtocolModel(FaultBounds(crashes=1), TWO_KEYS, RepliesBeforeSync), max_states=60_000)
     assert "is found afterwards" in found.violation or "both kept" in found.violation
 
 
 def test_a_wiped_member_that_votes_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The guard taken out: a member that returned empty votes at once.
+    """If a wiped member votes immediately, a second claim of a committed key succeeds.
 
-    A second claim of a committed key must then succeed, which shows that the guard is what prevents it.
+    This shows that `may_vote` is what prevents the second claim.
     """
     monkeypatch.setattr(Acceptor, "may_vote", lambda self, key: True)
     cluster = lose_one_with_another_down()
-    assert cluster.propose(2, "k", value=b"yours").committed  # although the key is another's
+    assert cluster.propose(2, "k", value=b"yours").committed  # Although another claim was committed before.
 
 
 def test_a_missing_fence_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The guard taken out: acceptors accept below their promise.  The simulation must find a violation."""
+    """If acceptors accept ballots below their promise, the simulation must find a violation."""
 
     def takes_all(self: Acceptor, ask: Accept, now_ms: float) -> tuple[Reply, list[Any]]:
         fenced = self._fence(ask)
@@ -710,7 +711,7 @@
 
 
 def test_a_store_holds_registers_and_metadata_only(cluster: Cluster) -> None:
-    """A new store holds three metadata records, and one more for each register."""
+    """A store holds three metadata records, and one record per register."""
     assert {kind for disk in cluster.disks for kind, _ in disk} == {META}
     cluster.propose(0, "k", value=pack(WriteOutcome(True, b"b", 1, 2)))
     assert all(len(disk) == 4 for disk in cluster.disks)
--- a/tests/replication/test_replication_adapters.py
+++ b/tests/replication/test_replication_adapters.py
@@ -1,4 +1,4 @@
-"""The adapters of replication in one gateway, without fleet or engine: store, commands and list cache."""
+"""Tests of the replication adapters of one gateway, without fleet or engine: store, commands, list cache."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Gateway:
-    """A replication port with a store, in a fleet whose other members are silent."""
+    """A replication port with a store, in a fleet whose other members do not reply."""
 
     def __init__(self, folder: Path, members: int = 1) -> None:
         self.clock = SettableClock(NOW_MS)
@@ -47,22 +47,22 @@
         self.commands = ReplicatedCommands(self.port, coordinator, ejections, switch, self.clock, "g0")
 
     def start(self) -> None:
-        """Open the store, and start the timer."""
+        """Open the store and start the timer."""
         writer = StoreWriter(self.store)
         writer.start()
         self.port.open(writer, [(each.kind, each.key, each.value) for each in self.store])
         self.port.start()
 
     async def complete(self, work: Awaitable[Result]) -> Result:
-        """Let time pass until some work is done."""
+        """Advance the clock until an awaitable is done, and return its result."""
         task = asyncio.ensure_future(work)
         while not task.done():
             self.clock.advance(5.0)
-            await asyncio.sleep(0.005)  # no faster than real time: syncs of the store must keep up
+            await asyncio.sleep(0.005)  # No faster than real time, so that the store's syncs can keep up.
         return await task
 
     async def wait(self, span_ms: float) -> None:
-        """Let time pass."""
+        """Advance the clock by a time span."""
         until_ms = self.clock.now_ms() + span_ms
         while self.clock.now_ms() < until_ms:
             self.clock.advance(25.0)
@@ -70,7 +70,7 @@
 
 
 def run(folder: Path, play: Callable[[Gateway], Awaitable[None]], members: int = 1) -> None:
-    """Run a test on one gateway."""
+    """Start a gateway, run a test on it, and close its port."""
 
     async def started() -> None:
         gateway = Gateway(folder, members)
@@ -84,15 +84,15 @@
 
 
 def opener_of(folder: Path) -> StoreOpener:
-    """Build what opens the store in a folder."""
+    """Create an opener for the store in a folder."""
     settings: Any = SimpleNamespace(dir=str(folder), segment_mb=8.0, drill="")
     return StoreOpener(settings, SettableClock(NOW_MS))
 
 
 def test_the_newest_endpoint_list_is_restored_from_the_replicas(tmp_path: Path) -> None:
-    """Discovery reports a list, then an empty one, and the gateway restarts.
+    """Discovery reports a list and then an empty one, and the gateway restarts.
 
-    An empty list is no use at a start: the one before must be restored, from the store and the replicas.
+    An empty list is of no use at a start: the previous one must be restored, from the store and the replicas.
     """
 
     async def play(gateway: Gateway) -> None:
@@ -108,7 +108,7 @@
 
 
 def test_an_unreadable_cached_endpoint_list_is_ignored(tmp_path: Path) -> None:
-    """The cached list in the store cannot be decoded: the gateway must start without it."""
+    """If the cached list in the store cannot be decoded, the gateway must start without it."""
 
     async def play(gateway: Gateway) -> None:
         gateway.store.commit([(META, LIST_KEY, b"no JSON")])
@@ -119,7 +119,7 @@
 
 
 def test_a_committed_drain_is_applied_at_the_next_start(tmp_path: Path) -> None:
-    """An operator drains the gateway, and lifts it later: the next start must apply the newest command."""
+    """An operator drains the gateway and later lifts the drain; a start must apply the newest command."""
 
     async def play(gateway: Gateway) -> None:
         for drained in (True, False):
@@ -131,7 +131,7 @@
 
 
 def test_a_command_without_a_majority_is_not_replicated(tmp_path: Path) -> None:
-    """The other two members of the group are silent: the operator must learn that a drain is local only."""
+    """If the other two members of the group do not reply, a drain must be reported as not replicated."""
 
     async def play(gateway: Gateway) -> None:
         with pytest.raises(NotReplicatedError):
@@ -141,7 +141,7 @@
 
 
 def test_a_store_that_another_process_has_open_is_tried_again_later(tmp_path: Path) -> None:
-    """The process before has the store open, then closes it: opening must fail once, and then succeed."""
+    """Opening a store must fail while the previous process has it open, and succeed after it is closed."""
     first = SegmentStore(tmp_path / "store")
     opener = opener_of(tmp_path / "store")
     assert opener.open() is None
@@ -153,7 +153,7 @@
 
 
 def test_a_damaged_store_is_moved_aside_and_an_empty_one_opened(tmp_path: Path) -> None:
-    """A bit of a record has flipped: the store must be moved aside, and an empty one be opened."""
+    """If a bit of a record has flipped, the store must be moved aside and an empty one opened."""
     store = SegmentStore(tmp_path / "store")
     store.commit([(1, b"a", b"one")])
     store.close()
--- a/tests/replication/test_replication_process.py
+++ b/tests/replication/test_replication_process.py
@@ -1,4 +1,4 @@
-"""Real gateway processes that replicate to each other, with faults between them and under their stores."""
+"""Tests of replication between gateway processes, with faults of their links, processes and stores."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 @pytest.mark.parametrize("faults", ["kill-and-wipe", "cut-one-way", "full-disk"])
 def test_five_processes_keep_their_guarantees(faults: str) -> None:
-    """Five gateways run under load, while one is wiped, cut off one way, or has a full disk.
+    """Five gateways run under load while one of them is wiped, partitioned one way, or has a full disk.
 
-    No answer may be lost, no write may run twice, and every request must get a final answer.
+    No recorded response may be lost, no write may run twice, and every request must get a final response.
     """
     out = asyncio.run(replication_scenarios.run(5, SECONDS, 1, scenario.load(faults, "promises"), rate=30.0))
     assert out.kept, "\n".join([*out.course, *out.lines(), str(out.figures)])
@@ -46,7 +46,7 @@
 
 
 def run_with_gateways(folder: Path, play: Callable[[FleetTestbed, LoadGenerator], Awaitable[None]]) -> None:
-    """Run a test on three gateways with stores."""
+    """Start three gateways with stores, run a test on them, and stop them."""
 
     async def run() -> None:
         rig = replication_scenarios.create_testbed(3, 1.0, 1, folder)
@@ -61,14 +61,14 @@
 
 
 async def ask(load: LoadGenerator, gateway: str, key: str, request: str, content: str = "") -> ClientRequest:
-    """Send one write with an idempotency key, and wait for its answer."""
+    """Send one write with an idempotency key, and wait for its response."""
     each = ClientRequest(now_ms(), gateway, request, ONCE, 1, 0, key, content=content)
     await load.send(each)
     return each
 
 
 async def until(found: Callable[[], Awaitable[bool]], wait_s: float = 15.0) -> None:
-    """Wait until a condition holds."""
+    """Wait until a condition holds; fail after `wait_s` seconds."""
     last = now_ms() + wait_s * 1000
     while not await found():
         assert now_ms() < last, "the condition never held"
@@ -76,10 +76,10 @@
 
 
 def test_an_operator_command_outlives_the_machine_it_was_given_at(tmp_path: Path) -> None:
-    """A gateway confirms DISABLE and DRAIN, then its machine is lost with its disk.
+    """A gateway confirms DISABLE and DRAIN, and then loses its machine with its disk.
 
-    The new machine must apply both.  A command that is lifted while a gateway is down must not come back with
-    it, neither from its file nor where its store is lost.
+    The new machine must apply both commands. If an ejection is lifted while a gateway is down, its restart
+    must not restore the ejection, whether from its file or after a loss of its store.
     """
 
     async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
@@ -99,14 +99,14 @@
             return b"503" in line
 
         await until(drained)
-        # Lifted while one is down: the file of that one must not bring it back.
+        # The ejection is lifted while g2 is down: the file of g2 must not restore it.
         await g2.kill()
         assert await g1.call("ENABLE n1") == ["done n1"]
         await g2.start(rig.known("g2"))
         await until(lambda: holds(g2, "edge.ejected", 0))
         await until(lambda: holds(g0, "edge.ejected", 0))
         assert await g0.call("UNDRAIN") == ["done"]
-        # Nor the file of one whose store is lost.
+        # The ejection is lifted while g1 is down, and g1 loses its store: its file must not restore it.
         assert await g0.call("DISABLE n2") == ["done n2"]
         await until(lambda: holds(g1, "edge.ejected", 1))
         await g1.kill()
@@ -121,15 +121,15 @@
 
 
 async def holds(process: object, name: str, value: int) -> bool:
-    """Return whether a figure of STATS has this value."""
+    """Return whether a metric of STATS has this value."""
     return (await process.stats())[name] == value  # type: ignore[attr-defined,no-any-return]
 
 
 def test_without_a_majority_commands_stay_local_and_replicated_writes_are_rejected(tmp_path: Path) -> None:
     """Two of three gateways are killed.
 
-    DISABLE must take effect at the last one and report that it is not replicated; a replicated write must be
-    rejected without reaching a node.  Once another is back, a retry must get the answer given before.
+    At the last one DISABLE must take effect and report that it is not replicated, and a replicated write must
+    be rejected without reaching a node. Once another gateway is back, a retry must get the recorded response.
     """
 
     async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
@@ -140,7 +140,7 @@
         await g2.kill()
         (answer,) = await g0.call("DISABLE n1")
         assert answer.startswith("error kept here only: no majority")
-        assert await holds(g0, "edge.ejected", 1)  # in effect here
+        assert await holds(g0, "edge.ejected", 1)  # In effect at this gateway.
         await until(lambda: holds(g0, "edge.fleet.members", 1))
         refused = await ask(load, "g0", "k2", "00000000000000a2")
         assert refused.status == 503
@@ -154,9 +154,10 @@
 
 
 def test_a_damaged_store_is_named_moved_aside_and_recovered_from_the_replicas(tmp_path: Path) -> None:
-    """A bit of a gateway's store flips while it is down.
+    """A bit of a gateway's store flips while the gateway is down.
 
-    At its start the damage must be logged, the store moved aside, and its replicas recovered from the others.
+    At its start the gateway must log the damage, move the store aside, and recover its replicas from the
+    others.
     """
 
     async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
@@ -179,9 +180,9 @@
 
 
 def test_the_cached_endpoint_list_serves_a_start_without_discovery(tmp_path: Path) -> None:
-    """Discovery is silent, and a gateway restarts: first with its disk, then with an empty one.
+    """Discovery does not reply, and a gateway restarts, first with its disk and then with an empty one.
 
-    It must serve from its cached endpoint list: that of its store, then that of its replicas.
+    It must serve with the endpoint list cached in its store, and then with the one cached on its replicas.
     """
 
     async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
@@ -190,7 +191,7 @@
         rig.discovery.silent = True
         for wiped in (False, True):
             await g0.kill()
-            if wiped:  # then its replicas have it
+            if wiped:  # Only the replicas on the other gateways still have the list.
                 g0.wipe()
             await g0.start(nothing)
             assert (await ask(load, "g0", f"k{wiped}", f"00000000000000c{wiped:d}")).status == 200
@@ -202,9 +203,9 @@
 
 
 def test_a_second_process_of_one_store_waits_for_it_and_serves_without(tmp_path: Path) -> None:
-    """A second process of a gateway starts while the first has the store open.
+    """A second process of a gateway starts while the first one has the store open.
 
-    It must serve without the store, log why, and take the store over once the first has stopped.
+    It must serve without the store, log the reason, and open the store once the first process has stopped.
     """
 
     async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
@@ -223,21 +224,18 @@
         assert g0.alive
         assert (port, admin) != (other.port, other.admin_port)
         await g0.stop()
-        await until(lambda: holds(other, "edge.store.open", 1))  # it takes over
+        await until(lambda: holds(other, "edge.store.open", 1))
         await until(lambda: holds(other, "edge.promises.filled", 1))
         await other.stop()
 
     run_with_gateways(tmp_path, play)
 
 
-# ---- the links, in this process
-
-
 def test_a_link_whose_connection_fails_in_any_way_connects_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A link whose connection fails with any exception must connect again.
+    """A link whose connection fails with any exception must reconnect.
 
-    uvloop raises RuntimeError for a call on a connection that was just reset: the link ended with it, and
-    stayed down.
+    uvloop raises RuntimeError for a call on a connection that was just reset. This ended the link's task, so
+    that the link stayed down.
     """
 
     async def play() -> None:
@@ -267,7 +265,7 @@
 
 
 def test_the_lab_does_not_wipe_a_process_that_runs(tmp_path: Path) -> None:
-    """A scenario may wipe a gateway's directory only while the gateway is down."""
+    """A test scenario may wipe a gateway's directory only while the gateway is down."""
 
     async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
         with pytest.raises(LabError, match="only while it is down"):
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -1,13 +1,15 @@
-"""Bytes and names that leave the process, as commit 1ba7699 has them.
+"""Golden tests of the bytes and names that leave the process, recorded at commit 1ba7699.
 
 Gateways of two versions run side by side during an upgrade, a store outlives the process that wrote it, and
-configuration files, operators' scripts and the simulator are not renamed with the program.  So a change of
-names inside the program must not move one byte of what is sent, kept, read or shown.  These tests hold
-literal bytes and texts that were recorded from that commit.  Names of the program stand in one section,
-between the two lines marked PROGRAM; below it there are only bytes, texts and plain values.  Where a
-structure has to be compared, it is compared by position (`plain`), so that its fields may get other names.
+configuration files, operators' scripts and the simulator are not renamed together with the program. Renaming
+identifiers must therefore not change a single byte of what is sent, stored, read or displayed. These tests
+compare with literal bytes and texts that were recorded from that commit.
 
-No file of a store has a random part or a time in it: nothing is masked.
+Identifiers of the program are used only in one section, between the two lines marked PROGRAM; the rest of
+this file contains only bytes, texts and plain values. Structures are compared by position (`plain`), so that
+their fields may be renamed.
+
+The files of a store contain no random parts and no timestamps, so nothing in them is masked.
 """
 
 from __future__ import annotations
@@ -23,7 +25,7 @@
 import msgspec
 import pytest
 
-# ==== PROGRAM: the only section that names what the program calls its parts ================================
+# ==== PROGRAM: the only section that uses identifiers of the program =======================================
 from shaletiller import adapter, config, gateway
 from shaletiller.config.errors import OperatorFileError
 from shaletiller.config.operator_reader import read_operator_file as read_operator
@@ -76,8 +78,8 @@
     "listed": records.CachedEndpointList,
     "leased": records.LeaseTableRecord,
 }
-# The names by which the program reads what stands at each place of the wire: two of them that have changed
-# places would leave all bytes as they are.
+# The field names of the wire formats in order. Two fields that swapped their names would leave all bytes
+# unchanged, so the bytes alone do not show such a fault.
 FIELD_NAMES = {
     codec.Ping: "nonce digest",
     codec.Ack: "nonce target digest",
@@ -172,13 +174,13 @@
 
 
 def fleet_writes(group, me, life, *letters):
-    """The room that an envelope takes beside its parts, and envelopes one after another."""
+    """Return the overhead of an envelope in bytes, and a series of encoded envelopes."""
     writer = codec.EnvelopeWriter(group, me, life)
     return writer.overhead, [writer.write(stamp, parts) for stamp, parts in letters]
 
 
 def reads(reader, data, *now):
-    """What was read, and what has been dropped so far, by reason."""
+    """Return what was read, and the number of frames dropped so far by reason."""
     return reader.read(data, *now), dict(reader.dropped)
 
 
@@ -190,7 +192,7 @@
 
 
 def value_of(name, values):
-    """A message of a promise; rows in it are built too."""
+    """Build a replication message, including the rows in it."""
     rowed = {
         "reply": lambda v: (*v[:3], Row(*v[3]), v[4]),
         "rows": lambda v: (tuple((key, Row(*row)) for key, row in v[0]),),
@@ -200,7 +202,7 @@
 
 
 def acceptor_of(kept):
-    """What a gateway knows after it has opened a store: life, lives, synced, rows."""
+    """Return the state that an acceptor loads from a store: incarnation, incarnations, synced, rows."""
     found = acceptor.Acceptor(0, groups.ReplicaGroups(["", "", ""]))
     found.load(kept)
     return (
@@ -250,7 +252,7 @@
 
 
 def read_store(folder):
-    """Kind, key, value, sequence number and whether it is gone, of each record; bytes of a torn tail."""
+    """Return kind, key, value, sequence number and deletion flag of each record, and bytes of a torn tail."""
     store = segment_store.SegmentStore(folder)
     found = [(each.kind, each.key, each.value, each.sequence, each.deleted) for each in store]
     store.close()
@@ -283,14 +285,17 @@
 
 
 def gateway_of(configuration):
-    """A gateway that runs nothing, what to call to have it know its list, and its operators' door."""
+    """Return a gateway that is not started, its loader of the known list, and its operator call handler."""
     gate = gateway.Gateway(configuration)
     return gate, gate.discovery.load_known_list, gate.admin.execute
 
 
 async def fleet_hears(gate, *frames):
-    """Hashes of the fleet and of its promises; what of the frames went to the promises, what of the rest was
-    dropped.  The store is open from here on."""
+    """Open the store and pass frames to the fleet agent.
+
+    Returns the fleet hashes of gossip and of replication, the frames that were passed to replication, and the
+    number of the other frames that were dropped by reason.
+    """
     gate.replication.open()
     await asyncio.sleep(0)
     heard, taken = [], gate.fleet._on_replication_message
@@ -307,7 +312,7 @@
 
 
 def datagrams(addresses, everyone, text, fleet, sent):
-    """How a gateway tells a text, sends bytes, and is given a datagram."""
+    """Return the functions of a peer endpoint that send a text, send bytes, and receive a datagram."""
     found = peers.PeerEndpoint(
         addresses, everyone, lambda number, data: text.append((number, data)), fleet.append
     )
@@ -323,7 +328,7 @@
 
 
 def link_takes(heard):
-    """The side of a link that listens, as a callback of asyncio.start_server."""
+    """Return the receiving side of a link, as a callback of asyncio.start_server."""
     return links.Links(0, [("127.0.0.1", 1)], heard, 0)._receive
 
 
@@ -331,7 +336,7 @@
 
 
 def plain(what):
-    """A value by position: structures as tuples, enumerations as their values."""
+    """Convert a value to plain data: structures to tuples, enumerations to their values."""
     if isinstance(what, Enum):
         return what.value
     if isinstance(what, msgspec.Struct):
@@ -356,10 +361,10 @@
 CONFIG = json.loads((GOLDEN / "config.json").read_text())
 INFO = CONFIG["settings"]
 NOW = 1_700_000_000_000
-STAMP = NOW << 16  # of the hybrid clock
+STAMP = NOW << 16  # A timestamp of the hybrid logical clock.
 GROUP = 0xDEADBEEF
 
-# ---- 1. messages of the fleet
+# ---- 1. fleet messages
 
 # fmt: off
 FLEET_PARTS = [
@@ -425,7 +430,7 @@
         assert (found, dropped) == (None, dict.fromkeys(list(PROMISE_DROPS)[:at], 1))
 
 
-# ---- 2. messages of the replication, and the values of its registers
+# ---- 2. replication messages and register values
 
 ROW = ((1, 2, 3), (4, 1, 6), 7, b"\x01val", NOW + 99)
 NOTHING = ((0, 0, 0), (0, 0, 0), 0, b"", 0)
@@ -451,7 +456,7 @@
 
 @pytest.mark.parametrize(("kind", "values", "golden"), MESSAGES)
 def test_each_message_of_the_promises_keeps_its_bytes(kind, values, golden):
-    golden = f"509401cedeadbeef02{golden}"  # "P", and then an array: version, fleet, sender, message
+    golden = f"509401cedeadbeef02{golden}"  # "P", followed by an array: version, fleet, sender, message.
     (sender, message), dropped = reads(PromiseReader(GROUP, 0, 3), from_hex(golden))
     assert (sender, type(message), plain(message)) == (2, MESSAGE_KINDS[kind], values)
     assert dropped == {}
@@ -522,7 +527,7 @@
     assert NUMBERS == [[1, 2, 3, 4, 5, 6], [1, 2, 3], [0, 1, 2], [0, 1, 2, 3]]
 
 
-# ---- 3. the store
+# ---- 3. store files
 
 # fmt: off
 META_ROWS = [
@@ -530,7 +535,7 @@
     (2, b"synced", from_hex("920102")), (2, b"list", b'{"version":1}')]
 # fmt: on
 COMMITS = [[*META_ROWS, (1, b"gone", b"x")], [(1, b"ban:n1", from_hex(ROW_HEX)), (1, b"gone", None)]]
-LOG, COMPACTED = {"lock": ""}, {"lock": ""}  # files by name, in hexadecimal
+LOG, COMPACTED = {"lock": ""}, {"lock": ""}  # Contents of the files in hexadecimal, by name.
 for _line in (GOLDEN / "stores.txt").read_text().splitlines():
     _which, _name, _content = _line.split()
     {"log": LOG, "compacted": COMPACTED}[_which][_name] = _content
@@ -566,7 +571,7 @@
 @pytest.mark.parametrize(("files", "more"), [(LOG, []), (COMPACTED, [(1, b"k", b"", 8, False)])])
 def test_a_store_written_by_that_commit_opens_and_accepts_more(tmp_path, files, more):
     assert read_store(write_files(tmp_path / "s", files)) == (RECORDS + more, 0)
-    assert folder_of(tmp_path / "s") == files  # opened, and not a byte changed
+    assert folder_of(tmp_path / "s") == files  # Opening the store changes none of its files.
     write_store(tmp_path / "s", [[(1, b"next", b"v")]], 1 << 20)
     assert read_store(tmp_path / "s") == ([*RECORDS, *more, (1, b"next", b"v", 8 + len(more), False)], 0)
 
@@ -598,7 +603,7 @@
 
 
 def settings_with(path, value):
-    """The full document with one value replaced; "classes[0].name" is a path."""
+    """Return the full document with the value at a path replaced; an example path is "classes[0].name"."""
     info = json.loads(json.dumps(INFO))
     *keys, last = path.replace("[0]", ".0").split(".")
     at = info
@@ -613,7 +618,7 @@
     assert plain(read_settings(MINIMAL)) == MINIMAL_SETTINGS
 
 
-# Which value a switch changes, and no other: many of them are alike in the document.
+# The position of the only value that each switch changes. The document has many similar switches.
 SWITCHES = {
     "domain.counts-others": 12, "limits.second-copies": 16, "limits.cancel": 17, "limits.probes": 18,
     "limits.peers": 19, "limits.retry-after": 20, "clients.marks-retry": 22,
@@ -655,7 +660,7 @@
     ("contracts[0].name", "", "contracts[0].name: expected 1 to 64 printable ASCII characters, got ''"),
     ("classes", 3, "classes: expected a list"), ("contracts", 3, "contracts: expected a list"),
     ("classes", [], "classes: at least one class is needed"),
-    # As in that commit: without the section, and by the program's own name.
+    # As at that commit, these texts lack the section or use the program's name instead of the document's key.
     ("domain.writes", 3, "writes: expected a list"), ("contracts", [], "plans: at least one plan is needed"),
 ]
 # fmt: on
@@ -668,7 +673,7 @@
     assert str(error.value).startswith(error_text)
 
 
-# ---- 5. the configuration, and the operators' file
+# ---- 5. configuration and operators' file
 
 SERVERS = (8, True, (("n1", "10.0.1.1:7100", "z1", "k1", 9, "leaving", 1.5, 1700000000000.5),))
 # fmt: off
@@ -688,7 +693,7 @@
 
 
 def configured(folder, document=CONFIG, nvme=NVME, operator=None, **env):
-    """The configuration that is read from these files and variables."""
+    """Read the configuration from these files and environment variables."""
     (folder / "c.json").write_text(json.dumps(document))
     (folder / "nvme.toml").write_text(nvme)
     env["EDGE_CONFIG"] = str(folder / "c.json")
@@ -798,7 +803,7 @@
         assert list_row({**row, "state": wire_name}) == (("n", "z", 3, state, 2.5, 4.5, "k"), "h:1")
 
 
-# ---- 6. what operators read, and the simulator's wire
+# ---- 6. operators' output and the simulator's protocol
 
 # fmt: off
 PLAIN_STATS = split_items(
@@ -931,7 +936,7 @@
     assert simulator_writes(ACTIONS, alarm) == f'{{"groups":[{{"host":"host-0","output":{expected}}}]}}'
 
 
-# ---- 7. frames round the messages
+# ---- 7. message framing
 
 FRAMES = from_hex("00000003616263000000025000")
 
@@ -967,10 +972,10 @@
     send_text(1, "é")
     send_text(None, "x")
     send(0, from_hex("9701"))
-    send(0, bytes(257))  # longer than the platform's bound: dropped
+    send(0, bytes(257))  # Dropped, because it is longer than the platform's limit.
     assert sent == [(from_hex("c3a9"), ("b", 2)), (b"x", ("all", 3)), (from_hex("9701"), ("a", 1))]
     receive(from_hex("9701"), ("a", 1))
-    for raw in ("c3a9", "50", "ff"):  # the last is no text: dropped
+    for raw in ("c3a9", "50", "ff"):  # The last one is dropped, because it is not valid UTF-8.
         receive(from_hex(raw), ("b", 2))
-    receive(b"x", ("c", 9))  # none of the peers
+    receive(b"x", ("c", 9))  # Dropped, because the sender is not a peer.
     assert (fleet, text) == ([from_hex("9701")], [(1, "é"), (1, "P")])
