--- a/shaletiller/net/replication/agent.py
+++ b/shaletiller/net/replication/agent.py
@@ -117,9 +117,9 @@
 
     def figures(self) -> dict[str, int]:
         """Return the metrics of replication and of the store for STATS; see docs/operations.md."""
-        return {**self._replication_figures(), **self._store_figures()}
+        return {**self._replication_metrics(), **self._store_metrics()}
 
-    def _replication_figures(self) -> dict[str, int]:
+    def _replication_metrics(self) -> dict[str, int]:
         node, acceptor = self.node, self.node.acceptor
         dropped = sorted(self.port.codec.dropped.items())
         return {
@@ -127,7 +127,7 @@
             "promises.superseded": int(acceptor.superseded),
             "promises.synced": len(acceptor.synced),
             "promises.records": len(acceptor.rows),
-            "promises.under_way": self._writes.under_way,
+            "promises.under_way": self._writes.active_count,
             "promises.rounds": node.proposer.rounds,
             **{f"promises.{name}": count for name, count in self._writes.counts.items()},
             "promises.repair_given": node.budget.rows_sent,
@@ -136,14 +136,14 @@
             **{f"promises.dropped.{reason}": count for reason, count in dropped},
         }
 
-    def _store_figures(self) -> dict[str, int]:
+    def _store_metrics(self) -> dict[str, int]:
         writer = self.port.writer
-        figures = {
+        metrics = {
             "store.open": int(writer is not None),
             "store.damaged": int(self._opener.found_damaged),
         }
         if writer is not None:
-            figures |= {
+            metrics |= {
                 "store.sound": int(writer.healthy),
                 "store.records": len(writer.store.index),
                 "store.log_bytes": writer.store.log_bytes,
@@ -154,4 +154,4 @@
                 "store.snapshots": writer.snapshots,
                 "store.torn_bytes": writer.store.torn_bytes,
             }
-        return figures
+        return metrics
--- a/shaletiller/net/replication/commands.py
+++ b/shaletiller/net/replication/commands.py
@@ -66,12 +66,12 @@
 
         :raises NotReplicatedError: if no majority of the replicas accepts the command in time.
         """
-        stamp = self._coordinator.fleet.clock.now(self._clock.now_ms())
-        await self._commit(f"{DRAIN_PREFIX}{self._gateway}", drained, stamp)
+        timestamp = self._coordinator.fleet.clock.now(self._clock.now_ms())
+        await self._commit(f"{DRAIN_PREFIX}{self._gateway}", drained, timestamp)
 
-    async def _commit(self, key: str, in_effect: bool, stamp: int) -> None:
+    async def _commit(self, key: str, in_effect: bool, timestamp: int) -> None:
         expires_ms = int(self._clock.now_ms() + RECORD_RETENTION_MS)
-        command = OperatorCommand(in_effect, stamp, self._port.node.member, expires_ms)
+        command = OperatorCommand(in_effect, timestamp, self._port.node.member, expires_ms)
         result = await self._port.propose(key, Precondition.OLDER_STAMP, pack(command), COMMAND_TIMEOUT_MS)
         if not result.committed and result.indeterminate:
             raise NotReplicatedError
--- a/shaletiller/net/replication/endpoint_lists.py
+++ b/shaletiller/net/replication/endpoint_lists.py
@@ -45,10 +45,10 @@
         :param gateway: name of the gateway.
         """
         self._port, self._consumer = port, consumer
-        self._register = f"{LIST_PREFIX}{gateway}"
+        self._register_key = f"{LIST_PREFIX}{gateway}"
         self._pending: ServerList | None = None
-        self._cached = b""
-        self._updated_ms = 0.0
+        self._last_written = b""
+        self._last_write_ms = 0.0
         port.subscribe(self)
 
     def update(self, endpoints: ServerList) -> None:
@@ -58,22 +58,22 @@
 
     def tick(self, now_ms: float) -> None:
         """Write the newest list at most once per `UPDATE_INTERVAL_MS`; see `PortListener`."""
-        if self._pending is None or now_ms - self._updated_ms < UPDATE_INTERVAL_MS:
+        if self._pending is None or now_ms - self._last_write_ms < UPDATE_INTERVAL_MS:
             return
-        raw = msgspec.json.encode(self._pending)
-        self._pending, self._updated_ms = None, now_ms
-        if raw != self._cached:
-            self._cached = raw
-            self._write(raw, now_ms)
+        encoded = msgspec.json.encode(self._pending)
+        self._pending, self._last_write_ms = None, now_ms
+        if encoded != self._last_written:
+            self._last_written = encoded
+            self._write(encoded, now_ms)
 
-    def _write(self, raw: bytes, now_ms: float) -> None:
+    def _write(self, encoded: bytes, now_ms: float) -> None:
         if self._port.writer is not None:
-            self._port.writer.submit([RecordUpdate(META, LIST_KEY, raw)])
-        value = pack(CachedEndpointList(int(now_ms), raw))
+            self._port.writer.submit([RecordUpdate(META, LIST_KEY, encoded)])
+        value = pack(CachedEndpointList(int(now_ms), encoded))
         if len(value) < MAX_REPLICATED_BYTES:
-            self._port.run(
+            self._port.call_node(
                 lambda: self._port.node.propose(
-                    self._register,
+                    self._register_key,
                     Precondition.ANY,
                     value,
                     now_ms + RECORD_RETENTION_MS,
@@ -84,19 +84,21 @@
 
     def restore_from_store(self, store: SegmentStore) -> None:
         """Restore the list from the local store, if it has one."""
-        raw = store.get(META, LIST_KEY)
-        if raw is not None:
-            self._restore(raw)
+        encoded = store.get(META, LIST_KEY)
+        if encoded is not None:
+            self._restore_encoded(encoded)
 
     async def restore_from_replicas(self) -> None:
         """Restore the list from the replicas, if they have one."""
-        result = await self._port.propose(self._register, Precondition.READ_ONLY, b"", RECOVERY_TIMEOUT_MS)
+        result = await self._port.propose(
+            self._register_key, Precondition.READ_ONLY, b"", RECOVERY_TIMEOUT_MS
+        )
         cached = decode_value(result.value)
         if isinstance(cached, CachedEndpointList):
-            self._restore(cached.json)
+            self._restore_encoded(cached.json)
 
-    def _restore(self, raw: bytes) -> None:
+    def _restore_encoded(self, encoded: bytes) -> None:
         try:
-            self._consumer(msgspec.json.decode(raw, type=ServerList))
+            self._consumer(msgspec.json.decode(encoded, type=ServerList))
         except msgspec.MsgspecError as error:
             logger.warning("store: cached endpoint list ignored, it cannot be decoded: %s", error)
--- a/shaletiller/net/replication/lease_tables.py
+++ b/shaletiller/net/replication/lease_tables.py
@@ -37,18 +37,18 @@
     def __init__(
         self,
         port: ReplicationPort,
-        member: Fleet,
+        fleet: Fleet,
         clock: Clock,
         spawn: Callable[[Coroutine[Any, Any, None]], object],
     ) -> None:
         """Create the storage for the lease tables of one member.
 
-        :param member: this member of the fleet.
+        :param fleet: this member of the fleet.
         :param spawn: runs a coroutine in the background.
         """
-        self._port, self._member, self._clock, self._spawn = port, member, clock, spawn
+        self._port, self._fleet, self._clock, self._spawn = port, fleet, clock, spawn
         self._tables: dict[str, _CommittedTable] = {}  # The last table that this gateway committed, by limit.
-        self._number = 0
+        self._last_number = 0
 
     def take_over(self, limit: str) -> None:
         """Start to take over the table of a limit from its previous granter.
@@ -66,57 +66,57 @@
 
     async def _take_over(self, limit: str) -> None:
         key = f"{LEASE_PREFIX}{limit}"
-        found = await self._port.propose(key, Precondition.READ_ONLY, b"", WRITE_TIMEOUT_MS)
-        if found.indeterminate or not await self._replace(limit, key, found):
-            self._member.leases.on_table_written(limit, False, self._clock.now_ms())
+        current = await self._port.propose(key, Precondition.READ_ONLY, b"", WRITE_TIMEOUT_MS)
+        if current.indeterminate or not await self._replace(limit, key, current):
+            self._fleet.leases.on_table_written(limit, False, self._clock.now_ms())
 
-    async def _replace(self, limit: str, key: str, found: OperationResult) -> bool:
+    async def _replace(self, limit: str, key: str, current: OperationResult) -> bool:
         """Replace the table of the previous granter by one of this granter with the same amounts.
 
         :returns: whether the new table is committed.
         """
-        stored = decode_value(found.value)
-        before = stored if isinstance(stored, LeaseTableRecord) else None
+        stored = decode_value(current.value)
+        previous = stored if isinstance(stored, LeaseTableRecord) else None
         value = (
-            self._encode(before.rate, before.burst, before.recorded_ms)
-            if before is not None
+            self._encode(previous.rate, previous.burst, previous.recorded_ms)
+            if previous is not None
             else self._encode(0, 0, 0)
         )
-        precondition = Precondition.EQUALS if found.value else Precondition.FREE
+        precondition = Precondition.EQUALS if current.value else Precondition.FREE
         result = await self._port.propose(
-            key, precondition, value, WRITE_TIMEOUT_MS, found.value, retention_ms=RETENTION_MS
+            key, precondition, value, WRITE_TIMEOUT_MS, current.value, retention_ms=RETENTION_MS
         )
         if not result.committed:
             return False
         self._tables[limit] = _CommittedTable(value, result.position)
-        self._member.leases.on_table_acquired(
+        self._fleet.leases.on_table_acquired(
             limit,
-            GranterId(before.granter, before.incarnation) if before is not None else None,
-            from_wire(before.rate, before.burst) if before is not None else NO_ALLOWANCE,
-            before.recorded_ms if before is not None else 0.0,
+            GranterId(previous.granter, previous.incarnation) if previous is not None else None,
+            from_wire(previous.rate, previous.burst) if previous is not None else NO_ALLOWANCE,
+            previous.recorded_ms if previous is not None else 0.0,
             self._clock.now_ms(),
         )
         return True
 
     async def _write(self, limit: str, rate: int, burst: int) -> None:
-        before = self._tables.pop(limit, _CommittedTable())
+        previous = self._tables.pop(limit, _CommittedTable())
         value = self._encode(rate, burst, int(self._clock.now_ms()))
         result = await self._port.propose(
             f"{LEASE_PREFIX}{limit}",
             Precondition.EQUALS,
             value,
             WRITE_TIMEOUT_MS,
-            before.value,
-            before.position,
+            previous.value,
+            previous.position,
             RETENTION_MS,
         )
         if result.committed:
             self._tables[limit] = _CommittedTable(value, result.position)
-        self._member.leases.on_table_written(limit, result.committed, self._clock.now_ms())
+        self._fleet.leases.on_table_written(limit, result.committed, self._clock.now_ms())
 
     def _encode(self, rate: int, burst: int, recorded_ms: int) -> bytes:
-        self._number += 1
+        self._last_number += 1
         table = LeaseTableRecord(
-            self._port.node.member, self._member.incarnation, self._number, recorded_ms, rate, burst
+            self._port.node.member, self._fleet.incarnation, self._last_number, recorded_ms, rate, burst
         )
         return pack(table)
--- a/shaletiller/net/replication/port.py
+++ b/shaletiller/net/replication/port.py
@@ -40,7 +40,7 @@
         """
         return False
 
-    def effects_carried_out(self) -> None:
+    def on_effects_executed(self) -> None:
         """Handle the completion of all effects of an event."""
 
     def tick(self, now_ms: float) -> None:
@@ -66,9 +66,9 @@
         self.writer: StoreWriter | None = None  # None until the store is open.
         self._send, self._membership, self._clock = send, membership, clock
         self._listeners: list[PortListener] = []
-        self._results: dict[int, asyncio.Future[OperationResult]] = {}
+        self._pending_results: dict[int, asyncio.Future[OperationResult]] = {}
         self._timer: Timer | None = None
-        self._ticks_fast = False
+        self._busy_tick = False
 
     def subscribe(self, listener: PortListener) -> None:
         """Register a listener for all further callbacks."""
@@ -112,19 +112,19 @@
         :param retention_ms: time until the value expires.
         """
         now_ms = self._clock.now_ms()
-        result: asyncio.Future[OperationResult] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[OperationResult] = asyncio.get_running_loop().create_future()
         operation = self.node.propose(
             key, precondition, value, now_ms + retention_ms, now_ms + timeout_ms, now_ms, expected, position
         )
-        self._results[operation] = result
-        self.run(lambda: None)  # Execute the effects of the proposal.
-        return await result
+        self._pending_results[operation] = future
+        self.call_node(lambda: None)  # Execute the effects of the proposal.
+        return await future
 
-    def run(self, call: Callable[[], object]) -> None:
+    def call_node(self, call: Callable[[], object]) -> None:
         """Call the node, and execute the effects of the call."""
         try:
             call()
-            self._carry_out_effects()
+            self._execute_effects()
         except Exception:
             # A fault in replication must not affect requests that are served without it. It is logged, and
             # the operations concerned end as indeterminate at their deadlines.
@@ -144,58 +144,58 @@
 
     def receive(self, data: bytes) -> None:
         """Handle a frame from another member; an invalid frame is counted and dropped."""
-        found = self.codec.read(data)
-        if found is not None:
-            sender, message = found
-            self.run(lambda: self.node.receive(sender, message, self._clock.now_ms()))
+        decoded = self.codec.read(data)
+        if decoded is not None:
+            sender, message = decoded
+            self.call_node(lambda: self.node.receive(sender, message, self._clock.now_ms()))
 
     def _tick(self) -> None:
         now_ms = self._clock.now_ms()
-        self._ticks_fast = self.node.busy
-        self._timer = self._clock.call_later(BUSY_TICK_MS if self._ticks_fast else IDLE_TICK_MS, self._tick)
+        self._busy_tick = self.node.busy
+        self._timer = self._clock.call_later(BUSY_TICK_MS if self._busy_tick else IDLE_TICK_MS, self._tick)
         peers = self._membership.peers
         self.node.unreachable = frozenset(
             member for member, peer in peers.items() if peer.state is MemberState.DEAD
         )
-        self.run(lambda: self.node.tick(now_ms, self._membership.alive()))
+        self.call_node(lambda: self.node.tick(now_ms, self._membership.alive()))
         for listener in self._listeners:
             listener.tick(now_ms)
 
-    def _carry_out_effects(self) -> None:
+    def _execute_effects(self) -> None:
         while effects := self.node.take_effects():
             for effect in effects:
-                self._carry_out(effect)
+                self._execute_effect(effect)
         for listener in self._listeners:
-            listener.effects_carried_out()
-        if self.node.busy and not self._ticks_fast and self._timer is not None:
+            listener.on_effects_executed()
+        if self.node.busy and not self._busy_tick and self._timer is not None:
             self._timer.cancel()  # It was started with the idle interval, before the operation began.
-            self._ticks_fast = True
+            self._busy_tick = True
             self._timer = self._clock.call_later(BUSY_TICK_MS, self._tick)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute_effect(self, effect: Effect) -> None:
         if isinstance(effect, SendMessage):
             self._send(effect.recipient, self.codec.write(effect.message))
         elif isinstance(effect, PersistRecords):
             self._persist(effect)
         else:
-            self._finish(effect)
+            self._deliver_result(effect)
 
-    def _finish(self, result: OperationResult) -> None:
+    def _deliver_result(self, result: OperationResult) -> None:
         now_ms = self._clock.now_ms()
         if any(listener.operation_finished(result, now_ms) for listener in self._listeners):
             return
-        waiting = self._results.pop(result.operation, None)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(result)
+        future = self._pending_results.pop(result.operation, None)
+        if future is not None and not future.done():
+            future.set_result(result)
 
     def _persist(self, effect: PersistRecords) -> None:
         if self.writer is None:
             self.node.persist_failed(effect.token)
         else:
-            self.writer.submit(effect.updates, partial(self._persisted, effect.token))
+            self.writer.submit(effect.updates, partial(self._on_persisted, effect.token))
 
-    def _persisted(self, token: int, durable: bool) -> None:
+    def _on_persisted(self, token: int, durable: bool) -> None:
         if durable:
-            self.run(lambda: self.node.persisted(token, self._clock.now_ms()))
+            self.call_node(lambda: self.node.persisted(token, self._clock.now_ms()))
         else:
             self.node.persist_failed(token)
--- a/shaletiller/net/replication/storage.py
+++ b/shaletiller/net/replication/storage.py
@@ -23,7 +23,7 @@
         """Create an opener with these settings; nothing is opened yet."""
         self._settings, self._clock = settings, clock
         self._directory = Path(settings.dir)
-        self._files = FaultInjectingFileSystem(Path(settings.drill)) if settings.drill else FileSystem()
+        self._file_system = FaultInjectingFileSystem(Path(settings.drill)) if settings.drill else FileSystem()
         self.found_damaged = False
 
     def open(self) -> SegmentStore | None:
@@ -36,9 +36,7 @@
         try:
             store = self._open_or_replace()
         except (StoreLockedError, OSError) as error:
-            logger.warning(
-                "store: cannot be opened, this gateway does not vote until it is: %s", error
-            )
+            logger.warning("store: cannot be opened, this gateway does not vote until it is: %s", error)
             return None
         if store.torn_bytes:
             logger.warning(
@@ -53,13 +51,17 @@
             return self._open()
         except DamagedStoreError as error:
             self.found_damaged = True
-            aside = self._directory.with_name(f"{self._directory.name}.damaged-{int(self._clock.now_ms())}")
-            self._directory.rename(aside)
+            damaged_path = self._directory.with_name(
+                f"{self._directory.name}.damaged-{int(self._clock.now_ms())}"
+            )
+            self._directory.rename(damaged_path)
             logger.error(
-                "store: damaged: %s; moved to %s, a new store is filled from the replicas", error, aside.name
+                "store: damaged: %s; moved to %s, a new store is filled from the replicas",
+                error,
+                damaged_path.name,
             )
             return self._open()
 
     def _open(self) -> SegmentStore:
         segment_bytes = int(self._settings.segment_mb * BYTES_PER_MB)
-        return SegmentStore(self._directory, self._files, segment_bytes)
+        return SegmentStore(self._directory, self._file_system, segment_bytes)
--- a/shaletiller/net/replication/writes.py
+++ b/shaletiller/net/replication/writes.py
@@ -47,7 +47,7 @@
         self._port, self._writes, self._engine, self._clock = port, writes, engine, clock
         self._replicated_classes = replicated_classes
         self._exchanges: dict[int, Exchange] = {}
-        self._number = 0
+        self._last_number = 0
         port.subscribe(self)
 
     def replicate_intent(self, exchange: Exchange) -> bool:
@@ -65,38 +65,40 @@
                 exchange, FinalResponse(FinalResult.REJECTED, retry_after_ms=NO_MAJORITY_RETRY_AFTER_MS)
             )
             return True
-        self._number += 1
-        number = self._number
+        self._last_number += 1
+        number = self._last_number
         self._exchanges[number] = exchange
-        exchange.on_result = partial(self._answered, number)
+        exchange.on_result = partial(self._on_response, number)
         request = f"{call.method} {call.target}\n".encode() + call.body
         request_hash = xxhash.xxh3_64_intdigest(request)
         now_ms = self._clock.now_ms()
-        self._port.run(lambda: self._writes.begin(number, key, request_hash, exchange.deadline_ms, now_ms))
+        self._port.call_node(
+            lambda: self._writes.begin(number, key, request_hash, exchange.deadline_ms, now_ms)
+        )
         return True
 
-    def _answered(self, number: int, answer: FinalResponse | None) -> None:
+    def _on_response(self, number: int, response: FinalResponse | None) -> None:
         """Handle the engine's response to a replicated write, or None if its client has disconnected."""
         exchange = self._exchanges[number]
-        if answer is not None and answer.result is FinalResult.SERVED:
+        if response is not None and response.result is FinalResult.SERVED:
             verdict = WriteVerdict.SERVED
         else:
             self._exchanges.pop(number, None)
             # A rejection does not prove that nothing ran; `never_ran` does, and only that is recorded.
             verdict = WriteVerdict.REJECTED if exchange.never_ran else WriteVerdict.FAILED
-        body = answer.body if answer is not None else b""
-        self._port.run(lambda: self._writes.end(number, verdict, body, self._clock.now_ms()))
+        body = response.body if response is not None else b""
+        self._port.call_node(lambda: self._writes.end(number, verdict, body, self._clock.now_ms()))
 
     def operation_finished(self, result: OperationResult, now_ms: float) -> bool:
         """Handle the result of an operation; see `PortListener`."""
         return self._writes.operation_finished(result, now_ms)
 
-    def effects_carried_out(self) -> None:
+    def on_effects_executed(self) -> None:
         """Execute the decisions that result from the effects."""
         for decision in self._writes.take_decisions():
-            self._decided(decision)
+            self._execute_decision(decision)
 
-    def _decided(self, decision: WriteDecision) -> None:
+    def _execute_decision(self, decision: WriteDecision) -> None:
         exchange = self._exchanges.get(decision.number)
         if exchange is None:
             return
@@ -111,8 +113,8 @@
                 "request %s: replicated write %s: %s", exchange.call.id, decision.verdict, decision.reason
             )
         retry_after_ms = min(decision.retry_after_ms, NO_MAJORITY_RETRY_AFTER_MS)
-        answer = FinalResponse(_FINAL_RESULTS[decision.verdict], decision.body, retry_after_ms)
-        self._engine.respond(exchange, answer, replicated=True)
+        response = FinalResponse(_FINAL_RESULTS[decision.verdict], decision.body, retry_after_ms)
+        self._engine.respond(exchange, response, replicated=True)
 
 
 def register_key(call: ClientCall) -> str:
--- a/shaletiller/replication/acceptor.py
+++ b/shaletiller/replication/acceptor.py
@@ -78,7 +78,7 @@
         self.rows: dict[str, Row] = {}
         self.metadata_changed = False  # Whether the store lacks the newest incarnations.
         self.superseded = False  # Whether the fleet knows a later incarnation: this store is an old copy.
-        self._expirations: list[tuple[int, str]] = []
+        self._expiry_heap: list[tuple[int, str]] = []
         self.bucket_keys: dict[int, set[str]] = {}
         self.digests: dict[int, list[int]] = {
             other: [0] * DIGEST_BUCKETS for other in range(self.member_count) if other != member
@@ -160,21 +160,21 @@
         return row if row.expires_ms > now_ms else EMPTY_ROW
 
     def _set_row(self, key: str, row: Row) -> None:
-        before = self.rows.get(key)
+        previous = self.rows.get(key)
         self.rows[key] = row
         bucket = digest_bucket(key)
-        if before is None:
+        if previous is None:
             self.bucket_keys.setdefault(bucket, set()).add(key)
-        if before is None or before.expires_ms != row.expires_ms:
-            heapq.heappush(self._expirations, (row.expires_ms, key))
-        old_digest = row_digest(key, before) if before is not None else 0
+        if previous is None or previous.expires_ms != row.expires_ms:
+            heapq.heappush(self._expiry_heap, (row.expires_ms, key))
+        old_digest = row_digest(key, previous) if previous is not None else 0
         self._update_digests(key, bucket, old_digest, row_digest(key, row))
 
-    def _update_digests(self, key: str, bucket: int, before: int, after: int) -> None:
-        if before != after:
+    def _update_digests(self, key: str, bucket: int, old_digest: int, new_digest: int) -> None:
+        if old_digest != new_digest:
             for member in self.groups.members_of(key):
                 if member != self.member:
-                    self.digests[member][bucket] ^= before ^ after
+                    self.digests[member][bucket] ^= old_digest ^ new_digest
 
     def expire(self, now_ms: float) -> list[RecordUpdate]:
         """Remove at most `MAX_EXPIRED_AT_ONCE` expired rows.
@@ -182,7 +182,7 @@
         :returns: the deletions to persist.
         """
         deletions: list[RecordUpdate] = []
-        heap = self._expirations
+        heap = self._expiry_heap
         while heap and heap[0][0] <= now_ms and len(deletions) < MAX_EXPIRED_AT_ONCE:
             _, key = heapq.heappop(heap)
             row = self.rows.get(key)
@@ -239,9 +239,9 @@
 
         :returns: the reply, and the updates to persist before it is sent.
         """
-        fenced = self._fence(request)
-        if fenced is not None:
-            return fenced, []
+        refusal = self._fence(request)
+        if refusal is not None:
+            return refusal, []
         row = self.row(request.key, now_ms)
         if request.ballot < row.promised or request.expires_ms <= now_ms:
             return self._reply(request, ReplyStatus.REJECTED, row), []
@@ -254,9 +254,9 @@
 
         :returns: the reply, and the updates to persist before it is sent.
         """
-        fenced = self._fence(request)
-        if fenced is not None:
-            return fenced, []
+        refusal = self._fence(request)
+        if refusal is not None:
+            return refusal, []
         row = self.row(request.key, now_ms)
         expired = request.expires_ms <= now_ms
         if expired or request.ballot < row.promised or not self._may_replace(request, row):
--- a/shaletiller/replication/anti_entropy.py
+++ b/shaletiller/replication/anti_entropy.py
@@ -46,7 +46,7 @@
         self.outbox: list[SendMessage] = []
         self.rows_received = 0
         self._compared_ms = 0.0
-        self._turn = 0
+        self._rotation = 0
 
     def tick(self, now_ms: float, alive: tuple[int, ...]) -> None:
         """Send digests to the next member once per `COMPARE_INTERVAL_MS`.
@@ -54,11 +54,11 @@
         :param alive: the members that are reachable.
         """
         acceptor = self.acceptor
-        others = [each for each in alive if each != acceptor.member and each in acceptor.synced]
+        others = [other for other in alive if other != acceptor.member and other in acceptor.synced]
         if others and now_ms - self._compared_ms >= COMPARE_INTERVAL_MS:
             self._compared_ms = now_ms
-            self._turn += 1
-            peer = others[self._turn % len(others)]
+            self._rotation += 1
+            peer = others[self._rotation % len(others)]
             self.outbox.append(SendMessage(peer, BucketDigests(tuple(acceptor.digests[peer]))))
 
     def receive(self, sender: int, message: AntiEntropyMessage, now_ms: float) -> list[RecordUpdate]:
@@ -95,9 +95,9 @@
         differing = [bucket for bucket, (ours, theirs) in enumerate(pairs) if ours != theirs]
         # Start at a different bucket each time. Otherwise a budget that only suffices for the first buckets
         # would never reach the others.
-        seed = f"{self._turn} {len(differing)}".encode()
+        seed = f"{self._rotation} {len(differing)}".encode()
         start = xxhash.xxh3_64_intdigest(seed) % max(1, len(differing))
-        self._turn += 1
+        self._rotation += 1
         for bucket in (differing[start:] + differing[:start])[:MAX_BUCKETS_PER_COMPARISON]:
             if self.budget.available <= 0:
                 return
@@ -117,15 +117,15 @@
 
     def _compare_versions(self, sender: int, message: BucketVersions, now_ms: float) -> None:
         """Send the rows that are newer here, and request those that are newer at the sender."""
-        acceptor, nothing = self.acceptor, EMPTY_ROW.version
+        acceptor, no_version = self.acceptor, EMPTY_ROW.version
         theirs = {key: (ballot, step) for key, ballot, step in message.versions}
         ours = {key: acceptor.row(key, now_ms).version for key in self._shared_keys(message.bucket, sender)}
-        newer_here = sorted(key for key, version in ours.items() if version > theirs.get(key, nothing))
+        newer_here = sorted(key for key, version in ours.items() if version > theirs.get(key, no_version))
         self._send_rows(sender, newer_here, now_ms)
         newer_there = sorted(
             key
             for key, version in theirs.items()
-            if version > ours.get(key, nothing) and acceptor.member in acceptor.groups.members_of(key)
+            if version > ours.get(key, no_version) and acceptor.member in acceptor.groups.members_of(key)
         )
         if newer_there:
             request = RowRequest(tuple(newer_there[:MAX_KEYS_PER_REQUEST]))
@@ -139,14 +139,14 @@
             row = self.acceptor.row(key, now_ms)
             if row.expires_ms <= 0 or recipient not in self.acceptor.groups.members_of(key):
                 continue
-            added = row_bytes(key, row)
+            encoded_bytes = row_bytes(key, row)
             if self.budget.available - size <= 0:
                 break
-            if rows and size + added > MAX_MESSAGE_BYTES:
+            if rows and size + encoded_bytes > MAX_MESSAGE_BYTES:
                 self._send_batch(recipient, rows, size)
                 rows, size = [], 0
             rows.append((key, row))
-            size += added
+            size += encoded_bytes
         if rows:
             self._send_batch(recipient, rows, size)
 
--- a/shaletiller/replication/groups.py
+++ b/shaletiller/replication/groups.py
@@ -15,8 +15,8 @@
 DEFAULT_REPLICAS = 3  # The smallest group that keeps a majority when one machine is lost.
 # Number of keys whose group is cached. A larger value uses more memory; a smaller value hashes keys again
 # more often.
-CACHED_KEYS = 1 << 16
-CACHED_FLEETS = 64  # Number of cached ReplicaGroups objects: a gateway has one, a simulation has many.
+MAX_CACHED_KEYS = 1 << 16
+MAX_CACHED_FLEETS = 64  # Number of cached ReplicaGroups objects: a gateway has one, a simulation has many.
 
 
 class ReplicaGroups:
@@ -30,7 +30,7 @@
         """
         self.zones = tuple(zones)
         self.replicas = min(replicas, len(self.zones))
-        self.members_of = lru_cache(maxsize=CACHED_KEYS)(self._members_of)
+        self.members_of = lru_cache(maxsize=MAX_CACHED_KEYS)(self._members_of)
 
     def _members_of(self, key: str) -> tuple[int, ...]:
         """Return the group of a key: the first-ranked member of each zone, then the first of the rest."""
@@ -41,8 +41,8 @@
                 if len(members) == self.replicas:
                     break
                 zone = self.zones[member]
-                zone_is_taken = one_per_zone and zone and zone in [self.zones[each] for each in members]
-                if member not in members and not zone_is_taken:
+                zone_has_member = one_per_zone and zone and zone in [self.zones[other] for other in members]
+                if member not in members and not zone_has_member:
                     members.append(member)
         return tuple(members)
 
@@ -56,7 +56,7 @@
         return self.replicas // 2 + 1
 
 
-@lru_cache(maxsize=CACHED_FLEETS)
+@lru_cache(maxsize=MAX_CACHED_FLEETS)
 def _cached_groups(zones: tuple[str, ...], replicas: int) -> ReplicaGroups:
     """Return one shared object for all unpickled copies, so that they share their cache."""
     return ReplicaGroups(zones, replicas)
--- a/shaletiller/replication/messages.py
+++ b/shaletiller/replication/messages.py
@@ -25,7 +25,8 @@
 MAX_MESSAGE_BYTES = 60_000  # Maximum bytes of rows in one message, well below the frame limit of a link.
 DIGEST_BUCKETS = 256
 
-NONCE_BITS = 20  # Low bits of a nonce that count up; the bits above hold the start time of the process.
+# The low bits of a nonce are a counter; the bits above it hold the start time of the process.
+NONCE_COUNTER_BITS = 20
 
 # The incarnations of the members of the key's group, in group order, as known to the sender.
 Incarnations = tuple[UnsignedInt, ...]
@@ -37,7 +38,7 @@
     Replies to an earlier process match no nonce of this one, because a process uses fewer than 2**20 nonces
     per millisecond.
     """
-    return process_start_ms << NONCE_BITS
+    return process_start_ms << NONCE_COUNTER_BITS
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, gc=False, tag_field="k"):
--- a/shaletiller/replication/node.py
+++ b/shaletiller/replication/node.py
@@ -30,13 +30,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _PeerTransferred:
+class _TransferCompleted:
     """Follow-up to a persist request: this member has transferred all the rows that it shares with us."""
 
     member: int
 
 
-_AfterPersist = SendMessage | _PeerTransferred
+_FollowUp = SendMessage | _TransferCompleted
 
 
 class ReplicationNode:
@@ -50,14 +50,14 @@
         self,
         member: int,
         groups: ReplicaGroups,
-        stored: list[tuple[int, bytes, bytes]] | None,
+        records: list[tuple[int, bytes, bytes]] | None,
         now_ms: float,
         bytes_per_second: float = DEFAULT_BYTES_PER_SECOND,
     ) -> None:
         """Create a node.
 
         :param member: number of this member in the fleet.
-        :param stored: kind, key and value of each record in the store, or None if the store is not open yet;
+        :param records: kind, key and value of each record in the store, or None if the store is not open yet;
             the node only proposes until `open` is called.
         :param bytes_per_second: bandwidth limit of state transfer and anti-entropy.
         """
@@ -72,21 +72,21 @@
         # Members known to be down. A fast round needs the whole group, so it is skipped if one of the group
         # is in this set.
         self.unreachable: frozenset[int] = frozenset()
-        self._after_persist: dict[int, _AfterPersist] = {}  # Follow-ups by token.
-        self._persisting: dict[int, tuple[str, ...]] = {}  # Keys of the registers being persisted, by token.
+        self._after_persist: dict[int, _FollowUp] = {}  # Follow-ups by token.
+        self._keys_being_persisted: dict[int, tuple[str, ...]] = {}  # Keys of registers, by token.
         self._unpersisted: set[str] = set()  # Keys of the registers whose newest row failed to persist.
-        self._token = 0
-        self._operations = 0
-        if stored is not None:
-            self.open(stored, now_ms)
+        self._last_token = 0
+        self._last_operation = 0
+        if records is not None:
+            self.open(records, now_ms)
 
-    def open(self, stored: Iterable[tuple[int, bytes, bytes]], now_ms: float) -> None:
+    def open(self, records: Iterable[tuple[int, bytes, bytes]], now_ms: float) -> None:
         """Load the store; from now on the node also acts as an acceptor.
 
-        :param stored: kind, key and value of each record in the store.
+        :param records: kind, key and value of each record in the store.
         :raises msgspec.MsgspecError: for a record that cannot be decoded.
         """
-        self.acceptor.load(stored)
+        self.acceptor.load(records)
         if self.acceptor.incarnation == 0:
             self._persist(self.acceptor.start_incarnation(int(now_ms)))
 
@@ -111,14 +111,14 @@
         :param fast: whether a fast round may be tried.
         :returns: the number of the operation.
         """
-        self._operations += 1
+        self._last_operation += 1
         operation = Operation(
-            self._operations, key, precondition, value, int(expires_ms), deadline_ms, expected
+            self._last_operation, key, precondition, value, int(expires_ms), deadline_ms, expected
         )
         fast = fast and self.unreachable.isdisjoint(self.groups.members_of(key))
         self.proposer.start(operation, now_ms, position, fast)
-        self._flush(now_ms)
-        return self._operations
+        self._collect_effects(now_ms)
+        return self._last_operation
 
     @property
     def busy(self) -> bool:
@@ -139,19 +139,19 @@
     def receive(self, sender: int, message: AnyMessage, now_ms: float) -> None:
         """Handle a message of another member."""
         self._dispatch(sender, message, now_ms)
-        self._flush(now_ms)
+        self._collect_effects(now_ms)
 
     def persisted(self, token: int, now_ms: float) -> None:
         """Handle the completion of a `PersistRecords` effect: its updates are durable."""
-        self._persisting.pop(token, None)
-        after = self._after_persist.pop(token, None)
-        if isinstance(after, _PeerTransferred):
-            if after.member not in self.acceptor.synced:
-                self.acceptor.synced.add(after.member)
+        self._keys_being_persisted.pop(token, None)
+        follow_up = self._after_persist.pop(token, None)
+        if isinstance(follow_up, _TransferCompleted):
+            if follow_up.member not in self.acceptor.synced:
+                self.acceptor.synced.add(follow_up.member)
                 self._persist(self.acceptor.metadata_updates())
-        elif after is not None:
-            self._send(after, now_ms)
-        self._flush(now_ms)
+        elif follow_up is not None:
+            self._send(follow_up, now_ms)
+        self._collect_effects(now_ms)
 
     def persist_failed(self, token: int) -> None:
         """Handle the failure of a `PersistRecords` effect: its updates are not durable.
@@ -161,7 +161,7 @@
         transfers restart, because rows of earlier pages may not be durable.
         """
         self._after_persist.clear()
-        self._unpersisted.update(self._persisting.pop(token, ()))
+        self._unpersisted.update(self._keys_being_persisted.pop(token, ()))
         self.state_transfer.restart()
         self.acceptor.metadata_changed = True
 
@@ -182,36 +182,36 @@
         expired = self.acceptor.expire(now_ms)
         if expired:
             self._persist(expired)
-        self._flush(now_ms)
+        self._collect_effects(now_ms)
 
     def take_effects(self) -> list[Effect]:
         """Return the effects since the last call."""
         effects, self.effects = self.effects, []
         return effects
 
-    def _persist(self, updates: list[RecordUpdate], after: _AfterPersist | None = None) -> None:
+    def _persist(self, updates: list[RecordUpdate], follow_up: _FollowUp | None = None) -> None:
         if self._unpersisted:
             updates = [*map(self._current_update, sorted(self._unpersisted)), *updates]
             self._unpersisted.clear()
         if self.acceptor.metadata_changed:
             updates = [*self.acceptor.metadata_updates(), *updates]
-        self._token += 1
+        self._last_token += 1
         keys = tuple(update.key.decode() for update in updates if update.kind == REGISTER)
         if keys:
-            self._persisting[self._token] = keys
-        if after is not None:
-            self._after_persist[self._token] = after
-        self.effects.append(PersistRecords(self._token, tuple(updates)))
+            self._keys_being_persisted[self._last_token] = keys
+        if follow_up is not None:
+            self._after_persist[self._last_token] = follow_up
+        self.effects.append(PersistRecords(self._last_token, tuple(updates)))
 
     def _current_update(self, key: str) -> RecordUpdate:
         row = self.acceptor.rows.get(key)
         return RecordUpdate(REGISTER, key.encode(), pack(row) if row else None)
 
-    def _send(self, send: SendMessage, now_ms: float) -> None:
-        if send.recipient == self.member:
-            self._dispatch(self.member, send.message, now_ms)
+    def _send(self, effect: SendMessage, now_ms: float) -> None:
+        if effect.recipient == self.member:
+            self._dispatch(self.member, effect.message, now_ms)
         else:
-            self.effects.append(send)
+            self.effects.append(effect)
 
     def _dispatch(self, sender: int, message: AnyMessage, now_ms: float) -> None:
         match message:
@@ -226,7 +226,7 @@
                 reply, updates = self.acceptor.accept(message, now_ms)
                 self._persist(updates, SendMessage(sender, reply))
             case StateTransferRequest():
-                page = self.state_transfer.page_for(sender, message, now_ms)
+                page = self.state_transfer.build_page(sender, message, now_ms)
                 self._persist([], SendMessage(sender, page))
             case StateTransferPage():
                 self._receive_page(sender, message, now_ms)
@@ -238,7 +238,7 @@
     def _receive_page(self, sender: int, page: StateTransferPage, now_ms: float) -> None:
         updates, complete = self.state_transfer.receive_page(sender, page, now_ms)
         if updates or complete:
-            self._persist(updates, _PeerTransferred(sender) if complete else None)
+            self._persist(updates, _TransferCompleted(sender) if complete else None)
         acceptor = self.acceptor
         if acceptor.superseded and not acceptor.synced:
             # The store is new and has never voted, but the clock of this machine is behind that of its
@@ -246,7 +246,7 @@
             self.state_transfer.restart()
             self._persist(acceptor.start_incarnation(acceptor.incarnations[self.member] + 1))
 
-    def _flush(self, now_ms: float) -> None:
+    def _collect_effects(self, now_ms: float) -> None:
         """Collect the effects of all components; messages to this member are handled immediately."""
         while self.proposer.outbox or self.state_transfer.outbox or self.anti_entropy.outbox:
             requests, self.proposer.outbox = self.proposer.outbox, []
--- a/shaletiller/replication/proposer.py
+++ b/shaletiller/replication/proposer.py
@@ -100,7 +100,7 @@
         self.proposed_expires_ms = self.expires_ms
         self.proposes_own_value = True
 
-    def count(self, *statuses: ReplyStatus) -> int:
+    def count_replies(self, *statuses: ReplyStatus) -> int:
         """Count the replies in the current phase that have one of these statuses."""
         return sum(reply.status in statuses for reply in self.replies.values())
 
@@ -120,7 +120,7 @@
         self.member, self.groups, self._acceptor = acceptor.member, acceptor.groups, acceptor
         self.operations: dict[int, Operation] = {}
         self._nonces: dict[int, int] = {}  # Operation numbers by the nonce of the operation's current phase.
-        self._nonce = first_nonce(process_start_ms)
+        self._last_nonce = first_nonce(process_start_ms)
         self.outbox: list[SendMessage] = []
         self.results: list[OperationResult] = []
         self.rounds = 0
@@ -155,9 +155,9 @@
 
     def _begin_phase(self, operation: Operation, phase: Phase, now_ms: float) -> None:
         self._nonces.pop(operation.nonce, None)
-        self._nonce += 1
+        self._last_nonce += 1
         self.rounds += 1
-        operation.phase, operation.nonce = phase, self._nonce
+        operation.phase, operation.nonce = phase, self._last_nonce
         operation.replies, operation.sent_ms = {}, now_ms
         self._nonces[operation.nonce] = operation.number
         self._send(operation, self.groups.members_of(operation.key))
@@ -188,7 +188,7 @@
         operation.highest_round = max(operation.highest_round, operation.ballot.round, FAST_BALLOT.round) + 1
         # Two operations of one process on one key may reach the same round; the nonce makes their ballots
         # distinct.
-        operation.ballot = Ballot(operation.highest_round, self.member, self._nonce + 1)
+        operation.ballot = Ballot(operation.highest_round, self.member, self._last_nonce + 1)
         operation.step = 0
         operation.incarnations = self._acceptor.incarnations_of(operation.key)
         self._begin_phase(operation, Phase.PREPARE, now_ms)
@@ -204,8 +204,8 @@
             # The jitter is derived from the operation, so that simulations are reproducible.
             seed = f"{self.member} {operation.number} {operation.retries}".encode()
             jitter = xxhash.xxh3_64_intdigest(seed) / 2.0**64
-            longest_ms = MIN_BACKOFF_MS * 2 ** min(operation.retries, MAX_BACKOFF_DOUBLINGS)
-            wait_ms = MIN_BACKOFF_MS + jitter * min(MAX_BACKOFF_MS, longest_ms)
+            max_wait_ms = MIN_BACKOFF_MS * 2 ** min(operation.retries, MAX_BACKOFF_DOUBLINGS)
+            wait_ms = MIN_BACKOFF_MS + jitter * min(MAX_BACKOFF_MS, max_wait_ms)
         operation.phase, operation.backoff_until_ms = Phase.BACKOFF, now_ms + wait_ms
 
     def _finish(self, operation: Operation, result: OperationResult) -> None:
@@ -219,7 +219,7 @@
             self._check_timeouts(operation, now_ms)
 
     def _check_timeouts(self, operation: Operation, now_ms: float) -> None:
-        waited_ms = now_ms - operation.sent_ms
+        elapsed_ms = now_ms - operation.sent_ms
         if now_ms >= operation.deadline_ms:
             self._finish(operation, OperationResult(operation.number, False, indeterminate=True))
         elif operation.phase is Phase.BACKOFF:
@@ -227,10 +227,12 @@
                 self._begin_prepare(operation, now_ms)
         elif operation.phase is Phase.FAST and now_ms - operation.started_ms >= FAST_ROUND_TIMEOUT_MS:
             self._begin_prepare(operation, now_ms)
-        elif waited_ms >= REJECTION_GRACE_MS and operation.count(ReplyStatus.OK) < len(operation.replies):
-            rejected = operation.count(ReplyStatus.REJECTED) > 0
+        elif elapsed_ms >= REJECTION_GRACE_MS and operation.count_replies(ReplyStatus.OK) < len(
+            operation.replies
+        ):
+            rejected = operation.count_replies(ReplyStatus.REJECTED) > 0
             self._back_off(operation, now_ms, None if rejected else RECOVERING_RETRY_MS)
-        elif waited_ms >= RETRANSMIT_MS:
+        elif elapsed_ms >= RETRANSMIT_MS:
             operation.sent_ms = now_ms
             group = self.groups.members_of(operation.key)
             self._send(operation, [member for member in group if member not in operation.replies])
@@ -259,20 +261,20 @@
     def _evaluate(self, operation: Operation, now_ms: float) -> None:
         for reply in operation.replies.values():
             if reply.status is ReplyStatus.REJECTED:
-                seen = reply.row.promised.round, reply.row.ballot.round
-                operation.highest_round = max(operation.highest_round, *seen)
+                rounds = reply.row.promised.round, reply.row.ballot.round
+                operation.highest_round = max(operation.highest_round, *rounds)
         committed = self._committed_value(operation)
         if committed is not None:
             self._finish(operation, OperationResult(operation.number, False, committed))
             return
-        agreed = operation.count(ReplyStatus.OK)
+        ok_replies = operation.count_replies(ReplyStatus.OK)
         quorum = self.groups.replicas if operation.phase is Phase.FAST else self.groups.majority
-        if agreed >= quorum:
-            self._quorum_reached(operation, now_ms)
-        elif len(operation.replies) - agreed > self.groups.replicas - quorum:
-            self._quorum_missed(operation, now_ms)
+        if ok_replies >= quorum:
+            self._on_quorum_reached(operation, now_ms)
+        elif len(operation.replies) - ok_replies > self.groups.replicas - quorum:
+            self._on_quorum_unreachable(operation, now_ms)
 
-    def _quorum_reached(self, operation: Operation, now_ms: float) -> None:
+    def _on_quorum_reached(self, operation: Operation, now_ms: float) -> None:
         if operation.phase is Phase.PREPARE:
             self._choose_value(operation, now_ms)
             return
@@ -280,9 +282,9 @@
         position = CommitPosition(operation.ballot, operation.step, operation.incarnations) if own else None
         self._finish(operation, OperationResult(operation.number, own, operation.proposed, position))
 
-    def _quorum_missed(self, operation: Operation, now_ms: float) -> None:
+    def _on_quorum_unreachable(self, operation: Operation, now_ms: float) -> None:
         """Retry after so many refusals that the current phase can no longer reach its quorum."""
-        not_voting = operation.count(ReplyStatus.RECOVERING, ReplyStatus.STALE_INCARNATION)
+        not_voting = operation.count_replies(ReplyStatus.RECOVERING, ReplyStatus.STALE_INCARNATION)
         if not_voting > self.groups.replicas - self.groups.majority:
             self._back_off(operation, now_ms, RECOVERING_RETRY_MS)
         elif operation.phase is Phase.FAST or (operation.phase is Phase.ACCEPT and operation.retries == 0):
@@ -301,8 +303,8 @@
             return None
         if operation.phase not in (Phase.FAST, Phase.PREPARE):
             return None
-        voted = (ReplyStatus.OK, ReplyStatus.REJECTED)
-        rows = [reply.row for reply in operation.replies.values() if reply.status in voted]
+        voting_statuses = (ReplyStatus.OK, ReplyStatus.REJECTED)
+        rows = [reply.row for reply in operation.replies.values() if reply.status in voting_statuses]
         for row in rows:
             quorum = self.groups.replicas if row.version == (FAST_BALLOT, 0) else self.groups.majority
             if row.value not in (b"", operation.value) and quorum <= sum(
@@ -357,5 +359,5 @@
     newest = max(rows, key=lambda row: row.version, default=EMPTY_ROW)
     if newest.version != (FAST_BALLOT, 0):
         return newest
-    agreed = all(row.value == newest.value and row.version == newest.version for row in rows)
-    return newest if agreed else EMPTY_ROW
+    unanimous = all(row.value == newest.value and row.version == newest.version for row in rows)
+    return newest if unanimous else EMPTY_ROW
--- a/shaletiller/replication/records.py
+++ b/shaletiller/replication/records.py
@@ -129,8 +129,8 @@
 StoredValue = WriteIntent | WriteOutcome | OperatorCommand | CachedEndpointList | LeaseTableRecord
 
 # Names in the output of the `store show` command. Operators' scripts read them, so they must not change.
-_SHOWN_KINDS = {REGISTER: "register", META: "meta"}
-_SHOWN_VALUES: dict[type[RegisterValue], str] = {
+_KIND_NAMES = {REGISTER: "register", META: "meta"}
+_VALUE_NAMES: dict[type[RegisterValue], str] = {
     WriteIntent: "intent",
     WriteOutcome: "outcome",
     OperatorCommand: "word",
@@ -165,24 +165,24 @@
 
 def describe(kind: int, key: bytes, value: bytes) -> dict[str, Any]:
     """Describe a stored record for operators; the keys are those of the output of `store show --json`."""
-    shown: dict[str, Any] = {
-        "kind": _SHOWN_KINDS.get(kind, kind),
+    description: dict[str, Any] = {
+        "kind": _KIND_NAMES.get(kind, kind),
         "key": key.decode("utf-8", "replace"),
     }
     if kind != REGISTER:
-        return {**shown, "bytes": len(value)}
+        return {**description, "bytes": len(value)}
     try:
         row = decode_row(value)
     except (msgspec.MsgspecError, UnicodeDecodeError):
-        return {**shown, "unreadable": len(value)}
+        return {**description, "unreadable": len(value)}
     stored = decode_value(row.value)
     return {
-        **shown,
+        **description,
         "promised": row.promised,
         "ballot": row.ballot,
         "step": row.step,
         "until": row.expires_ms,
-        "says": _SHOWN_VALUES[type(stored)] if stored is not None else "free",
+        "says": _VALUE_NAMES[type(stored)] if stored is not None else "free",
         **_describe_value(stored),
     }
 
--- a/shaletiller/replication/state_transfer.py
+++ b/shaletiller/replication/state_transfer.py
@@ -58,7 +58,7 @@
         self.budget = budget
         self.outbox: list[SendMessage] = []
         self.rows_received = 0
-        self._nonce = first_nonce(process_start_ms)
+        self._last_nonce = first_nonce(process_start_ms)
         self._progress: dict[int, _Progress] = {}
         self._snapshots: dict[int, _Snapshot] = {}
 
@@ -79,8 +79,8 @@
     def _request(self, member: int, progress: _Progress, now_ms: float, retransmit: bool = False) -> None:
         # A retransmission keeps its nonce, because the reply may still be on its way from a slow store.
         if not retransmit:
-            self._nonce += 1
-            progress.nonce = self._nonce
+            self._last_nonce += 1
+            progress.nonce = self._last_nonce
         progress.requested_ms = now_ms
         request = StateTransferRequest(progress.nonce, self.acceptor.incarnation, progress.after)
         self.outbox.append(SendMessage(member, request))
@@ -102,9 +102,9 @@
         if not page.accepted or acceptor.superseded:
             return [], False
         if progress.incarnation != page.incarnation:
-            restart = progress.after != ""
+            has_earlier_pages = progress.after != ""
             progress.incarnation, progress.after = page.incarnation, ""
-            if restart:  # The sender has a new store too; the earlier pages came from its previous store.
+            if has_earlier_pages:  # The sender has a new store too; those pages came from its previous one.
                 self._request(sender, progress, now_ms)
                 return [], False
         updates = [
@@ -118,17 +118,17 @@
         self._request(sender, progress, now_ms)
         return updates, False
 
-    def page_for(self, sender: int, request: StateTransferRequest, now_ms: float) -> StateTransferPage:
+    def build_page(self, sender: int, request: StateTransferRequest, now_ms: float) -> StateTransferPage:
         """Build a page of rows; the acceptor's metadata must be persisted before the page is sent."""
         acceptor = self.acceptor
         if request.incarnation < acceptor.incarnations[sender]:
-            known = tuple(acceptor.incarnations)
-            return StateTransferPage(request.nonce, acceptor.incarnation, False, known, (), "")
+            known_incarnations = tuple(acceptor.incarnations)
+            return StateTransferPage(request.nonce, acceptor.incarnation, False, known_incarnations, (), "")
         acceptor.observe_incarnations({sender: request.incarnation})
         keys = self._keys_for(sender, request)
-        first = bisect.bisect_right(keys, request.after) if request.after else 0
-        rows, following = self._collect_rows(keys, first, now_ms)
-        last = keys[following - 1] if following < len(keys) else ""
+        start = bisect.bisect_right(keys, request.after) if request.after else 0
+        rows, next_index = self._collect_rows(keys, start, now_ms)
+        last = keys[next_index - 1] if next_index < len(keys) else ""
         if not last:
             self._snapshots.pop(sender, None)
         return StateTransferPage(
@@ -148,13 +148,13 @@
             snapshot = self._snapshots[sender] = _Snapshot(request.incarnation, keys)
         return snapshot.keys
 
-    def _collect_rows(self, keys: list[str], first: int, now_ms: float) -> tuple[list[tuple[str, Row]], int]:
-        """Collect rows from index `first` until the page is full; a single row if the budget is exhausted.
+    def _collect_rows(self, keys: list[str], start: int, now_ms: float) -> tuple[list[tuple[str, Row]], int]:
+        """Collect rows from index `start` until the page is full; a single row if the budget is exhausted.
 
         :returns: the rows, and the index of the next key to transfer.
         """
         rows: list[tuple[str, Row]] = []
-        size, index = 0, first
+        size, index = 0, start
         limit = max(1.0, min(PAGE_BYTES, self.budget.available))
         while index < len(keys) and size < limit:
             row = self.acceptor.row(keys[index], now_ms)
--- a/shaletiller/replication/writes.py
+++ b/shaletiller/replication/writes.py
@@ -24,7 +24,7 @@
 
 # Limits of the time for a claim, absolute and as a fraction of the request's remaining time: a claim that
 # takes longer leaves too little time for the write itself.
-MAX_CLAIM_MS, MAX_CLAIM_PART = 400.0, 0.4
+MAX_CLAIM_MS, MAX_CLAIM_FRACTION = 400.0, 0.4
 # Timeout for a record that no client waits for. If it is not committed by then, retries of the write fail.
 CLEANUP_MS = 30_000.0
 # Time that records outlive their retention, because the clocks of members may differ by up to a second.
@@ -85,7 +85,7 @@
         """
         self._node, self._incarnation, self._retention_ms = node, incarnation, retention_ms
         self._writes: dict[int, _Write] = {}
-        self._waiting: dict[int, int] = {}  # Write numbers by the operation that the write waits for.
+        self._numbers_by_operation: dict[int, int] = {}  # Writes by the operation that they wait for.
         self.decisions: list[WriteDecision] = []
         # The keys are part of metric names in the operators' STATS output.
         self.counts = dict.fromkeys(
@@ -93,7 +93,7 @@
         )
 
     @property
-    def under_way(self) -> int:
+    def active_count(self) -> int:
         """Number of writes that wait for their claim, for a response from a node, or for their outcome."""
         return len(self._writes)
 
@@ -115,11 +115,11 @@
         )
         write = _Write(number, key, request_hash, deadline_ms, intent=intent)
         self._writes[number] = write
-        claim_by_ms = now_ms + min(MAX_CLAIM_MS, MAX_CLAIM_PART * (deadline_ms - now_ms))
+        claim_deadline_ms = now_ms + min(MAX_CLAIM_MS, MAX_CLAIM_FRACTION * (deadline_ms - now_ms))
         expires_ms = self._expires_ms(now_ms)
-        self._wait(
+        self._await_operation(
             write,
-            self._node.propose(key, Precondition.FREE, intent, expires_ms, claim_by_ms, now_ms),
+            self._node.propose(key, Precondition.FREE, intent, expires_ms, claim_deadline_ms, now_ms),
         )
 
     def end(self, number: int, verdict: WriteVerdict, body: bytes, now_ms: float) -> None:
@@ -133,14 +133,14 @@
         if write is None or write.phase is _Phase.RECORDING:
             return
         if write.phase is _Phase.CLAIMING:  # Nothing was forwarded, but the claim may still be committed.
-            self._drop(write)
-            self._release(write, now_ms)
+            self._remove(write)
+            self._release_claim(write, now_ms)
         elif verdict == WriteVerdict.SERVED:
             write.phase, write.body = _Phase.RECORDING, body
             value = pack(WriteOutcome(True, body, write.request_hash, int(now_ms)))
-            self._wait(write, self._replace_intent(write, value, write.deadline_ms, now_ms))
+            self._await_operation(write, self._replace_intent(write, value, write.deadline_ms, now_ms))
         else:
-            self._drop(write)
+            self._remove(write)
             value = b""
             if verdict != WriteVerdict.REJECTED:
                 value = pack(WriteOutcome(False, b"", write.request_hash, int(now_ms)))
@@ -151,7 +151,7 @@
         position, write.position = write.position, None
         return self._propose_over_intent(write, value, deadline_ms, now_ms, position)
 
-    def _release(self, write: _Write, now_ms: float) -> None:
+    def _release_claim(self, write: _Write, now_ms: float) -> None:
         """Release the key of a write that was not forwarded, in case its intent is committed later."""
         self._propose_over_intent(write, b"", now_ms + CLEANUP_MS, now_ms, write.position)
 
@@ -177,36 +177,36 @@
     def _expires_ms(self, now_ms: float) -> float:
         return now_ms + self._retention_ms + CLOCK_MARGIN_MS
 
-    def _wait(self, write: _Write, operation: int) -> None:
+    def _await_operation(self, write: _Write, operation: int) -> None:
         write.operation = operation
-        self._waiting[operation] = write.number
+        self._numbers_by_operation[operation] = write.number
 
-    def _drop(self, write: _Write) -> None:
+    def _remove(self, write: _Write) -> None:
         self._writes.pop(write.number, None)
-        self._waiting.pop(write.operation, None)
+        self._numbers_by_operation.pop(write.operation, None)
 
     def operation_finished(self, result: OperationResult, now_ms: float) -> bool:
         """Handle the result of an operation.
 
         :returns: whether a write was waiting for the operation.
         """
-        number = self._waiting.pop(result.operation, None)
+        number = self._numbers_by_operation.pop(result.operation, None)
         write = self._writes.get(number) if number is not None else None
         if write is None:
             return False
         if write.phase is _Phase.RECORDING:
             self._writes.pop(write.number)
-            self._decide_recorded(write, result)
+            self._decide_after_recording(write, result)
         elif result.committed:
             write.phase, write.position = _Phase.FORWARDED, result.position
             self._count("claimed")
             self._decide(write, WriteVerdict.FORWARD)
         else:
             self._writes.pop(write.number)
-            self._decide_found(write, result, now_ms)
+            self._decide_after_conflict(write, result, now_ms)
         return True
 
-    def _decide_recorded(self, write: _Write, result: OperationResult) -> None:
+    def _decide_after_recording(self, write: _Write, result: OperationResult) -> None:
         if result.committed:
             self._count("made")
             self._decide(write, WriteVerdict.SERVED, write.body)
@@ -214,22 +214,22 @@
             self._count("unmade")
             self._decide(write, WriteVerdict.FAILED)
 
-    def _decide_found(self, write: _Write, result: OperationResult, now_ms: float) -> None:
-        found = decode_value(result.value)
-        if result.indeterminate or found is None:
-            self._release(write, now_ms)
+    def _decide_after_conflict(self, write: _Write, result: OperationResult, now_ms: float) -> None:
+        existing = decode_value(result.value)
+        if result.indeterminate or existing is None:
+            self._release_claim(write, now_ms)
             self._count("no_majority")
             self._reject(write, NO_MAJORITY_RETRY_AFTER_MS, "no majority of its replicas")
-        elif isinstance(found, WriteIntent | WriteOutcome) and found.request_hash != write.request_hash:
+        elif isinstance(existing, WriteIntent | WriteOutcome) and existing.request_hash != write.request_hash:
             reason = "its idempotency key was used for another request"
             self._decide(write, WriteVerdict.FAILED, reason=reason)
-        elif isinstance(found, WriteOutcome):
-            self._count("repeated" if found.served else "may_have_run")
-            verdict = WriteVerdict.SERVED if found.served else WriteVerdict.FAILED
-            self._decide(write, verdict, found.body)
-        elif isinstance(found, WriteIntent) and now_ms < found.deadline_ms:
+        elif isinstance(existing, WriteOutcome):
+            self._count("repeated" if existing.served else "may_have_run")
+            verdict = WriteVerdict.SERVED if existing.served else WriteVerdict.FAILED
+            self._decide(write, verdict, existing.body)
+        elif isinstance(existing, WriteIntent) and now_ms < existing.deadline_ms:
             self._count("in_progress")
-            retry_after_ms = max(MIN_RETRY_AFTER_MS, found.deadline_ms - now_ms)
+            retry_after_ms = max(MIN_RETRY_AFTER_MS, existing.deadline_ms - now_ms)
             self._reject(write, retry_after_ms, "another request with its idempotency key is in progress")
         else:
             self._count("may_have_run")
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -37,7 +37,7 @@
 )
 from shaletiller.replication.writes import ReplicatedWrites, WriteVerdict
 
-MINUTE = 60_000.0
+MINUTE_MS = 60_000.0
 
 
 class Cluster:
@@ -47,7 +47,7 @@
         self.groups = ReplicaGroups(zones or ("",) * members)
         self.disks: list[dict[tuple[int, bytes], bytes]] = [{} for _ in range(members)]
         self.nodes: list[ReplicationNode | None] = [None] * members
-        self.now = 1_000_000.0
+        self.now_ms = 1_000_000.0
         self.results: list[OperationResult] = []
         self.partitioned: set[int] = set()
         self.full_disks: set[int] = set()
@@ -60,33 +60,33 @@
         """Start a member with its disk, or with an empty one if `wiped`."""
         if wiped:
             self.disks[member] = {}
-        kept = [(kind, key, value) for (kind, key), value in self.disks[member].items()]
-        self.nodes[member] = ReplicationNode(member, self.groups, kept, self.now + member)
+        records = [(kind, key, value) for (kind, key), value in self.disks[member].items()]
+        self.nodes[member] = ReplicationNode(member, self.groups, records, self.now_ms + member)
 
     def node(self, member: int) -> ReplicationNode:
         """Return the node of a member, which must be up."""
-        found = self.nodes[member]
-        assert found is not None
-        return found
+        node = self.nodes[member]
+        assert node is not None
+        return node
 
     def run(self, span_ms: float, step_ms: float = 5.0) -> None:
         """Advance the clock, and execute all effects after each step."""
-        until = self.now + span_ms
-        while self.now < until:
-            self.now += step_ms
+        end_ms = self.now_ms + span_ms
+        while self.now_ms < end_ms:
+            self.now_ms += step_ms
             for node in self.nodes:
                 if node is not None:
-                    node.tick(self.now, tuple(range(len(self.nodes))))
-            self.settle()
+                    node.tick(self.now_ms, tuple(range(len(self.nodes))))
+            self.execute_effects()
 
-    def settle(self) -> None:
+    def execute_effects(self) -> None:
         """Execute effects until none are left."""
         while any(node is not None and node.effects for node in self.nodes):
             for member, node in enumerate(self.nodes):
                 for effect in node.take_effects() if node is not None else ():
-                    self.carry_out(member, effect)
+                    self.execute_effect(member, effect)
 
-    def carry_out(self, member: int, effect: Any) -> None:
+    def execute_effect(self, member: int, effect: Any) -> None:
         """Execute one effect of a member, subject to the current faults."""
         node = self.node(member)
         if isinstance(effect, OperationResult):
@@ -95,7 +95,7 @@
             self.sent[type(effect.message).__name__] += 1
             other = self.nodes[effect.recipient]
             if other is not None and not {member, effect.recipient} & self.partitioned:
-                other.receive(member, effect.message, self.now)
+                other.receive(member, effect.message, self.now_ms)
         elif isinstance(effect, PersistRecords):
             if member in self.full_disks and effect.updates:
                 node.persist_failed(effect.token)
@@ -105,7 +105,7 @@
                     self.disks[member].pop((kind, key), None)
                 else:
                     self.disks[member][kind, key] = value
-            node.persisted(effect.token, self.now)
+            node.persisted(effect.token, self.now_ms)
 
     def propose(
         self,
@@ -114,26 +114,28 @@
         precondition: Precondition = Precondition.FREE,
         value: bytes = b"",
         timeout_ms: float = 800.0,
-        retention_ms: float = MINUTE,
-        **more: Any,
+        retention_ms: float = MINUTE_MS,
+        **options: Any,
     ) -> OperationResult:
         """Run an operation and return its result."""
-        until, last = self.now + retention_ms, self.now + timeout_ms
-        operation = self.node(member).propose(key, precondition, value, until, last, self.now, **more)
-        self.settle()
+        expires_ms, deadline_ms = self.now_ms + retention_ms, self.now_ms + timeout_ms
+        operation = self.node(member).propose(
+            key, precondition, value, expires_ms, deadline_ms, self.now_ms, **options
+        )
+        self.execute_effects()
         for _ in range(400):
-            found = [done for done in self.results if done.operation == operation]
-            if found:
-                self.results.remove(found[0])
-                return found[0]
+            finished = [result for result in self.results if result.operation == operation]
+            if finished:
+                self.results.remove(finished[0])
+                return finished[0]
             self.run(5.0)
-        raise AssertionError(f"operation {operation} on key {key!r} has not ended")
+        raise AssertionError("the operation has not ended")
 
     def read(self, member: int, key: str) -> bytes:
         """Read the value of a key through a member."""
-        found = self.propose(member, key, Precondition.READ_ONLY)
-        assert not found.indeterminate
-        return found.value
+        result = self.propose(member, key, Precondition.READ_ONLY)
+        assert not result.indeterminate
+        return result.value
 
 
 @pytest.fixture
@@ -151,11 +153,11 @@
 def test_a_group_spreads_over_the_zones(key: str, zones: list[str]) -> None:
     """A group has distinct members, in different zones if there are enough zones, and a strict majority."""
     groups = ReplicaGroups(zones)
-    found = groups.members_of(key)
-    assert len(set(found)) == len(found) == min(3, len(zones)) == groups.replicas
-    named = {zone for zone in zones if zone}
-    if "" not in zones and len(named) >= groups.replicas:
-        assert len({zones[member] for member in found}) == groups.replicas
+    members = groups.members_of(key)
+    assert len(set(members)) == len(members) == min(3, len(zones)) == groups.replicas
+    named_zones = {zone for zone in zones if zone}
+    if "" not in zones and len(named_zones) >= groups.replicas:
+        assert len({zones[member] for member in members}) == groups.replicas
     assert groups.majority * 2 > groups.replicas
 
 
@@ -188,8 +190,8 @@
     claim then succeeds.
     """
     first = cluster.propose(0, "k", value=b"mine")
-    assert not (found := cluster.propose(1, "k", value=b"yours")).committed
-    assert found.value == b"mine"
+    assert not (second := cluster.propose(1, "k", value=b"yours")).committed
+    assert second.value == b"mine"
     # The second gateway prepared a higher ballot: the first one needs another round to replace its own value.
     assert cluster.propose(
         0, "k", Precondition.EQUALS, b"", expected=b"mine", position=first.position
@@ -229,9 +231,9 @@
     """
     cluster.nodes[2] = None
     cluster.node(0).unreachable = frozenset({2})
-    before = cluster.now
+    before = cluster.now_ms
     assert cluster.propose(0, "k", value=b"mine").committed
-    assert cluster.now - before < 10.0
+    assert cluster.now_ms - before < 10.0
     assert cluster.sent["Prepare"] == 2
 
 
@@ -266,7 +268,7 @@
     cluster.propose(0, "k", Precondition.EQUALS, b"", expected=b"old")
     operations = [
         cluster.node(1).propose(
-            "k", Precondition.FREE, value, cluster.now + MINUTE, cluster.now + 800, cluster.now
+            "k", Precondition.FREE, value, cluster.now_ms + MINUTE_MS, cluster.now_ms + 800, cluster.now_ms
         )
         for value in (b"one", b"two")
     ]
@@ -323,22 +325,22 @@
     The request no longer changes the row in memory, but the row must be persisted before the reply is sent.
     """
     node, incarnations = cluster.node(1), cluster.node(1).acceptor.incarnations_of("k")
-    ask = Accept(7, "k", FAST_BALLOT, 0, b"mine", int(cluster.now + MINUTE), incarnations)
-    node.receive(0, ask, cluster.now)
+    request = Accept(7, "k", FAST_BALLOT, 0, b"mine", int(cluster.now_ms + MINUTE_MS), incarnations)
+    node.receive(0, request, cluster.now_ms)
     (first,) = node.take_effects()
     assert isinstance(first, PersistRecords)
     assert first.updates
     node.persist_failed(first.token)
-    node.receive(0, ask, cluster.now)  # The row in memory does not change, but the disk lacks it.
+    node.receive(0, request, cluster.now_ms)  # The row in memory does not change, but the disk lacks it.
     persists = [effect for effect in node.take_effects() if isinstance(effect, PersistRecords)]
     assert any(key == b"k" and value is not None for persist in persists for _, key, value in persist.updates)
     for persist in persists:
-        node.persisted(persist.token, cluster.now)
+        node.persisted(persist.token, cluster.now_ms)
     replies = [effect.message for effect in node.take_effects() if isinstance(effect, SendMessage)]
     assert [reply.status for reply in replies if isinstance(reply, Reply)] == [ReplyStatus.OK]
 
 
-def lose_one_with_another_down() -> Cluster:
+def cluster_with_one_wiped_and_one_down() -> Cluster:
     """Commit a value on members 0 and 1 of three, then wipe member 1 and stop member 0."""
     cluster = Cluster()
     cluster.nodes[2] = None
@@ -356,12 +358,16 @@
     Until the member that has the value is back, the wiped member must not vote, and a read must be
     indeterminate.
     """
-    cluster = lose_one_with_another_down()
-    asked = Prepare(
-        5, "k", Ballot(9, 2, 1), int(cluster.now + MINUTE), cluster.node(1).acceptor.incarnations_of("k")
+    cluster = cluster_with_one_wiped_and_one_down()
+    request = Prepare(
+        5,
+        "k",
+        Ballot(9, 2, 1),
+        int(cluster.now_ms + MINUTE_MS),
+        cluster.node(1).acceptor.incarnations_of("k"),
     )
     assert not cluster.node(1).fully_synced  # Only member 0, which is down, has the rows that member 1 lost.
-    assert cluster.node(1).acceptor.prepare(asked, cluster.now)[0].status == ReplyStatus.RECOVERING
+    assert cluster.node(1).acceptor.prepare(request, cluster.now_ms)[0].status == ReplyStatus.RECOVERING
     assert cluster.propose(2, "k", Precondition.READ_ONLY, timeout_ms=300.0).indeterminate
     cluster.start(0)
     cluster.run(800.0)
@@ -378,10 +384,10 @@
     cluster.start(2, wiped=True)
     cluster.run(800.0)
     assert cluster.node(2).fully_synced
-    old = Accept(5, "k", Ballot(2, 0, 1), 0, b"of before", int(cluster.now + MINUTE), incarnations)
-    answers = [cluster.node(member).acceptor.accept(old, cluster.now)[0] for member in range(3)]
-    assert all(answer.status != ReplyStatus.OK for answer in answers)
-    assert answers[0].incarnations == cluster.node(2).acceptor.incarnations_of("k") != incarnations
+    request = Accept(5, "k", Ballot(2, 0, 1), 0, b"of before", int(cluster.now_ms + MINUTE_MS), incarnations)
+    replies = [cluster.node(member).acceptor.accept(request, cluster.now_ms)[0] for member in range(3)]
+    assert all(reply.status != ReplyStatus.OK for reply in replies)
+    assert replies[0].incarnations == cluster.node(2).acceptor.incarnations_of("k") != incarnations
 
 
 def test_a_store_restored_from_an_old_copy_never_votes(cluster: Cluster) -> None:
@@ -451,23 +457,23 @@
         assert node is not None
         node.budget.bytes_per_second = 3_000.0
     cluster.partitioned = set()
-    before_ms, given = cluster.now, sum(node.budget.bytes_sent for node in cluster.nodes if node)
+    before_ms, sent_before = cluster.now_ms, sum(node.budget.bytes_sent for node in cluster.nodes if node)
 
     def missing() -> list[str]:
         return [
             f"k{n}"
             for n in range(60)
             if 4 in cluster.groups.members_of(f"k{n}")
-            and cluster.node(4).acceptor.row(f"k{n}", cluster.now).value != b"x" * 200
+            and cluster.node(4).acceptor.row(f"k{n}", cluster.now_ms).value != b"x" * 200
         ]
 
     assert len(missing()) > 20
     while missing():
-        assert cluster.now - before_ms < 60_000.0, missing()
+        assert cluster.now_ms - before_ms < 60_000.0, missing()
         cluster.run(500.0)
-    spent = sum(node.budget.bytes_sent for node in cluster.nodes if node) - given
-    span_s = (cluster.now - before_ms) / 1000
-    assert spent <= 5 * (3_000.0 * span_s + 3_000.0 + 60_000.0 / 10)
+    repair_bytes = sum(node.budget.bytes_sent for node in cluster.nodes if node) - sent_before
+    span_s = (cluster.now_ms - before_ms) / 1000
+    assert repair_bytes <= 5 * (3_000.0 * span_s + 3_000.0 + 60_000.0 / 10)
 
 
 # ---- writes
@@ -478,34 +484,36 @@
 
     def __init__(self, cluster: Cluster, member: int) -> None:
         self.cluster, self.member, self.number = cluster, member, 0
-        self.writes = ReplicatedWrites(cluster.node(member), int(cluster.now) + member, MINUTE)
+        self.writes = ReplicatedWrites(cluster.node(member), int(cluster.now_ms) + member, MINUTE_MS)
 
     def begin(self, key: str, request_hash: int = 1, timeout_ms: float = 900.0) -> int:
         """Start a write and return its number."""
         self.number += 1
-        self.writes.begin(self.number, key, request_hash, self.cluster.now + timeout_ms, self.cluster.now)
+        self.writes.begin(
+            self.number, key, request_hash, self.cluster.now_ms + timeout_ms, self.cluster.now_ms
+        )
         return self.number
 
-    def decided(self) -> list[tuple[int, WriteVerdict, bytes]]:
+    def wait_for_decisions(self) -> list[tuple[int, WriteVerdict, bytes]]:
         """Wait for the next decisions, and return number, verdict and body of each."""
-        self.cluster.settle()
+        self.cluster.execute_effects()
         for _ in range(200):
-            for done in list(self.cluster.results):
-                if self.writes.operation_finished(done, self.cluster.now):
-                    self.cluster.results.remove(done)
-            found = self.writes.take_decisions()
-            if found:
-                return [(each.number, each.verdict, each.body) for each in found]
+            for result in list(self.cluster.results):
+                if self.writes.operation_finished(result, self.cluster.now_ms):
+                    self.cluster.results.remove(result)
+            decisions = self.writes.take_decisions()
+            if decisions:
+                return [(decision.number, decision.verdict, decision.body) for decision in decisions]
             self.cluster.run(5.0)
         return []
 
-    def decide(self, number: int) -> WriteVerdict:
+    def wait_for_verdict(self, number: int) -> WriteVerdict:
         """Wait for the next decisions, and return the verdict on one write."""
-        return {each: verdict for each, verdict, _ in self.decided()}[number]
+        return {number_decided: verdict for number_decided, verdict, _ in self.wait_for_decisions()}[number]
 
-    def decide_new(self, key: str) -> WriteVerdict:
+    def begin_and_wait(self, key: str) -> WriteVerdict:
         """Start a write and return the verdict on it."""
-        return self.decide(self.begin(key))
+        return self.wait_for_verdict(self.begin(key))
 
 
 def test_a_retry_through_another_gateway_gets_the_recorded_answer(cluster: Cluster) -> None:
@@ -516,13 +524,14 @@
     """
     first, second = WriteClient(cluster, 0), WriteClient(cluster, 1)
     number = first.begin("k")
-    assert first.decided() == [(number, WriteVerdict.FORWARD, b"")]
-    first.writes.end(number, WriteVerdict.SERVED, b"body", cluster.now)
-    assert first.decided() == [(number, WriteVerdict.SERVED, b"body")]
+    assert first.wait_for_decisions() == [(number, WriteVerdict.FORWARD, b"")]
+    first.writes.end(number, WriteVerdict.SERVED, b"body", cluster.now_ms)
+    assert first.wait_for_decisions() == [(number, WriteVerdict.SERVED, b"body")]
     again = second.begin("k")
-    assert second.decided() == [(again, WriteVerdict.SERVED, b"body")]
+    assert second.wait_for_decisions() == [(again, WriteVerdict.SERVED, b"body")]
     other = second.begin("k", request_hash=2)
-    assert second.decided() == [(other, WriteVerdict.FAILED, b"")]  # The key was used for another request.
+    # The key was used for another request.
+    assert second.wait_for_decisions() == [(other, WriteVerdict.FAILED, b"")]
 
 
 def test_a_retry_is_rejected_while_the_first_is_out_and_fails_after_its_gateway_died(
@@ -535,11 +544,11 @@
     """
     first, second = WriteClient(cluster, 0), WriteClient(cluster, 1)
     number = first.begin("k")
-    assert first.decided() == [(number, WriteVerdict.FORWARD, b"")]
-    assert second.decide(second.begin("k")) == WriteVerdict.REJECTED
+    assert first.wait_for_decisions() == [(number, WriteVerdict.FORWARD, b"")]
+    assert second.wait_for_verdict(second.begin("k")) == WriteVerdict.REJECTED
     cluster.nodes[0] = None
     cluster.run(1_000.0)
-    assert second.decide(second.begin("k")) == WriteVerdict.FAILED  # The write may have run.
+    assert second.wait_for_verdict(second.begin("k")) == WriteVerdict.FAILED  # The write may have run.
 
 
 def test_a_write_that_never_ran_may_be_retried_immediately(cluster: Cluster) -> None:
@@ -549,10 +558,10 @@
     """
     first, second = WriteClient(cluster, 0), WriteClient(cluster, 1)
     number = first.begin("k")
-    assert first.decided() == [(number, WriteVerdict.FORWARD, b"")]
-    first.writes.end(number, WriteVerdict.REJECTED, b"", cluster.now)
+    assert first.wait_for_decisions() == [(number, WriteVerdict.FORWARD, b"")]
+    first.writes.end(number, WriteVerdict.REJECTED, b"", cluster.now_ms)
     cluster.run(50.0)
-    assert second.decide(second.begin("k")) == WriteVerdict.FORWARD
+    assert second.wait_for_verdict(second.begin("k")) == WriteVerdict.FORWARD
 
 
 def test_an_outcome_that_cannot_be_committed_is_not_answered(cluster: Cluster) -> None:
@@ -562,14 +571,14 @@
     """
     first = WriteClient(cluster, 0)
     number = first.begin("k")
-    assert first.decided() == [(number, WriteVerdict.FORWARD, b"")]
+    assert first.wait_for_decisions() == [(number, WriteVerdict.FORWARD, b"")]
     cluster.partitioned = {0}
-    first.writes.end(number, WriteVerdict.SERVED, b"body", cluster.now)
-    assert first.decided() == [(number, WriteVerdict.FAILED, b"")]
+    first.writes.end(number, WriteVerdict.SERVED, b"body", cluster.now_ms)
+    assert first.wait_for_decisions() == [(number, WriteVerdict.FAILED, b"")]
     cluster.partitioned = set()
     cluster.run(1_000.0)
     # The outcome may be committed after the response, but the write must not be forwarded again.
-    assert WriteClient(cluster, 1).decide_new("k") in (WriteVerdict.FAILED, WriteVerdict.SERVED)
+    assert WriteClient(cluster, 1).begin_and_wait("k") in (WriteVerdict.FAILED, WriteVerdict.SERVED)
 
 
 def test_without_a_majority_nothing_is_forwarded_and_the_key_is_released(cluster: Cluster) -> None:
@@ -579,10 +588,10 @@
     """
     first = WriteClient(cluster, 0)
     cluster.partitioned = {0}
-    assert first.decide(first.begin("k")) == WriteVerdict.REJECTED
+    assert first.wait_for_verdict(first.begin("k")) == WriteVerdict.REJECTED
     cluster.partitioned = set()
     cluster.run(3_000.0)
-    assert WriteClient(cluster, 1).decide_new("k") == WriteVerdict.FORWARD
+    assert WriteClient(cluster, 1).begin_and_wait("k") == WriteVerdict.FORWARD
 
 
 # ---- messages
@@ -598,11 +607,11 @@
 
 def test_messages_of_another_fleet_or_member_are_dropped_by_reason() -> None:
     """Frames of another fleet, of an unknown member or of this member itself must be dropped by reason."""
-    join = StateTransferRequest(1, 2, "")
-    assert Codec(7, 0, 3).read(Codec(7, 1, 3).write(join)) == (1, join)
+    request = StateTransferRequest(1, 2, "")
+    assert Codec(7, 0, 3).read(Codec(7, 1, 3).write(request)) == (1, request)
     codec = Codec(7, 0, 3)
     for other in (Codec(8, 1, 3), Codec(7, 5, 9), Codec(7, 0, 3)):
-        assert codec.read(other.write(join)) is None
+        assert codec.read(other.write(request)) is None
     assert codec.dropped == {"group": 1, "sender": 2}
 
 
@@ -627,10 +636,10 @@
         FaultBounds(timeouts=1),
         FaultBounds(late_requests=1, lost_messages=1),
     ):
-        found = explore(ProtocolModel(bounds, TWO_KEYS))
-        assert not found.violation, (found.violation, found.trace)
-        assert found.complete
-        assert found.final_states > 0
+        result = explore(ProtocolModel(bounds, TWO_KEYS))
+        assert not result.violation, (result.violation, result.trace)
+        assert result.complete
+        assert result.final_states > 0
 
 
 # ---- schedules on the virtual clock
@@ -654,9 +663,9 @@
 def find_violations(node_factory: Callable[..., Any] = ReplicationNode, seeds: int = 40) -> list[str]:
     """Return the violations of the first schedule that has any."""
     for seed in range(seeds):
-        found = run_schedule(seed, node_factory=node_factory).violations
-        if found:
-            return found
+        first_violations = run_schedule(seed, node_factory=node_factory).violations
+        if first_violations:
+            return first_violations
     return []
 
 
@@ -669,11 +678,11 @@
 class RepliesBeforeSync(ReplicationNode):
     """A faulty node that replies before its rows are persisted."""
 
-    def _persist(self, updates: list[Any], after: Any = None) -> None:
-        reply_now = isinstance(after, SendMessage)
-        super()._persist(updates, None if reply_now else after)
+    def _persist(self, updates: list[Any], follow_up: Any = None) -> None:
+        reply_now = isinstance(follow_up, SendMessage)
+        super()._persist(updates, None if reply_now else follow_up)
         if reply_now:
-            self._send(after, BEGIN_MS)
+            self._send(follow_up, BEGIN_MS)
 
 
 def test_an_acknowledgement_before_the_sync_is_caught() -> None:
@@ -681,8 +690,8 @@
 
     The exhaustive exploration must find this violation.
     """
-    found = explore(ProtocolModel(FaultBounds(crashes=1), TWO_KEYS, RepliesBeforeSync), max_states=60_000)
-    assert "is found afterwards" in found.violation or "both kept" in found.violation
+    result = explore(ProtocolModel(FaultBounds(crashes=1), TWO_KEYS, RepliesBeforeSync), max_states=60_000)
+    assert "is found afterwards" in result.violation or "both kept" in result.violation
 
 
 def test_a_wiped_member_that_votes_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -691,22 +700,22 @@
     This shows that `may_vote` is what prevents the second claim.
     """
     monkeypatch.setattr(Acceptor, "may_vote", lambda self, key: True)
-    cluster = lose_one_with_another_down()
+    cluster = cluster_with_one_wiped_and_one_down()
     assert cluster.propose(2, "k", value=b"yours").committed  # Although another claim was committed before.
 
 
 def test_a_missing_fence_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """If acceptors accept ballots below their promise, the simulation must find a violation."""
 
-    def takes_all(self: Acceptor, ask: Accept, now_ms: float) -> tuple[Reply, list[Any]]:
-        fenced = self._fence(ask)
-        if fenced is not None:
-            return fenced, []
-        row = self.row(ask.key, now_ms)
-        new = Row(ask.ballot, ask.ballot, ask.step, ask.value, ask.expires_ms)
-        return self._reply(ask, ReplyStatus.OK, new), self._replace_row(ask.key, row, new)
+    def accept_any_ballot(self: Acceptor, request: Accept, now_ms: float) -> tuple[Reply, list[Any]]:
+        refusal = self._fence(request)
+        if refusal is not None:
+            return refusal, []
+        row = self.row(request.key, now_ms)
+        new = Row(request.ballot, request.ballot, request.step, request.value, request.expires_ms)
+        return self._reply(request, ReplyStatus.OK, new), self._replace_row(request.key, row, new)
 
-    monkeypatch.setattr(Acceptor, "accept", takes_all)
+    monkeypatch.setattr(Acceptor, "accept", accept_any_ballot)
     assert find_violations()
 
 
--- a/tests/replication/test_replication_adapters.py
+++ b/tests/replication/test_replication_adapters.py
@@ -50,10 +50,10 @@
         """Open the store and start the timer."""
         writer = StoreWriter(self.store)
         writer.start()
-        self.port.open(writer, [(each.kind, each.key, each.value) for each in self.store])
+        self.port.open(writer, [(record.kind, record.key, record.value) for record in self.store])
         self.port.start()
 
-    async def complete(self, work: Awaitable[Result]) -> Result:
+    async def wait_for(self, work: Awaitable[Result]) -> Result:
         """Advance the clock until an awaitable is done, and return its result."""
         task = asyncio.ensure_future(work)
         while not task.done():
@@ -61,7 +61,7 @@
             await asyncio.sleep(0.005)  # No faster than real time, so that the store's syncs can keep up.
         return await task
 
-    async def wait(self, span_ms: float) -> None:
+    async def advance(self, span_ms: float) -> None:
         """Advance the clock by a time span."""
         until_ms = self.clock.now_ms() + span_ms
         while self.clock.now_ms() < until_ms:
@@ -69,21 +69,21 @@
             await asyncio.sleep(0.001)
 
 
-def run(folder: Path, play: Callable[[Gateway], Awaitable[None]], members: int = 1) -> None:
+def run(folder: Path, check: Callable[[Gateway], Awaitable[None]], members: int = 1) -> None:
     """Start a gateway, run a test on it, and close its port."""
 
-    async def started() -> None:
+    async def run_check() -> None:
         gateway = Gateway(folder, members)
         gateway.start()
         try:
-            await play(gateway)
+            await check(gateway)
         finally:
             await gateway.port.close()
 
-    asyncio.run(started())
+    asyncio.run(run_check())
 
 
-def opener_of(folder: Path) -> StoreOpener:
+def create_opener(folder: Path) -> StoreOpener:
     """Create an opener for the store in a folder."""
     settings: Any = SimpleNamespace(dir=str(folder), segment_mb=8.0, drill="")
     return StoreOpener(settings, SettableClock(NOW_MS))
@@ -95,55 +95,55 @@
     An empty list is of no use at a start: the previous one must be restored, from the store and the replicas.
     """
 
-    async def play(gateway: Gateway) -> None:
+    async def check(gateway: Gateway) -> None:
         gateway.lists.update(ServerList(3, True, (ServerRow("n1", "127.0.0.1:1"),)))
-        await gateway.wait(100.0)
+        await gateway.advance(100.0)
         gateway.lists.update(ServerList(4, True))
-        await gateway.wait(2_000.0)
-        await gateway.complete(gateway.lists.restore_from_replicas())
+        await gateway.advance(2_000.0)
+        await gateway.wait_for(gateway.lists.restore_from_replicas())
         gateway.lists.restore_from_store(gateway.store)
-        assert [each.version for each in gateway.restored] == [3, 3]
+        assert [record.version for record in gateway.restored] == [3, 3]
 
-    run(tmp_path, play)
+    run(tmp_path, check)
 
 
 def test_an_unreadable_cached_endpoint_list_is_ignored(tmp_path: Path) -> None:
     """If the cached list in the store cannot be decoded, the gateway must start without it."""
 
-    async def play(gateway: Gateway) -> None:
+    async def check(gateway: Gateway) -> None:
         gateway.store.commit([(META, LIST_KEY, b"no JSON")])
         gateway.lists.restore_from_store(gateway.store)
         assert not gateway.restored
 
-    run(tmp_path, play)
+    run(tmp_path, check)
 
 
 def test_a_committed_drain_is_applied_at_the_next_start(tmp_path: Path) -> None:
     """An operator drains the gateway and later lifts the drain; a start must apply the newest command."""
 
-    async def play(gateway: Gateway) -> None:
+    async def check(gateway: Gateway) -> None:
         for drained in (True, False):
-            await gateway.complete(gateway.commands.replicate_drain(drained))
-            await gateway.complete(gateway.commands.apply_drain())
+            await gateway.wait_for(gateway.commands.replicate_drain(drained))
+            await gateway.wait_for(gateway.commands.apply_drain())
         assert gateway.drained == [True, False]
 
-    run(tmp_path, play)
+    run(tmp_path, check)
 
 
 def test_a_command_without_a_majority_is_not_replicated(tmp_path: Path) -> None:
     """If the other two members of the group do not reply, a drain must be reported as not replicated."""
 
-    async def play(gateway: Gateway) -> None:
+    async def check(gateway: Gateway) -> None:
         with pytest.raises(NotReplicatedError):
-            await gateway.complete(gateway.commands.replicate_drain(True))
+            await gateway.wait_for(gateway.commands.replicate_drain(True))
 
-    run(tmp_path, play, members=3)
+    run(tmp_path, check, members=3)
 
 
 def test_a_store_that_another_process_has_open_is_tried_again_later(tmp_path: Path) -> None:
     """Opening a store must fail while the previous process has it open, and succeed after it is closed."""
     first = SegmentStore(tmp_path / "store")
-    opener = opener_of(tmp_path / "store")
+    opener = create_opener(tmp_path / "store")
     assert opener.open() is None
     assert not opener.found_damaged
     first.close()
@@ -161,7 +161,7 @@
     damaged = bytearray(segment.read_bytes())
     damaged[-1] ^= 1
     segment.write_bytes(bytes(damaged))
-    opener = opener_of(tmp_path / "store")
+    opener = create_opener(tmp_path / "store")
     opened = opener.open()
     assert opened is not None
     assert not opened.index
--- a/tests/replication/test_replication_process.py
+++ b/tests/replication/test_replication_process.py
@@ -30,9 +30,11 @@
 
     No recorded response may be lost, no write may run twice, and every request must get a final response.
     """
-    out = asyncio.run(replication_scenarios.run(5, SECONDS, 1, scenario.load(faults, "promises"), rate=30.0))
-    assert out.kept, "\n".join([*out.course, *out.lines(), str(out.figures)])
-    named = [each.name for each in out.guarantees]
+    outcome = asyncio.run(
+        replication_scenarios.run(5, SECONDS, 1, scenario.load(faults, "promises"), rate=30.0)
+    )
+    assert outcome.kept, "\n".join([*outcome.course, *outcome.lines(), str(outcome.figures)])
+    named = [guarantee.name for guarantee in outcome.guarantees]
     assert named == [
         "promises lost",
         "second runs",
@@ -40,38 +42,43 @@
         "refused when all is over",
         "staleness of the ban of n4",
     ]
-    for stats in out.figures["stats"].values():
+    for stats in outcome.figures["stats"].values():
         assert stats["edge.promises.filled"] == 1
         assert stats["edge.promises.repeated"] > 0
 
 
-def run_with_gateways(folder: Path, play: Callable[[FleetTestbed, LoadGenerator], Awaitable[None]]) -> None:
+def run_with_gateways(folder: Path, check: Callable[[FleetTestbed, LoadGenerator], Awaitable[None]]) -> None:
     """Start three gateways with stores, run a test on them, and stop them."""
 
     async def run() -> None:
-        rig = replication_scenarios.create_testbed(3, 1.0, 1, folder)
+        testbed = replication_scenarios.create_testbed(3, 1.0, 1, folder)
         try:
-            await rig.start()
-            await replication_scenarios.wait_until_synced(rig)
-            await play(rig, LoadGenerator({name: process.port for name, process in rig.processes.items()}, 1))
+            await testbed.start()
+            await replication_scenarios.wait_until_synced(testbed)
+            await check(
+                testbed,
+                LoadGenerator({name: process.port for name, process in testbed.processes.items()}, 1),
+            )
         finally:
-            await rig.stop()
+            await testbed.stop()
 
     asyncio.run(run())
 
 
-async def ask(load: LoadGenerator, gateway: str, key: str, request: str, content: str = "") -> ClientRequest:
+async def send_write(
+    load: LoadGenerator, gateway: str, key: str, request: str, content: str = ""
+) -> ClientRequest:
     """Send one write with an idempotency key, and wait for its response."""
-    each = ClientRequest(now_ms(), gateway, request, ONCE, 1, 0, key, content=content)
-    await load.send(each)
-    return each
+    client_request = ClientRequest(now_ms(), gateway, request, ONCE, 1, 0, key, content=content)
+    await load.send(client_request)
+    return client_request
 
 
-async def until(found: Callable[[], Awaitable[bool]], wait_s: float = 15.0) -> None:
-    """Wait until a condition holds; fail after `wait_s` seconds."""
-    last = now_ms() + wait_s * 1000
-    while not await found():
-        assert now_ms() < last, "the condition never held"
+async def wait_until(condition: Callable[[], Awaitable[bool]], timeout_s: float = 15.0) -> None:
+    """Wait until a condition holds; fail after `timeout_s` seconds."""
+    deadline_ms = now_ms() + timeout_s * 1000
+    while not await condition():
+        assert now_ms() < deadline_ms, "the condition never held"
         await asyncio.sleep(0.05)
 
 
@@ -82,14 +89,14 @@
     must not restore the ejection, whether from its file or after a loss of its store.
     """
 
-    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
-        g0, g1, g2 = rig.processes.values()
+    async def check(testbed: FleetTestbed, load: LoadGenerator) -> None:
+        g0, g1, g2 = testbed.processes.values()
         assert await g0.call("DISABLE n1") == ["done n1"]
         assert await g0.call("DRAIN") == ["done"]
         await g0.kill()
         g0.wipe()
-        await g0.start(rig.known("g0"))
-        await until(lambda: holds(g0, "edge.ejected", 1))
+        await g0.start(testbed.known("g0"))
+        await wait_until(lambda: metric_equals(g0, "edge.ejected", 1))
 
         async def drained() -> bool:
             _, writer = await asyncio.open_connection("127.0.0.1", g0.port)
@@ -98,29 +105,29 @@
             writer.close()
             return b"503" in line
 
-        await until(drained)
+        await wait_until(drained)
         # The ejection is lifted while g2 is down: the file of g2 must not restore it.
         await g2.kill()
         assert await g1.call("ENABLE n1") == ["done n1"]
-        await g2.start(rig.known("g2"))
-        await until(lambda: holds(g2, "edge.ejected", 0))
-        await until(lambda: holds(g0, "edge.ejected", 0))
+        await g2.start(testbed.known("g2"))
+        await wait_until(lambda: metric_equals(g2, "edge.ejected", 0))
+        await wait_until(lambda: metric_equals(g0, "edge.ejected", 0))
         assert await g0.call("UNDRAIN") == ["done"]
         # The ejection is lifted while g1 is down, and g1 loses its store: its file must not restore it.
         assert await g0.call("DISABLE n2") == ["done n2"]
-        await until(lambda: holds(g1, "edge.ejected", 1))
+        await wait_until(lambda: metric_equals(g1, "edge.ejected", 1))
         await g1.kill()
         assert await g0.call("ENABLE n2") == ["done n2"]
         shutil.rmtree(g1.folder / "store")
-        await g1.start(rig.known("g1"))
-        await until(lambda: holds(g1, "edge.promises.filled", 1))
+        await g1.start(testbed.known("g1"))
+        await wait_until(lambda: metric_equals(g1, "edge.promises.filled", 1))
         for process in (g1, g0, g2):
-            await until(lambda process=process: holds(process, "edge.ejected", 0))  # type: ignore[misc]
+            await wait_until(lambda process=process: metric_equals(process, "edge.ejected", 0))  # type: ignore[misc]
 
-    run_with_gateways(tmp_path, play)
+    run_with_gateways(tmp_path, check)
 
 
-async def holds(process: object, name: str, value: int) -> bool:
+async def metric_equals(process: object, name: str, value: int) -> bool:
     """Return whether a metric of STATS has this value."""
     return (await process.stats())[name] == value  # type: ignore[attr-defined,no-any-return]
 
@@ -132,25 +139,25 @@
     be rejected without reaching a node. Once another gateway is back, a retry must get the recorded response.
     """
 
-    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
-        g0, g1, g2 = rig.processes.values()
-        served = await ask(load, "g0", "k1", "00000000000000a1")
+    async def check(testbed: FleetTestbed, load: LoadGenerator) -> None:
+        g0, g1, g2 = testbed.processes.values()
+        served = await send_write(load, "g0", "k1", "00000000000000a1")
         assert served.status == 200
         await g1.kill()
         await g2.kill()
         (answer,) = await g0.call("DISABLE n1")
         assert answer.startswith("error kept here only: no majority")
-        assert await holds(g0, "edge.ejected", 1)  # In effect at this gateway.
-        await until(lambda: holds(g0, "edge.fleet.members", 1))
-        refused = await ask(load, "g0", "k2", "00000000000000a2")
-        assert refused.status == 503
-        assert sum(attempt.key == "k2" for node in rig.nodes for attempt in node.attempts) == 0
-        await g1.start(rig.known("g1"))
-        await until(lambda: holds(g0, "edge.fleet.members", 2))
-        again = await ask(load, "g1", "k1", "00000000000000a3", "00000000000000a1")
-        assert (again.status, again.body) == (200, served.body)
+        assert await metric_equals(g0, "edge.ejected", 1)  # In effect at this gateway.
+        await wait_until(lambda: metric_equals(g0, "edge.fleet.members", 1))
+        rejected = await send_write(load, "g0", "k2", "00000000000000a2")
+        assert rejected.status == 503
+        assert sum(attempt.key == "k2" for node in testbed.nodes for attempt in node.attempts) == 0
+        await g1.start(testbed.known("g1"))
+        await wait_until(lambda: metric_equals(g0, "edge.fleet.members", 2))
+        retry = await send_write(load, "g1", "k1", "00000000000000a3", "00000000000000a1")
+        assert (retry.status, retry.body) == (200, served.body)
 
-    run_with_gateways(tmp_path, play)
+    run_with_gateways(tmp_path, check)
 
 
 def test_a_damaged_store_is_named_moved_aside_and_recovered_from_the_replicas(tmp_path: Path) -> None:
@@ -160,23 +167,23 @@
     others.
     """
 
-    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
-        g0 = rig.processes["g0"]
-        served = await ask(load, "g0", "k1", "00000000000000b1")
+    async def check(testbed: FleetTestbed, load: LoadGenerator) -> None:
+        g0 = testbed.processes["g0"]
+        served = await send_write(load, "g0", "k1", "00000000000000b1")
         await g0.kill()
         segment = max((g0.folder / "store").glob("*.seg"))
         damaged = bytearray(segment.read_bytes())
         damaged[len(damaged) // 2] ^= 1
         segment.write_bytes(bytes(damaged))
-        await g0.start(rig.known("g0"))
-        await until(lambda: holds(g0, "edge.promises.filled", 1))
+        await g0.start(testbed.known("g0"))
+        await wait_until(lambda: metric_equals(g0, "edge.promises.filled", 1))
         assert (await g0.stats())["edge.store.damaged"] == 1
         assert f"damaged: {segment.name}: byte" in (g0.folder / "log.txt").read_text()
         assert len(list(g0.folder.glob("store.damaged-*"))) == 1
-        again = await ask(load, "g0", "k1", "00000000000000b2", "00000000000000b1")
-        assert (again.status, again.body) == (200, served.body)
+        retry = await send_write(load, "g0", "k1", "00000000000000b2", "00000000000000b1")
+        assert (retry.status, retry.body) == (200, served.body)
 
-    run_with_gateways(tmp_path, play)
+    run_with_gateways(tmp_path, check)
 
 
 def test_the_cached_endpoint_list_serves_a_start_without_discovery(tmp_path: Path) -> None:
@@ -185,21 +192,21 @@
     It must serve with the endpoint list cached in its store, and then with the one cached on its replicas.
     """
 
-    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
-        g0, nothing = rig.processes["g0"], {"version": 0, "full": True, "servers": []}
-        await until(lambda: cached(g0.folder))
-        rig.discovery.silent = True
+    async def check(testbed: FleetTestbed, load: LoadGenerator) -> None:
+        g0, empty_list = testbed.processes["g0"], {"version": 0, "full": True, "servers": []}
+        await wait_until(lambda: cached(g0.folder))
+        testbed.discovery.silent = True
         for wiped in (False, True):
             await g0.kill()
             if wiped:  # Only the replicas on the other gateways still have the list.
                 g0.wipe()
-            await g0.start(nothing)
-            assert (await ask(load, "g0", f"k{wiped}", f"00000000000000c{wiped:d}")).status == 200
+            await g0.start(empty_list)
+            assert (await send_write(load, "g0", f"k{wiped}", f"00000000000000c{wiped:d}")).status == 200
 
     async def cached(folder: Path) -> bool:
         return (META, b"list") in RecoveredContents(folder / "store", FileSystem()).index
 
-    run_with_gateways(tmp_path, play)
+    run_with_gateways(tmp_path, check)
 
 
 def test_a_second_process_of_one_store_waits_for_it_and_serves_without(tmp_path: Path) -> None:
@@ -208,8 +215,8 @@
     It must serve without the store, log the reason, and open the store once the first process has stopped.
     """
 
-    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
-        g0 = rig.processes["g0"]
+    async def check(testbed: FleetTestbed, load: LoadGenerator) -> None:
+        g0 = testbed.processes["g0"]
         port, admin, first = g0.port, g0.admin_port, g0._process
         other = type(g0)(
             "g0",
@@ -217,18 +224,18 @@
             {key: value for key, value in g0.config.items() if key not in ("listen", "admin", "name")},
             g0.operator_path.read_text(),
         )
-        await other.start(rig.known("g0"))
+        await other.start(testbed.known("g0"))
         assert (await other.stats())["edge.store.open"] == 0
         assert "another process has this store open" in (g0.folder / "log.txt").read_text()
         assert first is not None
         assert g0.alive
         assert (port, admin) != (other.port, other.admin_port)
         await g0.stop()
-        await until(lambda: holds(other, "edge.store.open", 1))
-        await until(lambda: holds(other, "edge.promises.filled", 1))
+        await wait_until(lambda: metric_equals(other, "edge.store.open", 1))
+        await wait_until(lambda: metric_equals(other, "edge.promises.filled", 1))
         await other.stop()
 
-    run_with_gateways(tmp_path, play)
+    run_with_gateways(tmp_path, check)
 
 
 def test_a_link_whose_connection_fails_in_any_way_connects_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -238,7 +245,7 @@
     that the link stayed down.
     """
 
-    async def play() -> None:
+    async def check() -> None:
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             address = probe.getsockname()[:2]
@@ -261,14 +268,14 @@
         task.cancel()
         links.close()
 
-    asyncio.run(play())
+    asyncio.run(check())
 
 
 def test_the_lab_does_not_wipe_a_process_that_runs(tmp_path: Path) -> None:
     """A test scenario may wipe a gateway's directory only while the gateway is down."""
 
-    async def play(rig: FleetTestbed, load: LoadGenerator) -> None:
+    async def check(testbed: FleetTestbed, load: LoadGenerator) -> None:
         with pytest.raises(LabError, match="only while it is down"):
-            rig.processes["g0"].wipe()
+            testbed.processes["g0"].wipe()
 
-    run_with_gateways(tmp_path, play)
+    run_with_gateways(tmp_path, check)
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -32,9 +32,9 @@
 from shaletiller.core import manual_ejection, metrics
 from shaletiller.core.model import ClientCall, FinalResult
 from shaletiller.fleet import codec
-from shaletiller.fleet.core import group_hash as group_of
+from shaletiller.fleet.core import group_hash as fleet_hash
 from shaletiller.fleet.health_gossip import DepartureState, HealthGossip, HealthKind
-from shaletiller.fleet.hlc import timestamp_of as stamp_of
+from shaletiller.fleet.hlc import timestamp_of as timestamp_at
 from shaletiller.fleet.rendezvous import ranked
 from shaletiller.messages import actions, events, timers
 from shaletiller.messages.endpoints import EndpointState, UpdateKind
@@ -43,8 +43,8 @@
 from shaletiller.net.replication.writes import register_key
 from shaletiller.replication import acceptor, groups, messages, records
 from shaletiller.replication.records import Row, describe, pack
-from shaletiller.replication.records import decode_row as read_row
-from shaletiller.replication.records import decode_value as read_says
+from shaletiller.replication.records import decode_row as read_register_row
+from shaletiller.replication.records import decode_value as read_register_value
 from shaletiller.settings import decoder
 from shaletiller.settings.errors import SettingsError
 from shaletiller.store import segment_store, writer
@@ -71,7 +71,7 @@
     "pull": messages.RowRequest,
     "rows": messages.RowTransfer,
 }
-SAYING_KINDS = {
+REGISTER_VALUE_KINDS = {
     "intent": records.WriteIntent,
     "outcome": records.WriteOutcome,
     "word": records.OperatorCommand,
@@ -135,9 +135,9 @@
     actions.CloseIdleConnections("n3"),
     actions.WriteLog("line"),
 )
-SERVED, REFUSED, FAILED = FinalResult.SERVED, FinalResult.REJECTED, FinalResult.FAILED
+SERVED, REJECTED, FAILED = FinalResult.SERVED, FinalResult.REJECTED, FinalResult.FAILED
 NUMBERS = [
-    [each.value for each in group]
+    [member.value for member in group]
     for group in (
         (
             HealthKind.EJECTED,
@@ -165,18 +165,18 @@
     lease_tables.LEASE_PREFIX,
 )
 FaultyConfig, FaultyFile, FaultySettings = config.ConfigError, OperatorFileError, SettingsError
-pack_part, bucket_of = codec.encode, acceptor.digest_bucket
-read_settings, read_config, simulator_reads = decoder.read_settings, config.read_config, adapter.read_batch
+encode_part, digest_bucket = codec.encode, acceptor.digest_bucket
+read_settings, read_config, read_batch = decoder.read_settings, config.read_config, adapter.read_batch
 
 
-def row_sum(key, row):
+def row_digest(key, row):
     return acceptor.row_digest(key, row)
 
 
-def fleet_writes(group, me, life, *letters):
+def write_envelopes(group, me, incarnation, *envelopes):
     """Return the overhead of an envelope in bytes, and a series of encoded envelopes."""
-    writer = codec.EnvelopeWriter(group, me, life)
-    return writer.overhead, [writer.write(stamp, parts) for stamp, parts in letters]
+    writer = codec.EnvelopeWriter(group, me, incarnation)
+    return writer.overhead, [writer.write(stamp, parts) for stamp, parts in envelopes]
 
 
 def reads(reader, data, *now):
@@ -184,52 +184,52 @@
     return reader.read(data, *now), dict(reader.dropped)
 
 
-FleetReader, PromiseReader = codec.EnvelopeReader, messages.Codec
+FleetReader, ReplicationReader = codec.EnvelopeReader, messages.Codec
 
 
-def promise_writes(group, me, members, message):
+def write_replication_frame(group, me, members, message):
     return messages.Codec(group, me, members).write(message)
 
 
-def value_of(name, values):
+def build_message(name, values):
     """Build a replication message, including the rows in it."""
-    rowed = {
-        "reply": lambda v: (*v[:3], Row(*v[3]), v[4]),
-        "rows": lambda v: (tuple((key, Row(*row)) for key, row in v[0]),),
-        "page": lambda v: (*v[:4], tuple((key, Row(*row)) for key, row in v[4]), v[5]),
+    row_builders = {
+        "reply": lambda fields: (*fields[:3], Row(*fields[3]), fields[4]),
+        "rows": lambda fields: (tuple((key, Row(*row)) for key, row in fields[0]),),
+        "page": lambda fields: (*fields[:4], tuple((key, Row(*row)) for key, row in fields[4]), fields[5]),
     }
-    return MESSAGE_KINDS[name](*rowed.get(name, lambda v: v)(values))
+    return MESSAGE_KINDS[name](*row_builders.get(name, lambda fields: fields)(values))
 
 
-def acceptor_of(kept):
+def load_acceptor(stored):
     """Return the state that an acceptor loads from a store: incarnation, incarnations, synced, rows."""
-    found = acceptor.Acceptor(0, groups.ReplicaGroups(["", "", ""]))
-    found.load(kept)
+    loaded = acceptor.Acceptor(0, groups.ReplicaGroups(["", "", ""]))
+    loaded.load(stored)
     return (
-        found.incarnation,
-        found.incarnations,
-        found.synced,
-        {key: plain(row) for key, row in found.rows.items()},
+        loaded.incarnation,
+        loaded.incarnations,
+        loaded.synced,
+        {key: plain(row) for key, row in loaded.rows.items()},
     )
 
 
-def born(life):
-    return acceptor.Acceptor(0, groups.ReplicaGroups(["", "", ""])).start_incarnation(life)
+def start_incarnation_updates(incarnation):
+    return acceptor.Acceptor(0, groups.ReplicaGroups(["", "", ""])).start_incarnation(incarnation)
 
 
-def digest_of(word):
-    held = HealthGossip(lambda said: None)
-    held.merge(word, 0.0)
-    return held.digest
+def gossip_digest(record):
+    gossip = HealthGossip(lambda changed: None)
+    gossip.merge(record, 0.0)
+    return gossip.digest
 
 
 def group_members(key, zones, copies):
     return groups.ReplicaGroups(zones, copies).members_of(key)
 
 
-def write_key(service, volume, own_id, repeats_by):
-    rest = (1.0, 0, 1, 1.0, True, "PUT", "/", b"", False, repeats_by)
-    return register_key(ClientCall(own_id, service, "plan", volume, "k", *rest))
+def write_key(class_name, volume, request_id, idempotency_key):
+    other_fields = (1.0, 0, 1, 1.0, True, "PUT", "/", b"", False, idempotency_key)
+    return register_key(ClientCall(request_id, class_name, "plan", volume, "k", *other_fields))
 
 
 def write_store(folder, commits, segment_bytes, compacted=False):
@@ -241,111 +241,115 @@
     store.close()
 
 
-async def keep_in_store(folder, commits, segment_bytes):
-    kept = writer.StoreWriter(segment_store.SegmentStore(folder, None, segment_bytes))
-    kept.start()
+async def write_with_store_writer(folder, commits, segment_bytes):
+    store_writer = writer.StoreWriter(segment_store.SegmentStore(folder, None, segment_bytes))
+    store_writer.start()
     for commit in commits:
-        done = asyncio.get_running_loop().create_future()
-        kept.submit(commit, done.set_result)
-        assert await done
-    await kept.stop()
+        committed = asyncio.get_running_loop().create_future()
+        store_writer.submit(commit, committed.set_result)
+        assert await committed
+    await store_writer.stop()
 
 
 def read_store(folder):
     """Return kind, key, value, sequence number and deletion flag of each record, and bytes of a torn tail."""
     store = segment_store.SegmentStore(folder)
-    found = [(each.kind, each.key, each.value, each.sequence, each.deleted) for each in store]
+    found = [(record.kind, record.key, record.value, record.sequence, record.deleted) for record in store]
     store.close()
     return found, store.torn_bytes
 
 
-def figure_lines(results, classes, gauges):
+def stats_lines(results, classes, gauges):
     counters = metrics.Counters()
-    for service, final in results:
-        counters.count_result(service, final)
+    for class_name, result in results:
+        counters.count_result(class_name, result)
     return metrics.stats_lines(counters, classes, gauges)
 
 
-def bans_read(path):
-    moved = []
-    found = manual_ejection.ManualEjections(path, moved.append)
-    found.reload()
-    return found.nodes, moved
+def read_ejections(path):
+    changes = []
+    ejections = manual_ejection.ManualEjections(path, changes.append)
+    ejections.reload()
+    return ejections.nodes, changes
 
 
-def simulator_writes(actions, line):
+def write_simulator_reply(actions, line):
     link = adapter.Instances()
     link._schedulers["host-0"] = types.SimpleNamespace(handle=lambda now_ms, event: actions)
     return link.reply(line)
 
 
 def list_row(row):
-    place = discovery.parse_row(msgspec.convert(row, config.ServerRow), lambda node: None)
-    return plain(place.entry), place.address
+    endpoint = discovery.parse_row(msgspec.convert(row, config.ServerRow), lambda node: None)
+    return plain(endpoint.entry), endpoint.address
 
 
 def gateway_of(configuration):
     """Return a gateway that is not started, its loader of the known list, and its operator call handler."""
-    gate = gateway.Gateway(configuration)
-    return gate, gate.discovery.load_known_list, gate.admin.execute
+    instance = gateway.Gateway(configuration)
+    return instance, instance.discovery.load_known_list, instance.admin.execute
 
 
-async def fleet_hears(gate, *frames):
+async def receive_frames(instance, *frames):
     """Open the store and pass frames to the fleet agent.
 
     Returns the fleet hashes of gossip and of replication, the frames that were passed to replication, and the
     number of the other frames that were dropped by reason.
     """
-    gate.replication.open()
+    instance.replication.open()
     await asyncio.sleep(0)
-    heard, taken = [], gate.fleet._on_replication_message
-    gate.fleet._on_replication_message = lambda data: (heard.append(data), taken(data))
+    received, pass_on = [], instance.fleet._on_replication_message
+    instance.fleet._on_replication_message = lambda data: (received.append(data), pass_on(data))
     for frame in frames:
-        gate.fleet.receive(frame)
-    fleet = gate.fleet.coordinator.fleet
-    return (fleet._writer._head[0], gate.replication.port.codec._fleet), heard, dict(fleet.reader.dropped)
+        instance.fleet.receive(frame)
+    fleet = instance.fleet.coordinator.fleet
+    return (
+        (fleet._writer._head[0], instance.replication.port.codec._fleet),
+        received,
+        dict(fleet.reader.dropped),
+    )
 
 
-async def fleet_ends(gate):
-    await gate.replication.close()
-    gate.fleet.close()
+async def close_gateway(instance):
+    await instance.replication.close()
+    instance.fleet.close()
 
 
-def datagrams(addresses, everyone, text, fleet, sent):
+def peer_endpoint_functions(addresses, everyone, text, fleet, sent):
     """Return the functions of a peer endpoint that send a text, send bytes, and receive a datagram."""
-    found = peers.PeerEndpoint(
+    endpoint = peers.PeerEndpoint(
         addresses, everyone, lambda number, data: text.append((number, data)), fleet.append
     )
-    found._transport = types.SimpleNamespace(sendto=lambda raw, address: sent.append((raw, address)))
-    return found.send_text, found.send, found.datagram_received
+    endpoint._transport = types.SimpleNamespace(sendto=lambda raw, address: sent.append((raw, address)))
+    return endpoint.send_text, endpoint.send, endpoint.datagram_received
 
 
-def link_sends(address, *data):
+def link_sender(address, *data):
     link = links.Link(address, random.Random(1))
-    for each in data:
-        link.send(each)
+    for message in data:
+        link.send(message)
     return link.run()
 
 
-def link_takes(heard):
+def link_receiver(on_message):
     """Return the receiving side of a link, as a callback of asyncio.start_server."""
-    return links.Links(0, [("127.0.0.1", 1)], heard, 0)._receive
+    return links.Links(0, [("127.0.0.1", 1)], on_message, 0)._receive
 
 
 # ==== end of PROGRAM =======================================================================================
 
 
-def plain(what):
+def plain(data):
     """Convert a value to plain data: structures to tuples, enumerations to their values."""
-    if isinstance(what, Enum):
-        return what.value
-    if isinstance(what, msgspec.Struct):
-        return tuple(plain(each) for each in msgspec.structs.astuple(what))
-    if dataclasses.is_dataclass(what):
-        return tuple(plain(getattr(what, field.name)) for field in dataclasses.fields(what))
-    if isinstance(what, list | tuple):
-        return tuple(plain(each) for each in what)
-    return what
+    if isinstance(data, Enum):
+        return data.value
+    if isinstance(data, msgspec.Struct):
+        return tuple(plain(item) for item in msgspec.structs.astuple(data))
+    if dataclasses.is_dataclass(data):
+        return tuple(plain(getattr(data, field.name)) for field in dataclasses.fields(data))
+    if isinstance(data, list | tuple):
+        return tuple(plain(item) for item in data)
+    return data
 
 
 def from_hex(text):
@@ -385,12 +389,12 @@
 
 @pytest.mark.parametrize(("kind", "values", "golden"), FLEET_PARTS)
 def test_each_part_of_a_fleet_message_keeps_its_bytes(kind, values, golden):
-    assert pack_part(FLEET_KINDS[kind](*values)).hex() == golden
+    assert encode_part(FLEET_KINDS[kind](*values)).hex() == golden
     envelope = from_hex(f"9701cedeadbeef02cf0000018bcfe56800010791{golden}")
     (head, [part]), dropped = reads(FleetReader(GROUP, 0, 3), envelope, NOW)
     assert (plain(head)[:6], dropped) == ((1, GROUP, 2, NOW, 1, 7), {})
     assert (type(part), plain(part)) == (FLEET_KINDS[kind], values)
-    assert pack_part(part).hex() == golden
+    assert encode_part(part).hex() == golden
 
 
 @pytest.mark.parametrize(("kind", "names"), FIELD_NAMES.items())
@@ -399,8 +403,8 @@
 
 
 def test_the_envelope_of_the_fleet_keeps_its_bytes_and_its_sequence():
-    letters = (STAMP + 7, []), (STAMP + 8, [from_hex("93010b0c"), from_hex("93030f01")])
-    overhead, (empty, two) = fleet_writes(GROUP, 2, NOW, *letters)
+    envelopes = (STAMP + 7, []), (STAMP + 8, [from_hex("93010b0c"), from_hex("93030f01")])
+    overhead, (empty, two) = write_envelopes(GROUP, 2, NOW, *envelopes)
     assert overhead == 38
     assert empty.hex() == "9701cedeadbeef02cf0000018bcfe5680001cf018bcfe56800000790"
     assert two.hex() == "9701cedeadbeef02cf0000018bcfe5680002cf018bcfe5680000089293010b0c93030f01"
@@ -414,26 +418,26 @@
     "ahead": (1, 1, 1, 10**9, 1, 5, []), "malformed": (1, 1, 1, 7, 1, 5, [[1, 2]]),
     "tag": (1, 1, 1, 7, 2, 5, [[99, 2]]), "replayed": (1, 1, 1, 7, 2, 5, []), "life": (1, 1, 1, 6, 9, 5, []),
 }  # fmt: skip
-PROMISE_DROPS = {
+REPLICATION_DROPS = {
     "malformed": (1, 1, 1, [99]), "version": (2, 1, 1, [8, []]), "group": (1, 2, 1, [8, []]),
     "sender": (1, 1, 0, [8, []]),
 }  # fmt: skip
 
 
 def test_both_readers_count_what_they_drop_under_these_names():
-    fleet, promises = FleetReader(1, 0, 3), PromiseReader(1, 0, 3)
-    for at, head in enumerate(FLEET_DROPS.values(), 1):
+    fleet, replication = FleetReader(1, 0, 3), ReplicationReader(1, 0, 3)
+    for count, head in enumerate(FLEET_DROPS.values(), 1):
         _, dropped = reads(fleet, msgspec.msgpack.encode(head), 1000.0)
-        assert dropped == dict.fromkeys(list(FLEET_DROPS)[:at], 1)
-    for at, head in enumerate(PROMISE_DROPS.values(), 1):
-        found, dropped = reads(promises, b"P" + msgspec.msgpack.encode(head))
-        assert (found, dropped) == (None, dict.fromkeys(list(PROMISE_DROPS)[:at], 1))
+        assert dropped == dict.fromkeys(list(FLEET_DROPS)[:count], 1)
+    for count, head in enumerate(REPLICATION_DROPS.values(), 1):
+        found, dropped = reads(replication, b"P" + msgspec.msgpack.encode(head))
+        assert (found, dropped) == (None, dict.fromkeys(list(REPLICATION_DROPS)[:count], 1))
 
 
 # ---- 2. replication messages and register values
 
 ROW = ((1, 2, 3), (4, 1, 6), 7, b"\x01val", NOW + 99)
-NOTHING = ((0, 0, 0), (0, 0, 0), 0, b"", 0)
+EMPTY_ROW = ((0, 0, 0), (0, 0, 0), 0, b"", 0)
 ROW_HEX, EMPTY_HEX = "95930102039304010607c4040176616ccf0000018bcfe56863", "95930000009300000000c40000"
 BYTE_LIST = "".join(f"{n:02x}" if n < 128 else f"cc{n:02x}" for n in range(256))  # the numbers as MessagePack
 # fmt: off
@@ -444,7 +448,7 @@
      "980266a662616e3a6e319303000804c40576616c7565cf0000018bcfe568c8920506"),
     ("reply", (103, 2, NOW + 300, ROW, (5, 6, 7)), f"96036702cf0000018bcfe5692c{ROW_HEX}93050607"),
     ("join", (104, NOW + 400, "after"), "940468cf0000018bcfe56990a56166746572"),
-    ("page", (105, NOW + 500, True, (8, 9, 10), (("k1", ROW), ("k2", NOTHING)), "k2"),
+    ("page", (105, NOW + 500, True, (8, 9, 10), (("k1", ROW), ("k2", EMPTY_ROW)), "k2"),
      f"970569cf0000018bcfe569f4c39308090a9292a26b31{ROW_HEX}92a26b32{EMPTY_HEX}a26b32"),
     ("compare", (tuple(range(256)),), f"9206dc0100{BYTE_LIST}"),
     ("keys", (17, (("k1", (4, 1, 6), 7),)), "9307119193a26b319304010607"),
@@ -455,13 +459,13 @@
 
 
 @pytest.mark.parametrize(("kind", "values", "golden"), MESSAGES)
-def test_each_message_of_the_promises_keeps_its_bytes(kind, values, golden):
+def test_each_replication_message_keeps_its_bytes(kind, values, golden):
     golden = f"509401cedeadbeef02{golden}"  # "P", followed by an array: version, fleet, sender, message.
-    (sender, message), dropped = reads(PromiseReader(GROUP, 0, 3), from_hex(golden))
+    (sender, message), dropped = reads(ReplicationReader(GROUP, 0, 3), from_hex(golden))
     assert (sender, type(message), plain(message)) == (2, MESSAGE_KINDS[kind], values)
     assert dropped == {}
-    assert promise_writes(GROUP, 2, 3, value_of(kind, values)).hex() == golden
-    assert promise_writes(GROUP, 2, 3, message).hex() == golden
+    assert write_replication_frame(GROUP, 2, 3, build_message(kind, values)).hex() == golden
+    assert write_replication_frame(GROUP, 2, 3, message).hex() == golden
 
 
 SHOWN = {"kind": "register", "key": "key", "promised": (1, 2, 3), "ballot": (4, 1, 6), "step": 7, "until": 99}
@@ -483,17 +487,17 @@
 
 @pytest.mark.parametrize(("kind", "values", "golden", "shown"), REGISTER_VALUES)
 def test_each_value_of_a_register_keeps_its_bytes_and_how_it_is_shown(kind, values, golden, shown):
-    assert pack(SAYING_KINDS[kind](*values)).hex() == golden
-    value = read_says(from_hex(golden))
-    assert (type(value), plain(value), pack(value).hex()) == (SAYING_KINDS[kind], values, golden)
+    assert pack(REGISTER_VALUE_KINDS[kind](*values)).hex() == golden
+    value = read_register_value(from_hex(golden))
+    assert (type(value), plain(value), pack(value).hex()) == (REGISTER_VALUE_KINDS[kind], values, golden)
     row = pack(Row((1, 2, 3), (4, 1, 6), 7, from_hex(golden), 99))
     assert list(describe(1, b"key", row).items()) == list({**SHOWN, "says": kind, **shown}.items())
 
 
 def test_a_register_keeps_its_bytes_and_other_records_how_they_are_shown():
     assert (pack(Row()).hex(), pack(Row(*ROW)).hex()) == (EMPTY_HEX, ROW_HEX)
-    assert plain(read_row(from_hex(ROW_HEX))) == ROW
-    assert (read_says(b""), read_says(from_hex("9263c0"))) == (None, None)
+    assert plain(read_register_row(from_hex(ROW_HEX))) == ROW
+    assert (read_register_value(b""), read_register_value(from_hex("9263c0"))) == (None, None)
     assert describe(1, b"key", from_hex(EMPTY_HEX))["says"] == "free"
     assert describe(2, b"life", b"abc") == {"kind": "meta", "key": "life", "bytes": 3}
     assert describe(1, b"k", b"\xc1") == {"kind": "register", "key": "k", "unreadable": 1}
@@ -504,7 +508,7 @@
     assert STORE_KEYS == (b"life", b"lives", b"synced", b"list")
     assert PREFIXES == ("ban:", "drain:", "list:", "lease:")
     incarnations = (2, b"lives", from_hex("93cf0000018bcfe568000000"))
-    assert born(NOW) == [
+    assert start_incarnation_updates(NOW) == [
         (2, b"life", from_hex("cf0000018bcfe56800")),
         incarnations,
         (2, b"synced", from_hex("90")),
@@ -515,12 +519,12 @@
         ("ban:n1", 250, 53304442575095473, [2, 0, 4, 3, 1], (2, 0, 3)),
         ("lease:v:vol", 9, 14813146762717196219, [0, 1, 2, 4, 3], (0, 2, 3)),
     ]:
-        assert (bucket_of(key), row_sum(key, Row(*ROW))) == (bucket, total)
+        assert (digest_bucket(key), row_digest(key, Row(*ROW))) == (bucket, total)
         assert (ranked(key, range(5)), group_members(key, zones, 3)) == (order, members)
     record = FLEET_KINDS["verdict"]("n1", 5, 2, NOW + 3, STAMP + 1, 60000, 61)
-    assert digest_of(record) == 1461102212653850920
-    assert group_of("campus", ["g0", "g1", "g2"]) == 2948227333
-    assert stamp_of(NOW + 0.9) == STAMP
+    assert gossip_digest(record) == 1461102212653850920
+    assert fleet_hash("campus", ["g0", "g1", "g2"]) == 2948227333
+    assert timestamp_at(NOW + 0.9) == STAMP
     assert write_key("c", "v", "id", "idem") == "w:c:v:idem"
     assert write_key("c", "v", "id", "") == "w:c:v:id"
     assert write_key("c", "v", "id", "x" * 400) == "w:7fab808d49435d3bb6f0890a2821805b"
@@ -530,19 +534,19 @@
 # ---- 3. store files
 
 # fmt: off
-META_ROWS = [
+META_RECORDS = [
     (2, b"life", from_hex("cf0000018bcfe56800")), (2, b"lives", from_hex("93cf0000018bcfe568000506")),
     (2, b"synced", from_hex("920102")), (2, b"list", b'{"version":1}')]
 # fmt: on
-COMMITS = [[*META_ROWS, (1, b"gone", b"x")], [(1, b"ban:n1", from_hex(ROW_HEX)), (1, b"gone", None)]]
+COMMITS = [[*META_RECORDS, (1, b"gone", b"x")], [(1, b"ban:n1", from_hex(ROW_HEX)), (1, b"gone", None)]]
 LOG, COMPACTED = {"lock": ""}, {"lock": ""}  # Contents of the files in hexadecimal, by name.
 for _line in (GOLDEN / "stores.txt").read_text().splitlines():
     _which, _name, _content = _line.split()
     {"log": LOG, "compacted": COMPACTED}[_which][_name] = _content
 
 
-def folder_of(path):
-    return {each.name: each.read_bytes().hex() for each in sorted(path.iterdir())}
+def read_folder(path):
+    return {file.name: file.read_bytes().hex() for file in sorted(path.iterdir())}
 
 
 def write_files(path, names):
@@ -552,33 +556,33 @@
     return path
 
 
-RECORDS = [(*row, at + 1, False) for at, row in enumerate(META_ROWS)]
+RECORDS = [(*row, index + 1, False) for index, row in enumerate(META_RECORDS)]
 RECORDS += [(1, b"ban:n1", from_hex(ROW_HEX), 6, False)]
 
 
 def test_a_store_writes_the_same_files(tmp_path):
     write_store(tmp_path / "s", COMMITS, 150)
-    assert folder_of(tmp_path / "s") == LOG
+    assert read_folder(tmp_path / "s") == LOG
     write_store(tmp_path / "s", [[(1, b"k", b"")]], 150, compacted=True)
-    assert folder_of(tmp_path / "s") == COMPACTED
+    assert read_folder(tmp_path / "s") == COMPACTED
 
 
 def test_a_store_writer_writes_the_same_files(tmp_path):
-    asyncio.run(keep_in_store(tmp_path / "s", COMMITS, 150))
-    assert folder_of(tmp_path / "s") == LOG
+    asyncio.run(write_with_store_writer(tmp_path / "s", COMMITS, 150))
+    assert read_folder(tmp_path / "s") == LOG
 
 
 @pytest.mark.parametrize(("files", "more"), [(LOG, []), (COMPACTED, [(1, b"k", b"", 8, False)])])
 def test_a_store_written_by_that_commit_opens_and_accepts_more(tmp_path, files, more):
     assert read_store(write_files(tmp_path / "s", files)) == (RECORDS + more, 0)
-    assert folder_of(tmp_path / "s") == files  # Opening the store changes none of its files.
+    assert read_folder(tmp_path / "s") == files  # Opening the store changes none of its files.
     write_store(tmp_path / "s", [[(1, b"next", b"v")]], 1 << 20)
     assert read_store(tmp_path / "s") == ([*RECORDS, *more, (1, b"next", b"v", 8 + len(more), False)], 0)
 
 
 def test_a_gateway_reads_its_incarnation_and_registers_from_a_store_of_that_commit(tmp_path):
     found, _ = read_store(write_files(tmp_path / "s", LOG))
-    assert acceptor_of([each[:3] for each in found]) == (NOW, [NOW, 5, 6], {1, 2}, {"ban:n1": ROW})
+    assert load_acceptor([record[:3] for record in found]) == (NOW, [NOW, 5, 6], {1, 2}, {"ban:n1": ROW})
 
 
 # ---- 4. the settings document
@@ -604,13 +608,13 @@
 
 def settings_with(path, value):
     """Return the full document with the value at a path replaced; an example path is "classes[0].name"."""
-    info = json.loads(json.dumps(INFO))
+    document = json.loads(json.dumps(INFO))
     *keys, last = path.replace("[0]", ".0").split(".")
-    at = info
+    parent = document
     for step in keys:
-        at = at[int(step)] if step.isdigit() else at[step]
-    at[int(last) if last.isdigit() else last] = value
-    return info
+        parent = parent[int(step)] if step.isdigit() else parent[step]
+    parent[int(last) if last.isdigit() else last] = value
+    return document
 
 
 def test_every_key_of_the_settings_document_gives_its_value():
@@ -817,7 +821,7 @@
     "late_ticks=0 ")
 NODES_STATS = split_items(
     "version=3 list_age_ms=* discovery=0 given=1 kept=0 by_news=0 held_back=0 ")
-PROMISES_STATS = split_items(
+REPLICATION_STATS = split_items(
     "filled=0 superseded=0 synced=0 records=0 under_way=0 rounds=0 claimed=0 made=0 repeated=0 "
     "in_progress=0 may_have_run=0 no_majority=0 unmade=0 repair_given=0 repair_taken=0 repair_bytes=0 "
     "dropped.malformed=1 ")
@@ -838,13 +842,13 @@
 
 
 def test_the_stats_lines_of_results():
-    results = [("read", SERVED), ("read", REFUSED), ("read", FAILED), ("read", FAILED), ("old", SERVED)]
+    results = [("read", SERVED), ("read", REJECTED), ("read", FAILED), ("read", FAILED), ("old", SERVED)]
     read = split_items("read.succeeded=1 read.declined=1 read.aborted=2")
     rest = split_items(
         "write.succeeded=0 write.declined=0 write.aborted=0 old.succeeded=1 old.declined=0 old.aborted=0"
     )
-    expected = [f"edge.results.{each}" for each in read + rest]
-    assert figure_lines(results, ["read", "write"], {"a": 1}) == [*expected, "edge.a=1"]
+    expected = [f"edge.results.{item}" for item in read + rest]
+    assert stats_lines(results, ["read", "write"], {"a": 1}) == [*expected, "edge.a=1"]
 
 
 def test_the_operators_calls_their_responses_and_the_file_of_ejections(tmp_path):
@@ -862,29 +866,32 @@
 
     asyncio.run(call_gateway())
     file.write_bytes(b'["n2","n3"]')
-    assert bans_read(file) == ({"n2", "n3"}, [{"n2", "n3"}])
+    assert read_ejections(file) == ({"n2", "n3"}, [{"n2", "n3"}])
 
 
 def test_the_stats_of_a_gateway_in_a_fleet_and_the_hashes_of_its_messages(tmp_path):
     members = "".join(f'member "g{n}" address="127.0.0.1:{7100 + n}"\n' for n in range(3))
     operator = f'fleet {{\nname "campus"\n{members}}}\nstore {{\ndir "{tmp_path}/store"\n}}\n'
     operator += "promises {\non true\nlease-tables true\n}\n"
-    to_promises = from_hex("50c1")  # "P"
-    to_fleet = from_hex("9701cedeadbeef02cf0000018bcfe5680001cf018bcfe56800000790")
+    replication_frame = from_hex("50c1")  # "P"
+    gossip_frame = from_hex("9701cedeadbeef02cf0000018bcfe5680001cf018bcfe56800000790")
 
     async def call_gateway():
-        gate, load_list, answer = gateway_of(configured(tmp_path, SMALL, "", operator, TMPDIR=str(tmp_path)))
+        instance, load_list, answer = gateway_of(
+            configured(tmp_path, SMALL, "", operator, TMPDIR=str(tmp_path))
+        )
         load_list()
-        received = await fleet_hears(gate, to_promises, to_fleet)
-        assert received == ((15907461, 2948227333), [to_promises], {"group": 1})  # "campus+tables", "campus"
+        received = await receive_frames(instance, replication_frame, gossip_frame)
+        # The hashes are those of "campus+tables" and "campus".
+        assert received == ((15907461, 2948227333), [replication_frame], {"group": 1})
         lines = await answer("STATS")
-        await fleet_ends(gate)
+        await close_gateway(instance)
         return lines
 
     lines = asyncio.run(call_gateway())
     named = [line if "list_age_ms" not in line else "edge.nodes.list_age_ms=*" for line in lines]
-    more = {"fleet": FLEET_STATS, "nodes": NODES_STATS, "promises": PROMISES_STATS, "store": STORE_STATS}
-    expected = [f"edge.{part}.{each}" for part, items in more.items() for each in items]
+    more = {"fleet": FLEET_STATS, "nodes": NODES_STATS, "promises": REPLICATION_STATS, "store": STORE_STATS}
+    expected = [f"edge.{part}.{item}" for part, items in more.items() for item in items]
     assert named == [*PLAIN_STATS, *expected, "end"]
 
 
@@ -917,7 +924,7 @@
 def test_the_simulators_events_are_read_by_their_names():
     happened = [["Up", 7, INFO], *(event for event, _ in SIMULATOR_EVENTS), ["Down"], ["Novelty", 1]]
     line = json.dumps({"time-ms": 5.5, "groups": [{"host": "host-0", "happened": happened}]})
-    now_ms, [(host, found)] = simulator_reads(line)
+    now_ms, [(host, found)] = read_batch(line)
     assert (now_ms, host, [kind for kind, _ in found]) == (5.5, "host-0", [event[0] for event in happened])
     assert (found[0][1][0], plain(found[0][1][1])) == (7, SETTINGS)
     assert found[-2:] == [("Down", None), ("Novelty", None)]
@@ -933,7 +940,7 @@
         '["AskLoad","n2"],["BroadcastTo",null,"é"],["BroadcastTo",4,"x"],'
         '["KeepInformed",true],["QueryAll"],["FreeLinks","n3"],["Emit","line"]]'
     )
-    assert simulator_writes(ACTIONS, alarm) == f'{{"groups":[{{"host":"host-0","output":{expected}}}]}}'
+    assert write_simulator_reply(ACTIONS, alarm) == f'{{"groups":[{{"host":"host-0","output":{expected}}}]}}'
 
 
 # ---- 7. message framing
@@ -950,8 +957,8 @@
             writer.close()
 
         peer_server = await asyncio.start_server(collect, "127.0.0.1", 0)
-        running = asyncio.ensure_future(link_sends(peer_server.sockets[0].getsockname()[:2], b"abc", b"P\0"))
-        listener = await asyncio.start_server(link_takes(received.append), "127.0.0.1", 0)
+        running = asyncio.ensure_future(link_sender(peer_server.sockets[0].getsockname()[:2], b"abc", b"P\0"))
+        listener = await asyncio.start_server(link_receiver(received.append), "127.0.0.1", 0)
         _, writer = await asyncio.open_connection(*listener.sockets[0].getsockname()[:2])
         writer.write(FRAMES)
         async with asyncio.timeout(5):
@@ -968,7 +975,7 @@
 
 def test_datagrams_have_no_frame_and_their_first_byte_separates_fleet_messages_from_texts():
     text, fleet, sent = [], [], []
-    send_text, send, receive = datagrams((("a", 1), ("b", 2)), ("all", 3), text, fleet, sent)
+    send_text, send, receive = peer_endpoint_functions((("a", 1), ("b", 2)), ("all", 3), text, fleet, sent)
     send_text(1, "é")
     send_text(None, "x")
     send(0, from_hex("9701"))
