--- a/shaletiller/lab/replication_sim_gateway.py
+++ b/shaletiller/lab/replication_sim_gateway.py
@@ -253,9 +253,9 @@
 
     def _notify_persisted(self, process: _Process, token: int, failed: bool) -> None:
         if failed:
-            process.node.persist_failed(token)
+            process.node.on_persist_failed(token)
         else:
-            process.node.persisted(token, self._now_ms())
+            process.node.on_persisted(token, self._now_ms())
 
     # ---- client requests
 
--- a/shaletiller/lab/state_space_model.py
+++ b/shaletiller/lab/state_space_model.py
@@ -288,7 +288,7 @@
                 state.disks[member].pop((kind, key), None)
             else:
                 state.disks[member][kind, key] = value
-        state.nodes[member].persisted(records.token, state.clocks_ms[member])
+        state.nodes[member].on_persisted(records.token, state.clocks_ms[member])
         self._apply_effects(state, member)
 
     def _apply_effects(self, state: SystemState, member: int) -> None:
--- a/shaletiller/net/replication/port.py
+++ b/shaletiller/net/replication/port.py
@@ -190,12 +190,12 @@
 
     def _persist(self, effect: PersistRecords) -> None:
         if self.writer is None:
-            self.node.persist_failed(effect.token)
+            self.node.on_persist_failed(effect.token)
         else:
             self.writer.submit(effect.updates, partial(self._on_persisted, effect.token))
 
     def _on_persisted(self, token: int, durable: bool) -> None:
         if durable:
-            self.call_node(lambda: self.node.persisted(token, self._clock.now_ms()))
+            self.call_node(lambda: self.node.on_persisted(token, self._clock.now_ms()))
         else:
-            self.node.persist_failed(token)
+            self.node.on_persist_failed(token)
--- a/shaletiller/replication/effects.py
+++ b/shaletiller/replication/effects.py
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistRecords:
-    """Persist updates, then call `ReplicationNode.persisted`, or `persist_failed`, with the token.
+    """Persist updates, then call `ReplicationNode.on_persisted`, or `on_persist_failed`, with the token.
 
     Requests are persisted in order: a later one becomes durable no sooner than an earlier one. A request
     without updates is a barrier.
--- a/shaletiller/replication/node.py
+++ b/shaletiller/replication/node.py
@@ -141,7 +141,7 @@
         self._dispatch(sender, message, now_ms)
         self._collect_effects(now_ms)
 
-    def persisted(self, token: int, now_ms: float) -> None:
+    def on_persisted(self, token: int, now_ms: float) -> None:
         """Handle the completion of a `PersistRecords` effect: its updates are durable."""
         self._keys_being_persisted.pop(token, None)
         follow_up = self._after_persist.pop(token, None)
@@ -153,7 +153,7 @@
             self._send(follow_up, now_ms)
         self._collect_effects(now_ms)
 
-    def persist_failed(self, token: int) -> None:
+    def on_persist_failed(self, token: int) -> None:
         """Handle the failure of a `PersistRecords` effect: its updates are not durable.
 
         Messages that depend on these updates, or on updates submitted after them, are discarded. The updates
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -98,14 +98,14 @@
                 other.receive(member, effect.message, self.now_ms)
         elif isinstance(effect, PersistRecords):
             if member in self.full_disks and effect.updates:
-                node.persist_failed(effect.token)
+                node.on_persist_failed(effect.token)
                 return
             for kind, key, value in effect.updates:
                 if value is None:
                     self.disks[member].pop((kind, key), None)
                 else:
                     self.disks[member][kind, key] = value
-            node.persisted(effect.token, self.now_ms)
+            node.on_persisted(effect.token, self.now_ms)
 
     def propose(
         self,
@@ -330,12 +330,12 @@
     (first,) = node.take_effects()
     assert isinstance(first, PersistRecords)
     assert first.updates
-    node.persist_failed(first.token)
+    node.on_persist_failed(first.token)
     node.receive(0, request, cluster.now_ms)  # The row in memory does not change, but the disk lacks it.
     persists = [effect for effect in node.take_effects() if isinstance(effect, PersistRecords)]
     assert any(key == b"k" and value is not None for persist in persists for _, key, value in persist.updates)
     for persist in persists:
-        node.persisted(persist.token, cluster.now_ms)
+        node.on_persisted(persist.token, cluster.now_ms)
     replies = [effect.message for effect in node.take_effects() if isinstance(effect, SendMessage)]
     assert [reply.status for reply in replies if isinstance(reply, Reply)] == [ReplyStatus.OK]
 
