--- a/shaletiller/lab/replication_sim_gateway.py
+++ b/shaletiller/lab/replication_sim_gateway.py
@@ -207,7 +207,7 @@
             elif isinstance(effect, PersistRecords):
                 self._persist(process, effect)
             elif isinstance(effect, OperationResult):
-                process.writes.operation_finished(effect, self._now_ms())
+                process.writes.on_operation_finished(effect, self._now_ms())
         for decision in process.writes.take_decisions():
             self._apply_decision(process, decision)
         if process.node.effects:
--- a/shaletiller/net/replication/port.py
+++ b/shaletiller/net/replication/port.py
@@ -33,7 +33,7 @@
 class PortListener:
     """Callbacks of the port; this base class ignores all of them."""
 
-    def operation_finished(self, result: OperationResult, now_ms: float) -> bool:
+    def on_operation_finished(self, result: OperationResult, now_ms: float) -> bool:
         """Handle the result of an operation.
 
         :returns: whether this listener started the operation.
@@ -182,7 +182,7 @@
 
     def _deliver_result(self, result: OperationResult) -> None:
         now_ms = self._clock.now_ms()
-        if any(listener.operation_finished(result, now_ms) for listener in self._listeners):
+        if any(listener.on_operation_finished(result, now_ms) for listener in self._listeners):
             return
         future = self._pending_results.pop(result.operation, None)
         if future is not None and not future.done():
--- a/shaletiller/net/replication/writes.py
+++ b/shaletiller/net/replication/writes.py
@@ -89,9 +89,9 @@
         body = response.body if response is not None else b""
         self._port.call_node(lambda: self._writes.end(number, verdict, body, self._clock.now_ms()))
 
-    def operation_finished(self, result: OperationResult, now_ms: float) -> bool:
+    def on_operation_finished(self, result: OperationResult, now_ms: float) -> bool:
         """Handle the result of an operation; see `PortListener`."""
-        return self._writes.operation_finished(result, now_ms)
+        return self._writes.on_operation_finished(result, now_ms)
 
     def on_effects_executed(self) -> None:
         """Execute the decisions that result from the effects."""
--- a/shaletiller/replication/writes.py
+++ b/shaletiller/replication/writes.py
@@ -185,7 +185,7 @@
         self._writes.pop(write.number, None)
         self._numbers_by_operation.pop(write.operation, None)
 
-    def operation_finished(self, result: OperationResult, now_ms: float) -> bool:
+    def on_operation_finished(self, result: OperationResult, now_ms: float) -> bool:
         """Handle the result of an operation.
 
         :returns: whether a write was waiting for the operation.
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -499,7 +499,7 @@
         self.cluster.execute_effects()
         for _ in range(200):
             for result in list(self.cluster.results):
-                if self.writes.operation_finished(result, self.cluster.now_ms):
+                if self.writes.on_operation_finished(result, self.cluster.now_ms):
                     self.cluster.results.remove(result)
             decisions = self.writes.take_decisions()
             if decisions:
