--- a/shaletiller/net/replication/agent.py
+++ b/shaletiller/net/replication/agent.py
@@ -115,7 +115,7 @@
         self._closed = True
         await self.port.close()
 
-    def figures(self) -> dict[str, int]:
+    def collect_metrics(self) -> dict[str, int]:
         """Return the metrics of replication and of the store for STATS; see docs/operations.md."""
         return {**self._replication_metrics(), **self._store_metrics()}
 
--- a/shaletiller/operator_calls.py
+++ b/shaletiller/operator_calls.py
@@ -88,7 +88,7 @@
             "sighup_rejected": self._reload_counts["rejected"],
             **(fleet.stats() if fleet is not None else {}),
             **(self._discovery.registry.stats(self._clock.now_ms()) if fleet is not None else {}),
-            **(replication.figures() if replication is not None else {}),
+            **(replication.collect_metrics() if replication is not None else {}),
         }
         classes = [spec.name for spec in engine.settings.classes]
         return ["", *metrics.stats_lines(engine.counters, classes, gauges), "end"]
