--- a/shaletiller/replication/node.py
+++ b/shaletiller/replication/node.py
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _TransferCompleted:
-    """Follow-up to a persist request: this member has transferred all the rows that it shares with us."""
+    """Follow-up to a persist request: this member has transferred all the rows that both hold."""
 
     member: int
 
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -211,7 +211,7 @@
     assert late.value == b"taken over"
 
 
-def test_with_one_of_three_down_a_majority_commits_and_with_two_down_nothing_is_determined(
+def test_with_one_of_three_down_a_majority_commits_and_with_two_down_the_result_is_indeterminate(
     cluster: Cluster,
 ) -> None:
     """With one of three members down, the other two still commit.
@@ -352,7 +352,7 @@
     return cluster
 
 
-def test_a_machine_that_returns_empty_does_not_vote_before_its_group_has_filled_it() -> None:
+def test_a_wiped_member_does_not_vote_before_its_state_transfer_is_complete() -> None:
     """Two of three members committed a value; one of them has lost its disk, and the other one is down.
 
     Until the member that has the value is back, the wiped member must not vote, and a read must be
@@ -418,7 +418,7 @@
     assert cluster.node(0).acceptor.incarnations[2] > incarnations[2]
 
 
-def test_a_new_store_takes_what_others_accepted_whatever_they_have_promised_since() -> None:
+def test_a_new_store_merges_accepted_values_regardless_of_later_promises() -> None:
     """A new store merges a row with a high promise, and the last copy of an outcome with a lower ballot.
 
     While it recovers it must merge both. An acceptor that votes must not, because it has promised to accept
@@ -534,7 +534,7 @@
     assert second.wait_for_decisions() == [(other, WriteVerdict.FAILED, b"")]
 
 
-def test_a_retry_is_rejected_while_the_first_is_out_and_fails_after_its_gateway_died(
+def test_a_retry_is_rejected_until_the_deadline_of_the_first_request_and_fails_afterwards(
     cluster: Cluster,
 ) -> None:
     """A gateway is killed after it has forwarded a write, and the client retries through another gateway.
--- a/tests/replication/test_replication_process.py
+++ b/tests/replication/test_replication_process.py
@@ -82,7 +82,7 @@
         await asyncio.sleep(0.05)
 
 
-def test_an_operator_command_outlives_the_machine_it_was_given_at(tmp_path: Path) -> None:
+def test_an_operator_command_survives_the_loss_of_the_machine_that_received_it(tmp_path: Path) -> None:
     """A gateway confirms DISABLE and DRAIN, and then loses its machine with its disk.
 
     The new machine must apply both commands. If an ejection is lifted while a gateway is down, its restart
@@ -160,7 +160,7 @@
     run_with_gateways(tmp_path, check)
 
 
-def test_a_damaged_store_is_named_moved_aside_and_recovered_from_the_replicas(tmp_path: Path) -> None:
+def test_a_damaged_store_is_logged_moved_aside_and_recovered_from_the_replicas(tmp_path: Path) -> None:
     """A bit of a gateway's store flips while the gateway is down.
 
     At its start the gateway must log the damage, move the store aside, and recover its replicas from the
@@ -209,7 +209,7 @@
     run_with_gateways(tmp_path, check)
 
 
-def test_a_second_process_of_one_store_waits_for_it_and_serves_without(tmp_path: Path) -> None:
+def test_a_second_process_serves_without_the_store_until_the_first_one_closes_it(tmp_path: Path) -> None:
     """A second process of a gateway starts while the first one has the store open.
 
     It must serve without the store, log the reason, and open the store once the first process has stopped.
