--- a/shaletiller/lab/replication_sim_gateway.py
+++ b/shaletiller/lab/replication_sim_gateway.py
@@ -207,7 +207,7 @@
             elif isinstance(effect, PersistRecords):
                 self._persist(process, effect)
             elif isinstance(effect, OperationResult):
-                process.writes.operation_finished(effect, self._now_ms())
+                process.writes.on_operation_finished(effect, self._now_ms())
         for decision in process.writes.take_decisions():
             self._apply_decision(process, decision)
         if process.node.effects:
@@ -253,9 +253,9 @@
 
     def _notify_persisted(self, process: _Process, token: int, failed: bool) -> None:
         if failed:
-            process.node.persist_failed(token)
+            process.node.on_persist_failed(token)
         else:
-            process.node.persisted(token, self._now_ms())
+            process.node.on_persisted(token, self._now_ms())
 
     # ---- client requests
 
--- a/shaletiller/replication/node.py
+++ b/shaletiller/replication/node.py
@@ -1,8 +1,8 @@
-"""One gateway's replication node: acceptor, proposer, state transfer and anti-entropy.
+"""The replication node of one gateway: acceptor, proposer, state transfer and anti-entropy.
 
-`ReplicationNode` reads no clock, socket or file.  It is given what arrived, what has been persisted and the
-time, and its effects are data, see effects.py.  A reply of its acceptor is sent only once the rows it rests
-on are persisted.
+`ReplicationNode` reads no clock, socket or file. Its caller passes in received messages, completions of
+persist requests and the time, and executes the effects that it returns (effects.py). A reply of the acceptor
+is sent only after the rows that it depends on are persisted.
 """
 
 from __future__ import annotations
@@ -30,34 +30,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _PeerTransferred:
-    """After persisting: this member has transferred all the rows it shares with this one."""
+class _TransferCompleted:
+    """Follow-up to a persist request: this member has transferred all the rows that both hold."""
 
     member: int
 
 
-_AfterPersist = SendMessage | _PeerTransferred
+_FollowUp = SendMessage | _TransferCompleted
 
 
 class ReplicationNode:
-    """Times are milliseconds of the Unix epoch.
+    """The replication node of one gateway.
 
-    Expirations are compared with the clocks of all members, which must be within a second of each other.
+    Times are in milliseconds since the Unix epoch. Each member compares expiry times with its own clock, so
+    the clocks of all members must be within one second of each other.
     """
 
     def __init__(
         self,
         member: int,
         groups: ReplicaGroups,
-        stored: list[tuple[int, bytes, bytes]] | None,
+        records: list[tuple[int, bytes, bytes]] | None,
         now_ms: float,
         bytes_per_second: float = DEFAULT_BYTES_PER_SECOND,
     ) -> None:
-        """Start a node.
+        """Create a node.
 
         :param member: number of this member in the fleet.
-        :param stored: the records of the store; None while it is not open: the node then only proposes.
-        :param bytes_per_second: bound on what state transfer and anti-entropy send.
+        :param records: kind, key and value of each record in the store, or None if the store is not open yet;
+            the node only proposes until `open` is called.
+        :param bytes_per_second: bandwidth limit of state transfer and anti-entropy.
         """
         self.member, self.groups = member, groups
         self.acceptor = Acceptor(member, groups)
@@ -67,27 +69,27 @@
         self.state_transfer = StateTransfer(self.acceptor, process_start_ms, self.budget)
         self.anti_entropy = AntiEntropy(self.acceptor, self.budget)
         self.effects: list[Effect] = []
-        # Members known to be down: a fast round, which needs the whole group, is not tried then.
+        # Members known to be down. A fast round needs the whole group, so it is skipped if one of the group
+        # is in this set.
         self.unreachable: frozenset[int] = frozenset()
-        self._after_persist: dict[int, _AfterPersist] = {}  # by token
-        self._persisting: dict[int, tuple[str, ...]] = {}  # by token: the registers in it
-        self._unpersisted: set[str] = set()  # registers whose newest row failed to persist
-        self._token = 0
-        self._operations = 0
-        if stored is not None:
-            self.open(stored, now_ms)
-
-    def open(self, stored: Iterable[tuple[int, bytes, bytes]], now_ms: float) -> None:
-        """Load the store: from now on this node is an acceptor.
-
+        self._after_persist: dict[int, _FollowUp] = {}  # Follow-ups by token.
+        self._keys_being_persisted: dict[int, tuple[str, ...]] = {}  # Keys of registers, by token.
+        self._unpersisted: set[str] = set()  # Keys of the registers whose newest row failed to persist.
+        self._last_token = 0
+        self._last_operation = 0
+        if records is not None:
+            self.open(records, now_ms)
+
+    def open(self, records: Iterable[tuple[int, bytes, bytes]], now_ms: float) -> None:
+        """Load the store; from now on the node also acts as an acceptor.
+
+        :param records: kind, key and value of each record in the store.
         :raises msgspec.MsgspecError: for a record that cannot be decoded.
         """
-        self.acceptor.load(stored)
+        self.acceptor.load(records)
         if self.acceptor.incarnation == 0:
             self._persist(self.acceptor.start_incarnation(int(now_ms)))
 
-    # ---- operations
-
     def propose(
         self,
         key: str,
@@ -100,74 +102,76 @@
         position: CommitPosition | None = None,
         fast: bool = True,
     ) -> int:
-        """Start an operation; its result is one of the effects.
+        """Start an operation; its result is returned as an effect.
 
-        :param expires_ms: when the register expires, if the value is committed.
+        :param expires_ms: expiry time of the register if the value is committed.
+        :param deadline_ms: time at which an unfinished operation ends as indeterminate.
         :param expected: the bytes that `Precondition.EQUALS` compares with.
-        :param position: where this gateway committed the value that the register holds.
+        :param position: the position at which this gateway committed the current value of the register.
+        :param fast: whether a fast round may be tried.
         :returns: the number of the operation.
         """
-        self._operations += 1
+        self._last_operation += 1
         operation = Operation(
-            self._operations, key, precondition, value, int(expires_ms), deadline_ms, expected
+            self._last_operation, key, precondition, value, int(expires_ms), deadline_ms, expected
         )
         fast = fast and self.unreachable.isdisjoint(self.groups.members_of(key))
         self.proposer.start(operation, now_ms, position, fast)
-        self._flush(now_ms)
-        return self._operations
+        self._collect_effects(now_ms)
+        return self._last_operation
 
     @property
     def busy(self) -> bool:
-        """Whether operations are under way."""
+        """Whether any operation is in progress."""
         return bool(self.proposer.operations)
 
     @property
     def fully_synced(self) -> bool:
-        """Whether this node votes on all keys of its groups."""
+        """Whether this node votes on all keys whose groups it belongs to."""
         acceptor = self.acceptor
         return len(acceptor.synced) == acceptor.member_count - 1 and not acceptor.superseded
 
     @property
     def rows_received(self) -> int:
-        """How many rows state transfer and anti-entropy have brought."""
+        """Number of rows received by state transfer and anti-entropy."""
         return self.state_transfer.rows_received + self.anti_entropy.rows_received
 
-    # ---- events
-
     def receive(self, sender: int, message: AnyMessage, now_ms: float) -> None:
         """Handle a message of another member."""
         self._dispatch(sender, message, now_ms)
-        self._flush(now_ms)
-
-    def persisted(self, token: int, now_ms: float) -> None:
-        """Handle that the updates of a `PersistRecords` are durable."""
-        self._persisting.pop(token, None)
-        after = self._after_persist.pop(token, None)
-        if isinstance(after, _PeerTransferred):
-            if after.member not in self.acceptor.synced:
-                self.acceptor.synced.add(after.member)
+        self._collect_effects(now_ms)
+
+    def on_persisted(self, token: int, now_ms: float) -> None:
+        """Handle the completion of a `PersistRecords` effect: its updates are durable."""
+        self._keys_being_persisted.pop(token, None)
+        follow_up = self._after_persist.pop(token, None)
+        if isinstance(follow_up, _TransferCompleted):
+            if follow_up.member not in self.acceptor.synced:
+                self.acceptor.synced.add(follow_up.member)
                 self._persist(self.acceptor.metadata_updates())
-        elif after is not None:
-            self._send(after, now_ms)
-        self._flush(now_ms)
+        elif follow_up is not None:
+            self._send(follow_up, now_ms)
+        self._collect_effects(now_ms)
 
-    def persist_failed(self, token: int) -> None:
-        """Handle that the updates of a `PersistRecords` are not durable.
+    def on_persist_failed(self, token: int) -> None:
+        """Handle the failure of a `PersistRecords` effect: its updates are not durable.
 
-        Nothing is sent that rests on them or on what is being persisted after them; before anything else is
-        sent they are persisted again.  State transfers begin again: pages before this one may be missing.
+        Messages that depend on these updates, or on updates submitted after them, are discarded. The updates
+        are persisted again together with the next ones, before any reply that depends on those is sent. State
+        transfers restart, because rows of earlier pages may not be durable.
         """
         self._after_persist.clear()
-        self._unpersisted.update(self._persisting.pop(token, ()))
+        self._unpersisted.update(self._keys_being_persisted.pop(token, ()))
         self.state_transfer.restart()
         self.acceptor.metadata_changed = True
 
     def tick(self, now_ms: float, alive: tuple[int, ...]) -> None:
-        """Handle the passing of time.
+        """Handle timeouts, transfers and expiry.
 
-        To be called every few milliseconds while operations are under way, else a few times per second.
+        The caller calls this every few milliseconds while operations are in progress, otherwise several times
+        per second.
 
-        :param alive: the members that can be reached.
+        :param alive: the members that are reachable.
         """
         self.proposer.tick(now_ms)
         if self.acceptor.incarnation:
@@ -178,44 +182,43 @@
         expired = self.acceptor.expire(now_ms)
         if expired:
             self._persist(expired)
-        self._flush(now_ms)
+        self._collect_effects(now_ms)
 
     def take_effects(self) -> list[Effect]:
         """Return the effects since the last call."""
         effects, self.effects = self.effects, []
         return effects
 
-    # ---- internals
-
-    def _persist(self, updates: list[RecordUpdate], after: _AfterPersist | None = None) -> None:
+    def _persist(self, updates: list[RecordUpdate], follow_up: _FollowUp | None = None) -> None:
         if self._unpersisted:
             updates = [*map(self._current_update, sorted(self._unpersisted)), *updates]
             self._unpersisted.clear()
         if self.acceptor.metadata_changed:
             updates = [*self.acceptor.metadata_updates(), *updates]
-        self._token += 1
+        self._last_token += 1
         keys = tuple(update.key.decode() for update in updates if update.kind == REGISTER)
         if keys:
-            self._persisting[self._token] = keys
-        if after is not None:
-            self._after_persist[self._token] = after
-        self.effects.append(PersistRecords(self._token, tuple(updates)))
+            self._keys_being_persisted[self._last_token] = keys
+        if follow_up is not None:
+            self._after_persist[self._last_token] = follow_up
+        self.effects.append(PersistRecords(self._last_token, tuple(updates)))
 
     def _current_update(self, key: str) -> RecordUpdate:
         row = self.acceptor.rows.get(key)
         return RecordUpdate(REGISTER, key.encode(), pack(row) if row else None)
 
-    def _send(self, send: SendMessage, now_ms: float) -> None:
-        if send.recipient == self.member:
-            self._dispatch(self.member, send.message, now_ms)
+    def _send(self, effect: SendMessage, now_ms: float) -> None:
+        if effect.recipient == self.member:
+            self._dispatch(self.member, effect.message, now_ms)
         else:
-            self.effects.append(send)
+            self.effects.append(effect)
 
     def _dispatch(self, sender: int, message: AnyMessage, now_ms: float) -> None:
         match message:
             case Reply():
                 self.proposer.receive(sender, message, now_ms)
-            # A reply without updates may rest on rows that are still being persisted: it waits for them too.
+            # A reply without updates may depend on rows that are still being persisted, so it goes through
+            # `_persist` as well.
             case Prepare():
                 reply, updates = self.acceptor.prepare(message, now_ms)
                 self._persist(updates, SendMessage(sender, reply))
@@ -223,7 +226,7 @@
                 reply, updates = self.acceptor.accept(message, now_ms)
                 self._persist(updates, SendMessage(sender, reply))
             case StateTransferRequest():
-                page = self.state_transfer.page_for(sender, message, now_ms)
+                page = self.state_transfer.build_page(sender, message, now_ms)
                 self._persist([], SendMessage(sender, page))
             case StateTransferPage():
                 self._receive_page(sender, message, now_ms)
@@ -235,16 +238,16 @@
     def _receive_page(self, sender: int, page: StateTransferPage, now_ms: float) -> None:
         updates, complete = self.state_transfer.receive_page(sender, page, now_ms)
         if updates or complete:
-            self._persist(updates, _PeerTransferred(sender) if complete else None)
+            self._persist(updates, _TransferCompleted(sender) if complete else None)
         acceptor = self.acceptor
         if acceptor.superseded and not acceptor.synced:
-            # A new store that has never voted, on a machine whose clock is behind: it takes a later
-            # incarnation.
+            # The store is new and has never voted, but the clock of this machine is behind that of its
+            # predecessor: start a later incarnation.
             self.state_transfer.restart()
             self._persist(acceptor.start_incarnation(acceptor.incarnations[self.member] + 1))
 
-    def _flush(self, now_ms: float) -> None:
-        """Turn what the parts have gathered into effects; messages to this member are handled immediately."""
+    def _collect_effects(self, now_ms: float) -> None:
+        """Collect the effects of all components; messages to this member are handled immediately."""
         while self.proposer.outbox or self.state_transfer.outbox or self.anti_entropy.outbox:
             requests, self.proposer.outbox = self.proposer.outbox, []
             for request in requests:
