--- a/shaletiller/net/nvme/__init__.py
+++ b/shaletiller/net/nvme/__init__.py
@@ -1,5 +1,6 @@
-"""NVMe over TCP, a subset: the target for hosts, and the client of storage nodes that speak it.
+"""A subset of NVMe over TCP: a target for hosts, and a client for NVMe storage nodes.
 
-Codec: `pdu`, `commands`, `capsules`, `status`.  Target: `target`, `controller`, `queue`, `fabrics_commands`,
-`admin_commands`, `io_commands`, `identify`.  Client: `upstream`, `association`, `host_queue`.
+Codec: `pdu`, `commands`, `capsules`, `status`.  Both sides: `stream`, `errors`.  Target: `target`,
+`controller`, `queue`, `pending`, `fabrics_commands`, `admin_commands`, `io_commands`, `identify`.  Client:
+`upstream`, `association`, `host_queue`.
 """
--- a/shaletiller/net/nvme/admin_commands.py
+++ b/shaletiller/net/nvme/admin_commands.py
@@ -1,4 +1,4 @@
-"""Admin commands at the target: Identify, Keep Alive, Abort, Set Features, Asynchronous Event Request."""
+"""The target's admin commands: Identify, Keep Alive, Abort, Set Features, Asynchronous Event Request."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 if TYPE_CHECKING:
     from shaletiller.net.nvme.queue import ControllerQueue
 
-NOT_ABORTED = 1  # the result of an Abort whose command was not found
-OFFERED_QUEUES = (MAX_IO_QUEUES - 1) << 16 | (MAX_IO_QUEUES - 1)  # completion and submission, counted from 0
+NOT_ABORTED = 1  # result of an Abort whose command was not found
+OFFERED_QUEUES = (MAX_IO_QUEUES - 1) << 16 | (MAX_IO_QUEUES - 1)  # NCQA and NSQA, 0's based
 
 
 class AdminCommands:
-    """Carries out the admin commands of one queue."""
+    """Executes the admin commands of one queue."""
 
     def __init__(self, queue: ControllerQueue) -> None:
         self._queue = queue
         self._target = queue.target
 
     def handle(self, pending: PendingCommand, controller: Controller, data: bytes) -> None:
-        """Carry out a command.
+        """Execute a command.
 
-        :raises CommandError: where it is faulty or not supported.
+        :param data: the in-capsule data.
+        :raises CommandError: if the command is invalid or not supported.
         """
         command = pending.command
         match command.opcode:
@@ -66,7 +67,7 @@
         return identify.namespace_descriptors(namespace)
 
     def _defer_event_request(self, pending: PendingCommand) -> None:
-        """Hold back the completion of a request for events: this controller reports none."""
+        """Keep an Asynchronous Event Request outstanding; this controller reports no events."""
         if len(self._queue.event_requests) >= identify.MAX_EVENT_REQUESTS:
             raise CommandError(Status.INVALID_FIELD)
         self._queue.event_requests.append(pending.command.command_id)
@@ -74,9 +75,9 @@
 
 
 def _set_feature(command: Command, controller: Controller, data: bytes) -> int:
-    """Change a feature of the association.
+    """Set a feature of the association.
 
-    :returns: the completion's result.
+    :returns: the result for the completion.
     """
     feature = command.raw[40]
     if feature == Feature.NUMBER_OF_QUEUES:
@@ -91,16 +92,16 @@
 
 
 def _abort(controller: Controller, queue_id: int, command_id: int) -> bool:
-    """End a command of an I/O queue and cancel its requests.
+    """Complete a command of an I/O queue as aborted and cancel its requests.
 
-    :returns: whether it was found.
+    :returns: whether the command was found.
     """
     queue = controller.queues.get(queue_id)
     pending = queue.pending.get(command_id) if queue is not None else None
     if queue is None or pending is None or queue_id == ADMIN_QUEUE_ID:
         return False
-    # A write that was forwarded may have run: the host must not take the abort for a proof that it did not.
-    may_have_run = pending.is_write and not all(each.never_ran for each in pending.exchanges)
+    # A forwarded Write may have run: without Do Not Retry, the host would send it again.
+    may_have_run = pending.is_write and not all(exchange.never_ran for exchange in pending.exchanges)
     queue.complete(pending, Status.ABORTED, do_not_retry=may_have_run)
     queue.cancel_requests(pending)
     return True
--- a/shaletiller/net/nvme/association.py
+++ b/shaletiller/net/nvme/association.py
@@ -1,4 +1,4 @@
-"""An association with a storage node's controller: its admin queue and one I/O queue."""
+"""An association with the controller of a storage node: an admin queue and one I/O queue."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from shaletiller.net.nvme.status import Status
 
 ADMIN_QUEUE_ID, IO_QUEUE_ID = 0, 1
-CC_ENABLE_WITH_ENTRY_SIZES = 0x00460001  # CC.EN, IOSQES of 64 bytes and IOCQES of 16 bytes
+CC_ENABLE_WITH_ENTRY_SIZES = 0x00460001  # CC.EN, IOSQES 64 bytes, IOCQES 16 bytes
 CSTS_READY = 0x1
-READY_POLL_S = 0.005  # empirical: how often a controller that is being enabled is asked whether it is ready
+READY_POLL_S = 0.005  # interval between reads of CSTS while the controller is being enabled
 
 
 class Association:
-    """An admin queue and an I/O queue; `idle_since_s` is the monotonic time of its last command's end."""
+    """An admin queue and an I/O queue; `idle_since_s` is the monotonic time of the last command's end."""
 
     def __init__(self, admin: HostQueue, io: HostQueue) -> None:
         self.admin = admin
@@ -36,7 +36,7 @@
     async def open(cls, host: str, port: int, config: NvmeUpstreamConfig) -> Association:
         """Connect both queues, enable the controller and check the namespace's block size.
 
-        :raises OSError, NvmeUpstreamError, PduError: where the storage node cannot be used.
+        :raises OSError, NvmeUpstreamError, PduError: if the association cannot be established.
         """
         admin = await HostQueue.open(host, port, ADMIN_QUEUE_ID, DYNAMIC_CONTROLLER_ID, config.subsystem)
         try:
@@ -50,7 +50,7 @@
 
     @property
     def closing(self) -> bool:
-        """Whether one of its connections is closed."""
+        """Whether either connection is closed."""
         return self.admin.closing or self.io.closing
 
     def abort(self) -> None:
@@ -60,7 +60,7 @@
 
 
 async def _enable_controller(admin: HostQueue) -> None:
-    """Enable the controller and wait until it is ready."""
+    """Enable the controller and poll CSTS until it reports ready."""
     entry = encode_property_set(admin.next_command_id(), Property.CC, CC_ENABLE_WITH_ENTRY_SIZES)
     completion, _ = await admin.run(entry)
     while completion.status == Status.SUCCESS:
@@ -69,17 +69,21 @@
             break
         await asyncio.sleep(READY_POLL_S)
     if completion.status != Status.SUCCESS:
-        raise NvmeUpstreamError(f"the controller is not ready: status {completion.status:#x}")
+        raise NvmeUpstreamError(
+            f"the controller could not be enabled: command ended with status {completion.status:#x}"
+        )
 
 
 async def _check_namespace(admin: HostQueue, config: NvmeUpstreamConfig) -> None:
     entry = encode_command(AdminOpcode.IDENTIFY, admin.next_command_id(), config.nsid, length=IDENTIFY_BYTES)
     completion, data = await admin.run(entry, read_bytes=IDENTIFY_BYTES)
     if completion.status != Status.SUCCESS or len(data) != IDENTIFY_BYTES:
-        raise NvmeUpstreamError(f"namespace {config.nsid}: Identify ended with status {completion.status:#x}")
+        raise NvmeUpstreamError(
+            f"namespace {config.nsid}: Identify failed with status {completion.status:#x}"
+        )
     block_format = data[26] & 0xF  # FLBAS
     block_bytes = 1 << data[130 + 4 * block_format]  # LBADS of the format in use
     if block_bytes != config.block_bytes:
         raise NvmeUpstreamError(
-            f"namespace {config.nsid} has blocks of {block_bytes} bytes, not {config.block_bytes}"
+            f"namespace {config.nsid}: block size is {block_bytes} bytes, configured are {config.block_bytes}"
         )
--- a/shaletiller/net/nvme/capsules.py
+++ b/shaletiller/net/nvme/capsules.py
@@ -1,4 +1,4 @@
-"""Capsules: PDUs that carry a command or a completion."""
+"""Encodes and decodes capsules: the PDUs that carry a command or a completion."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def command_capsule(entry: bytes, data: bytes = b"") -> bytes:
-    """A submission queue entry with the data that comes in its capsule."""
+    """Encode a command capsule from a submission queue entry and its in-capsule data."""
     return encode_pdu(PduType.COMMAND_CAPSULE, entry, data)
 
 
@@ -30,11 +30,12 @@
     subsystem: str,
     host: str,
 ) -> bytes:
-    """Connect with its data; submission queue flow control is disabled.
+    """Encode a Connect command with its data.  It disables submission queue flow control.
 
-    :param keep_alive_ms: the keep alive timeout (KATO), 0 for none.
-    :param subsystem: its NQN.
-    :param host: the host's NQN.
+    :param queue_size: the number of entries.
+    :param keep_alive_ms: the keep alive timeout (KATO); 0 disables it.
+    :param subsystem: the NQN of the subsystem.
+    :param host: the NQN of the host.
     """
     tail = struct.pack("<HHHBxI", 0, queue_id, queue_size - 1, CONNECT_DISABLES_FLOW_CONTROL, keep_alive_ms)
     entry = encode_fabrics_command(FabricsCommand.CONNECT, command_id, tail, CONNECT_DATA_BYTES)
@@ -53,9 +54,9 @@
     retry_delay: int = 0,
     do_not_retry: bool = False,
 ) -> bytes:
-    """A completion queue entry as a PDU.
+    """Encode a completion queue entry as a response capsule.
 
-    :param retry_delay: the number of the command retry delay, 0 for none.
+    :param retry_delay: the command retry delay (CRD) field: 1 to 3 select CRDT1 to CRDT3, 0 is no delay.
     """
     entry = encode_completion(
         command_id,
@@ -70,5 +71,5 @@
 
 
 def read_completion(pdu: Pdu) -> Completion:
-    """The completion in a response capsule."""
+    """Decode the completion in a response capsule."""
     return decode_completion(pdu.header)
--- a/shaletiller/net/nvme/commands.py
+++ b/shaletiller/net/nvme/commands.py
@@ -1,6 +1,6 @@
-"""Commands and completions: the entries of submission and completion queues.
+"""Encodes and decodes submission queue entries (commands) and completion queue entries.
 
-After the NVMe Base and NVM Command Set specifications.  All numbers are little-endian.
+The layouts follow the NVMe Base and NVM Command Set specifications.  All integers are little-endian.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 CONNECT_DATA_BYTES = 1024
 IDENTIFY_BYTES = 4096
 ALL_NAMESPACES = 0xFFFFFFFF
-DYNAMIC_CONTROLLER_ID = 0xFFFF  # in Connect: the target chooses the controller
+DYNAMIC_CONTROLLER_ID = 0xFFFF  # CNTLID in Connect: the target assigns the controller
 FABRICS_OPCODE = 0x7F
-SGL_FLAG = 0x40  # PSDT: the data pointer is an SGL descriptor, as it must be over a fabric
-FUSED_MASK = 0x03  # FUSE: the command belongs to a fused operation
-CONNECT_DISABLES_FLOW_CONTROL = 0x04  # CATTR of Connect
-COMPLETION_ENTRY = struct.Struct("<QHHHH")  # result, SQ head, SQ id, command id, status with its flags
+SGL_FLAG = 0x40  # PSDT: the data pointer is an SGL descriptor, which NVMe over Fabrics requires
+FUSED_MASK = 0x03  # FUSE: nonzero if the command is part of a fused operation
+CONNECT_DISABLES_FLOW_CONTROL = 0x04  # bit of CATTR in Connect
+COMPLETION_ENTRY = struct.Struct("<QHHHH")  # result, SQHD, SQID, CID, status field
 
 
 class AdminOpcode(IntEnum):
-    """Commands of the admin queue."""
+    """Opcodes of admin commands."""
 
     GET_LOG_PAGE = 0x02
     IDENTIFY = 0x06
@@ -35,7 +35,7 @@
 
 
 class IoOpcode(IntEnum):
-    """Commands of an I/O queue."""
+    """Opcodes of I/O commands."""
 
     FLUSH = 0x00
     WRITE = 0x01
@@ -43,7 +43,7 @@
 
 
 class FabricsCommand(IntEnum):
-    """Fabrics command types (FCTYPE), under the one opcode `FABRICS_OPCODE`."""
+    """Fabrics command types (FCTYPE); all of them share the opcode `FABRICS_OPCODE`."""
 
     PROPERTY_SET = 0x00
     CONNECT = 0x01
@@ -51,7 +51,7 @@
 
 
 class Property(IntEnum):
-    """Offsets of a controller's properties."""
+    """Byte offsets of controller properties."""
 
     CAP = 0x00  # capabilities
     VS = 0x08  # version
@@ -60,7 +60,7 @@
 
 
 class Feature(IntEnum):
-    """Features that Set Features changes (FID)."""
+    """Feature identifiers (FID) of Set Features."""
 
     NUMBER_OF_QUEUES = 0x07
     KEEP_ALIVE_TIMER = 0x0F
@@ -68,7 +68,7 @@
 
 
 class IdentifyTarget(IntEnum):
-    """What Identify returns (CNS)."""
+    """Data structures that Identify returns (CNS)."""
 
     NAMESPACE = 0x00
     CONTROLLER = 0x01
@@ -77,10 +77,10 @@
 
 
 class SglType(IntEnum):
-    """Types of the SGL descriptor: where a command's data is."""
+    """SGL descriptor types, which state where the data of a command is."""
 
-    IN_CAPSULE = 0x01  # data block at an offset in the capsule
-    TRANSPORT = 0x5A  # transport data block: R2T or C2HData follow
+    IN_CAPSULE = 0x01  # data block descriptor with an offset into the capsule
+    TRANSPORT = 0x5A  # transport data block descriptor: the data moves by R2T or C2HData
 
 
 @dataclass(slots=True, frozen=True)
@@ -91,49 +91,49 @@
 
     @property
     def opcode(self) -> int:
-        """Its opcode, of the admin, I/O or fabrics commands."""
+        """Opcode of the admin, I/O or fabrics command."""
         return self.raw[0]
 
     @property
     def command_id(self) -> int:
-        """Its identifier (CID), unique among the queue's outstanding commands."""
+        """Command identifier (CID), unique among the outstanding commands of the queue."""
         return self.field("H", 2)
 
     @property
     def fabrics_type(self) -> int:
-        """The type of a fabrics command."""
+        """Fabrics command type (FCTYPE); valid only for fabrics commands."""
         return self.raw[4]
 
     @property
     def nsid(self) -> int:
-        """The namespace."""
+        """Namespace identifier (NSID)."""
         return self.field("I", 4)
 
     @property
     def sgl_length(self) -> int:
-        """The length of its data in bytes."""
+        """Length in bytes in the SGL descriptor."""
         return self.field("I", 32)
 
     @property
     def sgl_type(self) -> int:
-        """Where its data is, see `SglType`."""
+        """Type of the SGL descriptor, see `SglType`."""
         return self.raw[39]
 
     @property
     def first_block(self) -> int:
-        """The first block of a Read or Write (SLBA)."""
+        """First block of a Read or Write (SLBA)."""
         return self.field("Q", 40)
 
     @property
     def blocks(self) -> int:
-        """The number of blocks of a Read or Write."""
+        """Number of blocks of a Read or Write (NLB + 1)."""
         return self.field("H", 48) + 1
 
     def field(self, form: str, offset: int) -> int:
-        """A number of the entry.
+        """Return an integer field of the entry.
 
-        :param form: its `struct` format character.
-        :param offset: in bytes from the entry's start, as in the specification.
+        :param form: the `struct` format character of the field.
+        :param offset: the byte offset from the start of the entry, as in the specification.
         """
         value: int = struct.unpack_from("<" + form, self.raw, offset)[0]
         return value
@@ -150,9 +150,9 @@
 ) -> bytes:
     """Encode a submission queue entry.
 
-    :param length: of the data, in bytes.
-    :param in_capsule: whether the data follows in the capsule.
-    :param tail: the entry from CDW10 (byte 40) on.
+    :param length: the length of the data in bytes.
+    :param in_capsule: whether the capsule carries the data.
+    :param tail: the bytes of the entry from CDW10 (byte 40) on.
     """
     sgl_type = SglType.IN_CAPSULE if in_capsule else SglType.TRANSPORT
     start = struct.pack("<BBHI16xQI3xB", opcode, SGL_FLAG, command_id, nsid, 0, length, sgl_type)
@@ -168,13 +168,13 @@
     length: int,
     in_capsule: bool,
 ) -> bytes:
-    """Encode a Read or Write of `blocks` blocks and `length` bytes."""
+    """Encode a Read or Write of `blocks` blocks, `length` bytes in all."""
     tail = struct.pack("<QHH", first_block, blocks - 1, 0)
     return encode_command(opcode, command_id, nsid, length=length, in_capsule=in_capsule, tail=tail)
 
 
 def encode_fabrics_command(kind: FabricsCommand, command_id: int, tail: bytes, length: int = 0) -> bytes:
-    """Encode a fabrics command; its data, if any, is in the capsule."""
+    """Encode a fabrics command; the capsule carries its data, if any."""
     return encode_command(FABRICS_OPCODE, command_id, kind, length=length, in_capsule=length > 0, tail=tail)
 
 
@@ -194,7 +194,8 @@
 class Completion:
     """A completion queue entry.
 
-    `retry_delay` is the number of the command retry delay (CRD) after which the host may retry, 0 for none.
+    `retry_delay` is the command retry delay (CRD) field: 1 to 3 select CRDT1 to CRDT3 as the delay before the
+    host retries, 0 is no delay.
     """
 
     command_id: int
--- a/shaletiller/net/nvme/controller.py
+++ b/shaletiller/net/nvme/controller.py
@@ -1,4 +1,4 @@
-"""A controller of the target: the state of one host's association."""
+"""A controller of the target: the state of an association with one host."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
     from shaletiller.net.nvme.queue import ControllerQueue
 
 ADMIN_QUEUE_ID = 0
-MAX_IO_QUEUES = 16  # of one association; empirical: hosts open one for each CPU core, up to what is offered
-CC_RESET = 0  # the configuration of a controller that no host has enabled
+MAX_IO_QUEUES = 16  # per association; hosts open one I/O queue per CPU core, up to this number
+CC_RESET = 0  # the value of CC before a host enables the controller
 CC_ENABLE = 0x1  # CC.EN
 CSTS_READY = 0x1  # CSTS.RDY
 CSTS_SHUTDOWN_COMPLETE = 0x8  # CSTS.SHST
@@ -18,10 +18,11 @@
 
 @dataclass(slots=True)
 class Controller:
-    """One host's controller: an admin queue and its I/O queues, by queue id.
+    """The controller that serves one host, with its admin queue and I/O queues.
 
-    `host` is the host's NQN.  `keep_alive_ms` is 0 where the host keeps no timer.  `configuration` is the
-    property CC.  `host_retries` means that the host understands command retry delays (ACRE).
+    `host` is the NQN of the host.  `keep_alive_ms` is the keep alive timeout (KATO); 0 disables it.
+    `configuration` is the property CC.  `host_retries` is set when the host supports command retry delays
+    (ACRE).  `queues` maps a queue identifier to its queue.
     """
 
     controller_id: int
@@ -33,17 +34,17 @@
 
     @property
     def enabled(self) -> bool:
-        """Whether the host has enabled it."""
+        """Whether the host has enabled the controller."""
         return bool(self.configuration & CC_ENABLE)
 
     @property
     def status(self) -> int:
-        """The property CSTS; a shutdown that the host notifies is complete immediately."""
+        """Value of the property CSTS; a shutdown requested through CC.SHN completes immediately."""
         shutdown = CSTS_SHUTDOWN_COMPLETE if self.configuration >> 14 & 3 else 0
         return (CSTS_READY if self.enabled else 0) | shutdown
 
     def configure(self, value: int) -> None:
-        """Set CC; a controller that is disabled loses its I/O queues with their commands."""
+        """Set the property CC.  Disabling the controller aborts its I/O queues and their commands."""
         if self.enabled and not value & CC_ENABLE:
             for queue_id, queue in list(self.queues.items()):
                 if queue_id != ADMIN_QUEUE_ID:
--- a/shaletiller/net/nvme/errors.py
+++ b/shaletiller/net/nvme/errors.py
@@ -1,4 +1,4 @@
-"""The errors of NVMe over TCP."""
+"""Exceptions of the NVMe/TCP target and client."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FatalErrorStatus(IntEnum):
-    """Why a side ends the connection (FES of H2CTermReq and C2HTermReq)."""
+    """Reason for terminating a connection (FES field of H2CTermReq and C2HTermReq)."""
 
     INVALID_HEADER_FIELD = 0x01
     SEQUENCE_ERROR = 0x02
@@ -19,12 +19,12 @@
 
 
 class PduError(Exception):
-    """The peer sent bytes that are no PDU, or a PDU that is not allowed here; the connection ends.
+    """The peer sent a malformed PDU, or a PDU that is not allowed at this point.  It ends the connection.
 
-    :param status: the reason for the TermReq.
-    :param message: for the log.
-    :param offset: of the faulty field in the PDU, in bytes.
-    :param header: the beginning of the faulty PDU, which the TermReq returns.
+    :param status: the reason that the TermReq reports.
+    :param message: the text for the log.
+    :param offset: the byte offset of the faulty field within the PDU.
+    :param header: the start of the faulty PDU, which the TermReq returns to the peer.
     """
 
     def __init__(self, status: FatalErrorStatus, message: str, offset: int = 0, header: bytes = b"") -> None:
@@ -35,9 +35,10 @@
 
 
 class CommandError(Exception):
-    """A host's command ends with an error status; its connection goes on.
+    """A host's command completes with an error status; its connection stays open.
 
-    :param do_not_retry: whether the same command would fail again.
+    :param status: the status of the completion.
+    :param do_not_retry: whether the completion sets Do Not Retry, because the same command would fail again.
     """
 
     def __init__(self, status: Status, do_not_retry: bool = True) -> None:
@@ -47,4 +48,4 @@
 
 
 class NvmeUpstreamError(Exception):
-    """A storage node's controller does not do what the gateway needs."""
+    """A storage node's controller refused a request or does not support what the gateway requires."""
--- a/shaletiller/net/nvme/fabrics_commands.py
+++ b/shaletiller/net/nvme/fabrics_commands.py
@@ -1,4 +1,4 @@
-"""Fabrics commands at the target: Connect, Property Get and Property Set."""
+"""The target's fabrics commands: Connect, Property Get and Property Set."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 if TYPE_CHECKING:
     from shaletiller.net.nvme.queue import ControllerQueue
 
-MIN_QUEUE_SIZE = 2  # entries; a queue of one entry could never hold a command
-NQN_BYTES = 256  # of the two names in Connect's data
+MIN_QUEUE_SIZE = 2  # entries; a queue with a single entry cannot hold a command
+NQN_BYTES = 256  # length of each NQN field in the data of Connect
 SUBSYSTEM_NQN_OFFSET, HOST_NQN_OFFSET = 256, 512
 
 
 class FabricsCommands:
-    """Carries out the fabrics commands of one queue."""
+    """Executes the fabrics commands of one queue."""
 
     def __init__(self, queue: ControllerQueue) -> None:
         self._queue = queue
         self._target = queue.target
 
     def handle(self, pending: PendingCommand, data: bytes) -> None:
-        """Carry out a command.
+        """Execute a command.
 
-        :raises CommandError: where it is faulty or not allowed now.
+        :param data: the in-capsule data.
+        :raises CommandError: if the command is invalid or not allowed in the current state.
         """
         command, controller = pending.command, self._queue.controller
         if command.fabrics_type == FabricsCommand.CONNECT:
@@ -89,13 +90,13 @@
         self._queue.complete(pending, Status.SUCCESS, result=controller.controller_id)
 
     def _new_controller(self, command: Command, data: bytes) -> Controller:
-        """The controller of a new association, whose admin queue connects."""
+        """Create the controller for a new association, whose admin queue connects."""
         if _read_controller_id(data) != DYNAMIC_CONTROLLER_ID:
             raise CommandError(Status.CONNECT_PARAMETER)
         return self._target.new_controller(_read_nqn(data, HOST_NQN_OFFSET), command.field("I", 48))
 
     def _find_controller(self, queue_id: int, data: bytes) -> Controller:
-        """The controller of an association, one of whose I/O queues connects."""
+        """Return the controller of the existing association to which an I/O queue connects."""
         controller = self._target.controllers.get(_read_controller_id(data))
         if controller is None or queue_id > MAX_IO_QUEUES or queue_id in controller.queues:
             raise CommandError(Status.CONNECT_PARAMETER)
--- a/shaletiller/net/nvme/host_queue.py
+++ b/shaletiller/net/nvme/host_queue.py
@@ -1,4 +1,4 @@
-"""The host's side of a queue pair: one connection to a storage node's controller."""
+"""The host's side of a queue pair: one connection to the controller of a storage node."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from shaletiller.net.nvme.stream import PduStream
 
 HOST_NQN = "nqn.2026-12.example.shaletiller:host"
-QUEUE_SIZE = 2  # entries, the smallest queue: a queue has one command at a time
+QUEUE_SIZE = 2  # entries; the minimum, which suffices for one command at a time
 CONNECT_COMMAND_ID = 0
-MIN_MAXH2CDATA = 4096  # the least that a controller may accept in one H2CData PDU, by the specification
+MIN_MAXH2CDATA = 4096  # bytes; the specification's minimum for MAXH2CDATA in ICResp
 MAX_COMMAND_ID = 0x7FFF
 
 
 class HostQueue:
     """A queue pair that carries one command at a time.
 
-    `command_sent` tells whether the capsule of the present command was handed to the connection: from then on
-    the controller may act on it, for it need not wait for the data of an R2T to begin.
+    `command_sent` is set when the capsule of the current command is passed to the connection.  From then on
+    the command may run: the controller may begin before it has received the data that it requests by R2T.
     """
 
     def __init__(self, stream: PduStream) -> None:
@@ -47,11 +47,12 @@
     async def open(cls, host: str, port: int, queue_id: int, controller_id: int, subsystem: str) -> HostQueue:
         """Open a connection and connect a queue.
 
-        :param controller_id: of the association; `DYNAMIC_CONTROLLER_ID` for a new one's admin queue.
-        :param subsystem: its NQN.
-        :raises OSError: where the connection fails.
-        :raises NvmeUpstreamError: where the controller declines.
-        :raises PduError: where it sends a faulty PDU.
+        :param controller_id: the controller of the association; `DYNAMIC_CONTROLLER_ID` for the admin queue
+            of a new association.
+        :param subsystem: the NQN of the subsystem.
+        :raises OSError: if the connection fails.
+        :raises NvmeUpstreamError: if the controller rejects the connection or Connect.
+        :raises PduError: if the controller sends an invalid PDU.
         """
         reader, writer = await asyncio.open_connection(host, port)
         queue = cls(PduStream(reader, writer, FROM_CONTROLLER))
@@ -64,15 +65,15 @@
         return queue
 
     async def _initialize(self) -> None:
-        """Exchange ICReq and ICResp."""
+        """Send the ICReq and check the ICResp."""
         self._stream.send(ic_req())
         pdu = await self._receive()
         if pdu.type is not PduType.IC_RESP or pdu.field("H", 8) != 0:
-            raise NvmeUpstreamError("no ICResp of version 0")
+            raise NvmeUpstreamError("expected an ICResp with PDU format version 0")
         if pdu.field("B", 11) != 0:
-            raise NvmeUpstreamError("digests that were not requested")
+            raise NvmeUpstreamError("ICResp enables digests that were not requested")
         if pdu.field("B", 10) != 0:
-            raise NvmeUpstreamError("a data alignment that is not supported")
+            raise NvmeUpstreamError("ICResp requires a data alignment, which is not supported")
         self._max_h2c_data = min(MAX_H2C_DATA, max(MIN_MAXH2CDATA, pdu.field("I", 12)))
 
     async def _connect(self, queue_id: int, controller_id: int, subsystem: str) -> None:
@@ -82,24 +83,24 @@
         self._stream.send(capsule)
         completion, _ = await self.receive_response(CONNECT_COMMAND_ID, b"", 0)
         if completion.status != Status.SUCCESS:
-            raise NvmeUpstreamError(f"Connect ended with status {completion.status:#x}")
+            raise NvmeUpstreamError(f"Connect failed with status {completion.status:#x}")
         self.controller_id = completion.result & 0xFFFF
 
     def next_command_id(self) -> int:
-        """The command id for the next command."""
+        """Allocate the command id of the next command."""
         self._command_id = (self._command_id + 1) & MAX_COMMAND_ID
         return self._command_id
 
     async def run(self, entry: bytes, data: bytes = b"", read_bytes: int = 0) -> tuple[Completion, bytes]:
-        """Run one command.
-
-        :param entry: its submission queue entry, with the id that `next_command_id` gave last.
-        :param data: that it writes.
-        :param read_bytes: the data that it may read, in bytes.
-        :returns: its completion and the data that was read.
-        :raises OSError: where the connection fails.
-        :raises NvmeUpstreamError: where the controller ends the connection.
-        :raises PduError: where it sends a faulty PDU.
+        """Send a command and wait for its completion.
+
+        :param entry: the submission queue entry, with the command id that `next_command_id` returned last.
+        :param data: the data to write.
+        :param read_bytes: the maximum number of bytes that the command reads.
+        :returns: the completion and the data that was read.
+        :raises OSError: if the connection fails.
+        :raises NvmeUpstreamError: if the controller terminates the connection.
+        :raises PduError: if the controller sends an invalid PDU.
         """
         self.command_sent = False
         if self._stream.closing:
@@ -113,9 +114,9 @@
     async def receive_response(
         self, command_id: int, data: bytes, read_bytes: int
     ) -> tuple[Completion, bytes]:
-        """Receive a command's data and completion, and send the data that R2Ts request.
+        """Receive the read data and the completion of a command, and send the write data that R2Ts request.
 
-        :raises OSError, NvmeUpstreamError, PduError: as in `run`.
+        :raises OSError, NvmeUpstreamError, PduError: as `run` does.
         """
         received = bytearray()
         while True:
@@ -123,10 +124,14 @@
             if pdu.type is PduType.RESPONSE_CAPSULE:
                 completion = read_completion(pdu)
                 if completion.command_id != command_id:
-                    raise PduError(FatalErrorStatus.SEQUENCE_ERROR, "completion of another command")
+                    raise PduError(
+                        FatalErrorStatus.SEQUENCE_ERROR, "received the completion of another command"
+                    )
                 return completion, bytes(received)
             if pdu.field("H", 8) != command_id:
-                raise PduError(FatalErrorStatus.INVALID_HEADER_FIELD, "data of another command", 8)
+                raise PduError(
+                    FatalErrorStatus.INVALID_HEADER_FIELD, "received an R2T or C2HData for another command", 8
+                )
             if pdu.type is PduType.R2T:
                 await self._send_data(pdu, command_id, data)
             elif pdu.type is PduType.C2H_DATA:
@@ -134,7 +139,10 @@
                 if pdu.flags & FLAG_SUCCESS:
                     return Completion(command_id, Status.SUCCESS, 0, 0, False), bytes(received)
             else:
-                raise PduError(FatalErrorStatus.SEQUENCE_ERROR, f"unexpected {pdu.type.name}")
+                raise PduError(
+                    FatalErrorStatus.SEQUENCE_ERROR,
+                    f"expected R2T, C2HData or a response capsule, got {pdu.type.name}",
+                )
 
     async def _receive(self) -> Pdu:
         try:
@@ -145,15 +153,19 @@
         if pdu is None:
             raise ConnectionResetError("the storage node closed the connection")
         if pdu.type is PduType.C2H_TERM_REQ:
-            raise NvmeUpstreamError(f"the controller ended the connection, reason {pdu.field('H', 8):#x}")
+            raise NvmeUpstreamError(
+                f"the controller terminated the connection, reason {pdu.field('H', 8):#x}"
+            )
         return pdu
 
     async def _send_data(self, pdu: Pdu, command_id: int, data: bytes) -> None:
-        """Send the part of the data that an R2T requests, in PDUs that the controller accepts."""
+        """Send the data that an R2T requests, split into PDUs that the controller accepts."""
         transfer_tag, start, length = pdu.field("H", 10), pdu.field("I", 12), pdu.field("I", 16)
         end = start + length
         if not length or end > len(data):
-            raise PduError(FatalErrorStatus.DATA_OUT_OF_RANGE, "an R2T beyond the data", 12)
+            raise PduError(
+                FatalErrorStatus.DATA_OUT_OF_RANGE, "the R2T requests a range outside the command's data", 12
+            )
         for offset in range(start, end, self._max_h2c_data):
             piece = data[offset : min(offset + self._max_h2c_data, end)]
             flags = FLAG_LAST_PDU if offset + len(piece) == end else 0
@@ -162,16 +174,18 @@
 
     @property
     def closing(self) -> bool:
-        """Whether the connection is closed, by either side."""
+        """Whether either side has closed the connection."""
         return self._stream.closing
 
     def abort(self) -> None:
-        """Close the connection."""
+        """Close the connection immediately."""
         self._stream.abort()
 
 
 def _append_data(received: bytearray, pdu: Pdu, read_bytes: int) -> None:
-    """Append the data of a C2HData PDU, which must continue what was received."""
+    """Append the data of a C2HData PDU, which must start where the received data ends."""
     if pdu.field("I", 12) != len(received) or len(received) + len(pdu.data) > read_bytes:
-        raise PduError(FatalErrorStatus.DATA_OUT_OF_RANGE, "data out of range", 12)
+        raise PduError(
+            FatalErrorStatus.DATA_OUT_OF_RANGE, "C2HData is out of order or exceeds the expected length", 12
+        )
     received += pdu.data
--- a/shaletiller/net/nvme/io_commands.py
+++ b/shaletiller/net/nvme/io_commands.py
@@ -1,6 +1,6 @@
-"""I/O commands at the target: Read, Write and Flush, as client requests for objects.
+"""The target's I/O commands: Read, Write and Flush, carried out by client requests for objects.
 
-A block is an object.  A Read or Write is submitted to the engine as one request for each of its blocks.
+Each block is an object.  A Read or Write is submitted to the engine as one request per block.
 """
 
 from __future__ import annotations
@@ -25,23 +25,24 @@
 
 logger = logging.getLogger(__name__)
 
-# Bytes of write data reserved for all hosts together; a Write beyond them is to be retried.  Empirical: a
-# twelfth of the default memory limit, against the number of Writes that may be received at the same time.
+# Maximum bytes of memory reserved for write data, over all hosts; a Write that exceeds it completes with
+# Command Interrupted.  It is a twelfth of the default memory limit.  A larger value allows more concurrent
+# Writes; a smaller value leaves more memory for other uses.
 MAX_WRITE_DATA_BYTES = 16 << 20
 
 
 class IoCommands:
-    """Carries out the I/O commands of one queue."""
+    """Executes the I/O commands of one queue."""
 
     def __init__(self, queue: ControllerQueue) -> None:
         self._queue = queue
         self._target = queue.target
 
     def handle(self, pending: PendingCommand, data: bytes) -> None:
-        """Carry out a command.
+        """Execute a command.
 
-        :param data: that came in its capsule.
-        :raises CommandError: where it is faulty, or a Write finds no memory for its data.
+        :param data: the in-capsule data.
+        :raises CommandError: if the command is invalid, or if the memory for write data is exhausted.
         """
         command = pending.command
         namespace = self._target.namespaces.get(command.nsid)
@@ -62,17 +63,15 @@
             self._receive_write(pending, namespace, data, size)
 
     def _flush(self, pending: PendingCommand, namespace: NvmeNamespace | None) -> None:
-        """Complete a Flush immediately: a Write completes when its storage node has it, nothing is cached."""
+        """Complete a Flush immediately: nothing is cached, a Write completes once its storage node has it."""
         if namespace is None and pending.command.nsid != ALL_NAMESPACES:
             raise CommandError(Status.INVALID_NAMESPACE)
         self._queue.complete(pending, Status.SUCCESS)
 
-    # ---- write data
-
     def _receive_write(
         self, pending: PendingCommand, namespace: NvmeNamespace, data: bytes, size: int
     ) -> None:
-        """Submit a Write whose data is in its capsule, or request the data from the host."""
+        """Submit a Write if its data is in the capsule, otherwise request the data by R2T."""
         if self._target.write_data_bytes + size > MAX_WRITE_DATA_BYTES:
             raise CommandError(Status.INTERRUPTED, do_not_retry=False)
         if pending.command.sgl_type == SglType.IN_CAPSULE:
@@ -86,33 +85,37 @@
             return
         pending.missing_bytes = size
         command_id = pending.command.command_id
-        # The command id is the transfer tag, too.
+        # The command id also serves as the transfer tag.
         self._queue.stream.send(r2t(command_id, command_id, 0, size))
 
     def receive_data(self, pdu: Pdu) -> None:
-        """Take an H2CData PDU; with the last one the Write is submitted.
+        """Handle an H2CData PDU, and submit the Write once all its data has arrived.
 
-        :raises PduError: where it does not fit the R2T of its command.
+        :raises PduError: if the PDU does not match an outstanding R2T.
         """
         command_id, transfer_tag = pdu.field("H", 8), pdu.field("H", 10)
         pending = self._queue.pending.get(command_id)
         if pending is None and self._queue.connected:
-            return  # the command was aborted meanwhile
+            return  # the command was aborted while its data was in transit
         if pending is None or transfer_tag != command_id or not pending.missing_bytes:
-            raise PduError(FatalErrorStatus.INVALID_HEADER_FIELD, "data without an R2T", 8)
+            raise PduError(
+                FatalErrorStatus.INVALID_HEADER_FIELD, "H2CData does not match an outstanding R2T", 8
+            )
         _check_data(pdu, pending)
         pending.data += pdu.data
         pending.missing_bytes -= len(pdu.data)
         if bool(pdu.flags & FLAG_LAST_PDU) != (pending.missing_bytes == 0):
-            raise PduError(FatalErrorStatus.INVALID_HEADER_FIELD, "the last PDU's flag", 1)
+            raise PduError(
+                FatalErrorStatus.INVALID_HEADER_FIELD,
+                "H2CData: LAST_PDU flag does not match the end of the requested data",
+                1,
+            )
         if not pending.missing_bytes:
             assert pending.namespace is not None
             self._submit(pending, pending.namespace)
 
-    # ---- requests and responses
-
     def _submit(self, pending: PendingCommand, namespace: NvmeNamespace) -> None:
-        """Submit a request for each block; their deadlines start now, when the command is complete."""
+        """Submit a request for each block; their deadlines start now, after all write data has arrived."""
         for position in range(pending.command.blocks):
             call = self._block_call(pending, namespace, position)
             respond = partial(self._receive_response, pending, position)
@@ -121,8 +124,8 @@
             except BadRequestError as error:
                 logger.warning("request %s of NVMe block %s rejected, it fails: %s", call.id, call.key, error)
                 respond(FinalResponse(FinalResult.FAILED))
-        # A block may have its response before the next one is submitted: only from here on may the command
-        # complete.
+        # The engine may respond to one block before the next one is submitted; the command may complete only
+        # now that all blocks are submitted.
         pending.submitted = True
         self._complete_when_responded(pending)
 
@@ -131,7 +134,8 @@
         key = f"{namespace.first_key + pending.command.first_block + position:016x}"
         start = position * block_bytes
         body = bytes(pending.data[start : start + block_bytes]) if is_write else b""
-        # The request's id serves as its idempotency key: hosts have none, and send a command only once.
+        # The request id serves as the idempotency key: NVMe commands have none, and each command is a new
+        # operation.
         request_id = self._target.next_request_id()
         return ClientCall(
             id=request_id,
@@ -155,7 +159,7 @@
         self._complete_when_responded(pending)
 
     def _complete_when_responded(self, pending: PendingCommand) -> None:
-        """Complete a command all of whose blocks have their responses."""
+        """Complete a command if all its blocks have been submitted and have final responses."""
         blocks = pending.command.blocks
         if pending.done or not pending.submitted or len(pending.responses) < blocks:
             return
@@ -170,13 +174,13 @@
             retry_delay = self._retry_delay(responses)
             self._queue.complete(pending, Status.INTERRUPTED, retry_delay=retry_delay)
         elif pending.is_write:
-            # Some of it may have run: the host must not send it again.
+            # Some blocks may have been written: the host must not send the command again.
             self._queue.complete(pending, Status.WRITE_FAULT, do_not_retry=True)
         else:
             self._queue.complete(pending, Status.INTERNAL)
 
     def _retry_delay(self, responses: list[FinalResponse]) -> int:
-        """The number of the command retry delay, 0 where the host does not understand it."""
+        """Return the command retry delay (CRD) field, 0 if the host does not support it."""
         controller = self._queue.controller
         if controller is None or not controller.host_retries:
             return 0
@@ -191,22 +195,22 @@
         block_bytes = namespace.block_bytes
         if any(len(response.body) > block_bytes for response in responses):
             logger.warning(
-                "NVMe namespace %d: read of %d blocks at %d fails, an object is larger than a block",
+                "NVMe namespace %d: Read of %d blocks from block %d failed: an object is larger than a block",
                 namespace.nsid,
                 pending.command.blocks,
                 pending.command.first_block,
             )
             self._queue.complete(pending, Status.DATA_TRANSFER, do_not_retry=True)
             return
-        # A shorter object reads as zeros at its end.
+        # An object shorter than a block is padded with zeros.
         data = b"".join(response.body.ljust(block_bytes, b"\0") for response in responses)
         self._queue.complete(pending, Status.SUCCESS, data=data)
 
 
 def _checked_size(command: Command, namespace: NvmeNamespace) -> int:
-    """The number of bytes of a Read or Write.
+    """Validate a Read or Write and return its size in bytes.
 
-    :raises CommandError: where its size, range or data pointer is faulty.
+    :raises CommandError: if the size, the block range or the data pointer is invalid.
     """
     size = command.blocks * namespace.block_bytes
     if size > MAX_TRANSFER_BYTES:
@@ -219,10 +223,14 @@
 
 
 def _check_data(pdu: Pdu, pending: PendingCommand) -> None:
-    """Check that an H2CData PDU continues the data of its command."""
+    """Check that an H2CData PDU starts where the received data ends and stays within the R2T."""
     if pdu.field("I", 16) != len(pdu.data) or not pdu.data:
-        raise PduError(FatalErrorStatus.INVALID_HEADER_FIELD, "data length", 16)
+        raise PduError(
+            FatalErrorStatus.INVALID_HEADER_FIELD, "H2CData: data length does not match the PDU", 16
+        )
     if pdu.field("I", 12) != len(pending.data):
-        raise PduError(FatalErrorStatus.DATA_OUT_OF_RANGE, "data offset", 12)
+        raise PduError(FatalErrorStatus.DATA_OUT_OF_RANGE, "H2CData: data offset is out of order", 12)
     if len(pdu.data) > pending.missing_bytes or len(pdu.data) > MAX_H2C_DATA:
-        raise PduError(FatalErrorStatus.DATA_OUT_OF_RANGE, "more data than the R2T named", 16)
+        raise PduError(
+            FatalErrorStatus.DATA_OUT_OF_RANGE, "H2CData exceeds the length that the R2T requested", 16
+        )
--- a/shaletiller/net/nvme/pdu.py
+++ b/shaletiller/net/nvme/pdu.py
@@ -1,7 +1,7 @@
-"""The codec of NVMe/TCP's protocol data units (PDUs): bytes in, bytes out, no sockets.
+"""Encodes and decodes NVMe/TCP protocol data units (PDUs), without any I/O.
 
-After the NVMe TCP Transport specification.  Header and data digests are declined in ICReq and ICResp, so a
-PDU that carries one is an error.  All numbers are little-endian.
+The layouts follow the NVMe TCP Transport specification.  ICReq and ICResp decline header and data digests, so
+a PDU that carries a digest is an error.  All integers are little-endian.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from shaletiller.net.nvme.errors import FatalErrorStatus, PduError
 
 COMMON_HEADER = struct.Struct("<BBBBI")  # type, flags, header length, data offset, PDU length
-MAX_IN_CAPSULE_DATA = 8192  # bytes of data that may come with a command; more waits for an R2T
-MAX_H2C_DATA = 65536  # bytes of one H2CData or C2HData PDU: the data of the largest command
-MAX_TERM_REQ_DATA = 128  # bytes of the faulty PDU that a TermReq returns, by the specification
-MAX_PADDING = 128  # bytes before the data; both ends decline alignment, so little is needed
+MAX_IN_CAPSULE_DATA = 8192  # bytes; a command capsule carries no more data, larger writes wait for an R2T
+MAX_H2C_DATA = 65536  # bytes in one H2CData or C2HData PDU; fits the data of the largest command
+MAX_TERM_REQ_DATA = 128  # bytes of the faulty PDU in a TermReq; the limit of the specification
+MAX_PADDING = 128  # bytes before the data; no data alignment is negotiated, so little padding is needed
 FLAG_LAST_PDU = 0x04
-FLAG_SUCCESS = 0x08  # of C2HData: the command succeeded, and no completion follows
-DIGEST_FLAGS = 0x03  # the PDU carries a header or data digest
+FLAG_SUCCESS = 0x08  # in C2HData: the command succeeded, and no response capsule follows
+DIGEST_FLAGS = 0x03  # HDGSTF and DDGSTF: the PDU carries a header or data digest
 
 
 class PduType(IntEnum):
-    """PDU types; H2C is from the host to the controller, C2H the reverse."""
+    """PDU types; H2C PDUs go from the host to the controller, C2H PDUs from the controller to the host."""
 
     IC_REQ = 0x00
     IC_RESP = 0x01
@@ -55,7 +55,7 @@
     PduType.H2C_TERM_REQ: MAX_TERM_REQ_DATA,
     PduType.C2H_TERM_REQ: MAX_TERM_REQ_DATA,
 }
-# The types whose data begins at the data offset of their header, perhaps after padding.
+# PDU types whose data starts at the data offset (PDO) of the header, possibly after padding.
 WITH_DATA_OFFSET = frozenset({PduType.COMMAND_CAPSULE, PduType.H2C_DATA, PduType.C2H_DATA})
 IC_TYPES = frozenset({PduType.IC_REQ, PduType.IC_RESP})
 TERM_REQ_TYPES = frozenset({PduType.H2C_TERM_REQ, PduType.C2H_TERM_REQ})
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Pdu:
-    """A PDU: `header` is what follows the common header, `data` what it carries."""
+    """A decoded PDU: `header` is the type-specific header after the common header, `data` is the payload."""
 
     type: PduType
     flags: int
@@ -73,19 +73,19 @@
     data: bytes = b""
 
     def field(self, form: str, offset: int) -> int:
-        """A number of the header.
+        """Return an integer field of the header.
 
-        :param form: its `struct` format character.
-        :param offset: in bytes from the PDU's start, as in the specification.
+        :param form: the `struct` format character of the field.
+        :param offset: the byte offset from the start of the PDU, as in the specification.
         """
         value: int = struct.unpack_from("<" + form, self.header, offset - COMMON_HEADER.size)[0]
         return value
 
 
 class PduDecoder:
-    """Cuts a stream of bytes into PDUs; it buffers no more than the largest allowed PDU and one read.
+    """Splits a byte stream into PDUs.  It buffers at most the largest allowed PDU and one read.
 
-    :param allowed: the types that the peer may send.
+    :param allowed: the PDU types that the peer may send.
     """
 
     def __init__(self, allowed: frozenset[PduType]) -> None:
@@ -97,11 +97,11 @@
         self._buffer += data
 
     def next_pdu(self) -> Pdu | None:
-        """The next complete PDU, None where bytes are missing.
+        """Return the next complete PDU, or None if more bytes are needed.
 
-        One at a time: an error must not hide the PDUs before it.
+        It returns one PDU per call, so that an error does not discard the valid PDUs before it.
 
-        :raises PduError: where the bytes are no allowed PDU.
+        :raises PduError: if the buffered bytes are not a valid PDU of an allowed type.
         """
         if len(self._buffer) < COMMON_HEADER.size:
             return None
@@ -109,33 +109,35 @@
         return self._cut(length) if len(self._buffer) >= length else None
 
     def _check_header(self, header: bytes) -> int:
-        """Check a common header.
+        """Validate a common header.
 
-        :returns: the PDU's length in bytes.
+        :returns: the length of the PDU in bytes.
         """
         raw_type, flags, header_bytes, data_offset, length = COMMON_HEADER.unpack(header)
         pdu_type = self._check_type(raw_type, header)
         if header_bytes != HEADER_BYTES[pdu_type]:
-            raise _header_error(f"header length {header_bytes}", 2, header)
+            raise _header_error(f"invalid header length {header_bytes} for the PDU type", 2, header)
         if flags & DIGEST_FLAGS and pdu_type not in IC_TYPES:
-            raise _header_error("a digest that was declined", 1, header)
+            raise _header_error("the PDU carries a digest, but digests were declined", 1, header)
         carried = length - header_bytes
         padding = data_offset - header_bytes if carried > 0 and pdu_type in WITH_DATA_OFFSET else 0
         if not 0 <= padding <= MAX_PADDING or padding > max(0, carried):
-            raise _header_error(f"data offset {data_offset}", 3, header)
+            raise _header_error(f"invalid data offset {data_offset}", 3, header)
         if carried < 0 or carried - padding > MAX_DATA_BYTES.get(pdu_type, 0):
-            raise _header_error(f"length {length}", 4, header)
+            raise _header_error(f"invalid PDU length {length}", 4, header)
         return int(length)
 
     def _check_type(self, raw_type: int, header: bytes) -> PduType:
         if raw_type in self._allowed:
             return PduType(raw_type)
         if raw_type in PduType._value2member_map_:
-            raise PduError(FatalErrorStatus.SEQUENCE_ERROR, f"type {raw_type:#x}", 0, header)
-        raise _header_error(f"type {raw_type:#x}", 0, header)
+            raise PduError(
+                FatalErrorStatus.SEQUENCE_ERROR, f"this peer may not send PDU type {raw_type:#x}", 0, header
+            )
+        raise _header_error(f"unknown PDU type {raw_type:#x}", 0, header)
 
     def _cut(self, length: int) -> Pdu:
-        """Take a complete PDU from the buffer."""
+        """Remove a complete PDU of `length` bytes from the buffer and decode it."""
         raw = bytes(self._buffer[:length])
         del self._buffer[:length]
         raw_type, flags, header_bytes, data_offset, _ = COMMON_HEADER.unpack_from(raw)
@@ -151,7 +153,7 @@
 def encode_pdu(pdu_type: PduType, header: bytes, data: bytes = b"", flags: int = 0) -> bytes:
     """Encode a PDU.
 
-    :param header: what follows the common header; it is padded to its type's length.
+    :param header: the type-specific header; it is padded with zeros to the length of its type.
     """
     header_bytes = HEADER_BYTES[pdu_type]
     data_offset = header_bytes if data and pdu_type not in TERM_REQ_TYPES else 0
@@ -160,17 +162,17 @@
 
 
 def ic_req() -> bytes:
-    """ICReq: PDU format version 0, no alignment, no digests, one R2T at a time."""
+    """Encode an ICReq: PDU format version 0, no data alignment, no digests, one outstanding R2T."""
     return encode_pdu(PduType.IC_REQ, struct.pack("<HBBI", 0, 0, 0, 0))
 
 
 def ic_resp() -> bytes:
-    """ICResp: PDU format version 0, no alignment, digests declined."""
+    """Encode an ICResp: PDU format version 0, no data alignment, digests declined."""
     return encode_pdu(PduType.IC_RESP, struct.pack("<HBBI", 0, 0, 0, MAX_H2C_DATA))
 
 
 def term_req(pdu_type: PduType, error: PduError) -> bytes:
-    """H2CTermReq or C2HTermReq: the reason why the connection ends, and the faulty header."""
+    """Encode an H2CTermReq or C2HTermReq with the error's status and the start of the faulty PDU."""
     header = struct.pack("<HI", error.status, error.offset)
     return encode_pdu(pdu_type, header, error.header[:MAX_TERM_REQ_DATA])
 
@@ -183,15 +185,15 @@
     data: bytes,
     flags: int = FLAG_LAST_PDU,
 ) -> bytes:
-    """H2CData or C2HData.
+    """Encode an H2CData or C2HData PDU.
 
-    :param transfer_tag: of the R2T that requested an H2CData (TTAG); 0 in a C2HData.
-    :param offset: of the data in the command's data, in bytes.
+    :param transfer_tag: the tag (TTAG) of the R2T that requested the H2CData; 0 in a C2HData.
+    :param offset: the byte offset of `data` within all data of the command.
     """
     header = struct.pack("<HHII", command_id, transfer_tag, offset, len(data))
     return encode_pdu(pdu_type, header, data, flags)
 
 
 def r2t(command_id: int, transfer_tag: int, offset: int, length: int) -> bytes:
-    """R2T: the controller is ready to receive so many bytes of the command's data."""
+    """Encode an R2T: it requests `length` bytes of the command's data, starting at `offset`."""
     return encode_pdu(PduType.R2T, struct.pack("<HHII", command_id, transfer_tag, offset, length))
--- a/shaletiller/net/nvme/pending.py
+++ b/shaletiller/net/nvme/pending.py
@@ -1,4 +1,4 @@
-"""A host's command between its capsule and its completion."""
+"""The state of a host's command from its capsule to its completion."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command that owes its host a completion.
+    """A command whose completion has not been sent.
 
-    `namespace` is set for a Read or Write that was accepted.  `data` is the write data that was received, and
-    `missing_bytes` what an R2T still waits for.  `exchanges` are the client requests of its blocks;
-    `responses` has their final responses by the block's position.  `submitted` means that there is a request
-    for each block, `done` that the completion was sent or that none is owed any more.
+    `namespace` is set once a Read or Write is accepted.  `data` is the write data received so far, and
+    `missing_bytes` the number of bytes that the R2T requested and the host has not sent.  `exchanges` are the
+    client requests for the blocks; `responses` maps the position of a block within the command to its final
+    response.  `submitted` is set when a request for every block has been submitted.  `done` is set when the
+    completion has been sent, or when the host has disconnected and needs none.
     """
 
     command: Command
@@ -30,12 +31,12 @@
 
     @property
     def is_write(self) -> bool:
-        """Whether it is a Write, provided that it is an I/O command."""
+        """Whether the command is a Write; valid only for I/O commands."""
         return self.command.opcode == IoOpcode.WRITE
 
     @property
     def reserved_bytes(self) -> int:
-        """The memory that its write data may occupy."""
+        """Bytes of memory reserved for the write data of the command."""
         if self.namespace is None or not self.is_write:
             return 0
         return self.command.blocks * self.namespace.block_bytes
--- a/shaletiller/net/nvme/queue.py
+++ b/shaletiller/net/nvme/queue.py
@@ -1,4 +1,4 @@
-"""One connection of a host at the target: a queue pair, from ICReq to its end."""
+"""The target's side of one host connection, which carries one queue pair."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a connection may take to its Connect command.  Empirical: hosts send it immediately; a longer time
-# occupies the place of a host that may connect.
+# Maximum wait for each PDU before Connect has succeeded.  Hosts send Connect immediately; a larger value lets
+# an idle connection hold one of the limited connections for longer.
 CONNECT_TIMEOUT_S = 5.0
-NOT_CONNECTED = -1  # the queue id before Connect
-NO_FLOW_CONTROL = 0xFFFF  # the SQ head pointer where the host has disabled flow control
+NOT_CONNECTED = -1  # the queue id before Connect has succeeded
+NO_FLOW_CONTROL = 0xFFFF  # SQHD in completions if the host has disabled flow control
 MS_PER_S = 1000
 
 
 class ControllerQueue:
     """The controller's side of a queue pair.
 
-    :param stream: the connection, before its ICReq.
+    :param stream: the connection, on which no PDU has been exchanged yet.
     """
 
     def __init__(self, target: NvmeTarget, stream: PduStream) -> None:
         self.target = target
         self.stream = stream
         self.pending: dict[int, PendingCommand] = {}  # by command id
-        self.event_requests: list[int] = []  # command ids of Asynchronous Event Requests, never completed
+        self.event_requests: list[int] = []  # command ids of Asynchronous Event Requests; they never complete
         self.controller: Controller | None = None  # set by Connect
         self.queue_id = NOT_CONNECTED
         self._size = 0
@@ -50,10 +50,8 @@
         self._admin = AdminCommands(self)
         self._io = IoCommands(self)
 
-    # ---- the connection
-
     async def run(self) -> None:
-        """Serve the connection until the host closes it, an error ends it or the keep alive timer expires."""
+        """Serve the connection until the host closes it, an error occurs or the keep alive timer expires."""
         try:
             await self._receive_pdus()
         except PduError as error:
@@ -77,7 +75,7 @@
 
     @property
     def is_admin(self) -> bool:
-        """Whether it is a connected admin queue."""
+        """Whether this is an admin queue for which Connect has succeeded."""
         return self.queue_id == ADMIN_QUEUE_ID
 
     @property
@@ -86,16 +84,20 @@
         return self._size > 0
 
     def _receive_timeout_s(self) -> float | None:
-        """How long the host may be silent: the keep alive timer runs for the admin queue only."""
+        """Return the maximum time until the next PDU, or None for no limit.
+
+        The keep alive timer applies to the admin queue only.
+        """
         if self.controller is None:
             return CONNECT_TIMEOUT_S
         keep_alive_ms = self.controller.keep_alive_ms if self.is_admin else 0
         return keep_alive_ms / MS_PER_S if keep_alive_ms else None
 
     def connect(self, controller: Controller, queue_id: int, size: int, flow_control: bool) -> None:
-        """Become a queue of a controller.
+        """Register this queue with a controller after a successful Connect.
 
-        :param size: the number of its entries.
+        :param size: the number of entries.
+        :param flow_control: whether completions report the submission queue head.
         """
         self.controller = controller
         self.queue_id = queue_id
@@ -104,9 +106,10 @@
         controller.queues[queue_id] = self
 
     def end(self) -> None:
-        """Cancel the commands: the host is gone, and no completion is owed to it.
+        """Cancel all commands without completions and unregister the queue after the connection has ended.
 
-        The end of the admin queue ends the association.
+        For an admin queue this also ends the association: its controller is removed and its I/O queues are
+        aborted.
         """
         for pending in list(self.pending.values()):
             pending.done = True
@@ -120,20 +123,28 @@
             self.controller.abort()
 
     def _initialize(self, pdu: Pdu) -> None:
-        """Respond to the ICReq; digests that the host requests are declined in the ICResp."""
+        """Check the ICReq and send the ICResp, which declines digests even if the host requests them."""
         if pdu.type is not PduType.IC_REQ:
-            raise PduError(FatalErrorStatus.SEQUENCE_ERROR, "no ICReq first")
+            raise PduError(FatalErrorStatus.SEQUENCE_ERROR, "expected ICReq as the first PDU")
         version, alignment = pdu.field("H", 8), pdu.field("B", 10)
         if version != 0:
-            raise PduError(FatalErrorStatus.UNSUPPORTED_PARAMETER, f"PDU version {version}", 8)
+            raise PduError(
+                FatalErrorStatus.UNSUPPORTED_PARAMETER,
+                f"ICReq: expected PDU format version 0, got {version}",
+                8,
+            )
         if alignment != 0:
-            raise PduError(FatalErrorStatus.UNSUPPORTED_PARAMETER, f"data alignment {alignment}", 10)
+            raise PduError(
+                FatalErrorStatus.UNSUPPORTED_PARAMETER,
+                f"ICReq: expected data alignment 0, got {alignment}",
+                10,
+            )
         self.stream.send(ic_resp())
 
     def _handle(self, pdu: Pdu) -> bool:
         """Handle a PDU.
 
-        :returns: False where the host ends the connection.
+        :returns: False if the host terminates the connection by H2CTermReq.
         """
         if pdu.type is PduType.COMMAND_CAPSULE:
             self._handle_command(Command(pdu.header), pdu.data)
@@ -144,15 +155,16 @@
             logger.warning("NVMe host %s ended the connection, reason %#x", self.stream.peer, reason)
             return False
         else:
-            raise PduError(FatalErrorStatus.SEQUENCE_ERROR, "a second ICReq")
+            raise PduError(FatalErrorStatus.SEQUENCE_ERROR, "received a second ICReq")
         return True
 
-    # ---- commands and completions
-
     def _handle_command(self, command: Command, data: bytes) -> None:
         if self.connected:
             if len(self.pending) + len(self.event_requests) >= self._size:
-                raise PduError(FatalErrorStatus.SEQUENCE_ERROR, "more commands than the queue holds")
+                raise PduError(
+                    FatalErrorStatus.SEQUENCE_ERROR,
+                    "the host has more commands outstanding than the queue has entries",
+                )
             self._sq_head = (self._sq_head + 1) % self._size
         command_id = command.command_id
         if command_id in self.pending or command_id in self.event_requests:
@@ -185,10 +197,10 @@
         do_not_retry: bool = False,
         data: bytes = b"",
     ) -> None:
-        """Send a command's one completion; without effect where none is owed.
+        """Send the completion of a command; does nothing if the command is already done.
 
-        :param retry_delay: the number of the command retry delay, 0 for none.
-        :param data: sent before the completion.
+        :param retry_delay: the command retry delay (CRD) field: 1 to 3 select CRDT1 to CRDT3, 0 is no delay.
+        :param data: the read data, sent as C2HData before the completion.
         """
         if pending.done:
             return
@@ -223,11 +235,11 @@
         )
 
     def forget(self, pending: PendingCommand) -> None:
-        """Remove a command from the pending ones and free the memory reserved for its write data."""
+        """Remove a command from the pending commands and release the memory reserved for its write data."""
         if self.pending.pop(pending.command.command_id, None) is not None:
             self.target.write_data_bytes -= pending.reserved_bytes
 
     def cancel_requests(self, pending: PendingCommand) -> None:
-        """Cancel the client requests of a command's blocks."""
+        """Cancel the client requests for the blocks of a command."""
         for exchange in pending.exchanges:
             self.target.requests.client_disconnected(exchange)
--- a/shaletiller/net/nvme/status.py
+++ b/shaletiller/net/nvme/status.py
@@ -1,4 +1,4 @@
-"""The status codes of completions (NVMe Base specification, Status Field)."""
+"""Status codes of completions, from the Status Field of the NVMe Base specification."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     INVALID_NAMESPACE = 0x00B
     SEQUENCE = 0x00C
     INVALID_SGL = 0x00D
-    INTERRUPTED = 0x021  # Command Interrupted: to be retried after the command retry delay
+    INTERRUPTED = 0x021  # Command Interrupted: the host retries after the command retry delay
     LBA_RANGE = 0x080
     NOT_READY = 0x082  # Namespace Not Ready
     CONNECT_FORMAT = 0x180
--- a/shaletiller/net/nvme/stream.py
+++ b/shaletiller/net/nvme/stream.py
@@ -1,4 +1,4 @@
-"""PDUs over one TCP connection, for hosts and controllers."""
+"""Sends and receives PDUs on a TCP connection, for both hosts and controllers."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 from shaletiller.net.nvme.pdu import Pdu, PduDecoder, PduType
 from shaletiller.net.sockets import close_gracefully
 
-READ_BYTES = 65536  # bytes of one read: the largest PDU's data
-# Bytes that the peer may leave unread before its connection is cut.  Empirical: more than any single command
-# needs; it bounds the memory that a peer which does not read can occupy.
+READ_BYTES = 65536  # maximum bytes per read: the data of the largest PDU
+# Maximum bytes in the send buffer; above it the connection is aborted.  It is more than any single command
+# needs, and bounds the memory that a peer which does not read can occupy.
 MAX_UNSENT_BYTES = 1 << 20
 
 
 class PduStream:
-    """Receives and sends PDUs.
+    """Sends and receives PDUs on a connection.
 
-    :param allowed: the types that the peer may send.
-    :param max_unsent_bytes: a peer that leaves more unread is cut off: buffered, it would fill the memory.
+    :param allowed: the PDU types that the peer may send.
+    :param max_unsent_bytes: the size of the send buffer above which the connection is aborted, so that a peer
+        which does not read cannot exhaust the memory.
     """
 
     def __init__(
@@ -34,16 +35,16 @@
 
     @property
     def peer(self) -> str:
-        """The peer's address, for the log."""
+        """Address of the peer as host:port, for log lines."""
         host, port, *_ = self._writer.get_extra_info("peername") or ("unknown", 0)
         return f"{host}:{port}"
 
     async def receive(self, timeout_s: float | None = None) -> Pdu | None:
-        """The next PDU, None at the end of the stream.
+        """Return the next PDU, or None at the end of the stream.
 
-        :param timeout_s: None waits for ever.
-        :raises TimeoutError: where no complete PDU comes in time.
-        :raises PduError: where the peer sent something else.
+        :param timeout_s: the maximum wait; None waits without limit.
+        :raises TimeoutError: if no complete PDU arrives in time.
+        :raises PduError: if the peer sent an invalid PDU.
         """
         async with asyncio.timeout(timeout_s):
             while (pdu := self._decoder.next_pdu()) is None:
@@ -54,7 +55,10 @@
         return pdu
 
     def send(self, *pdus: bytes) -> None:
-        """Write encoded PDUs; without effect on a closed connection, and a peer that does not read is cut."""
+        """Send encoded PDUs; does nothing on a closed connection.
+
+        Aborts the connection if the send buffer exceeds its limit, because the peer does not read.
+        """
         transport = self._writer.transport
         if transport.is_closing():
             return
@@ -63,18 +67,18 @@
             transport.abort()
 
     async def drain(self) -> None:
-        """Wait while the peer is behind in reading what was sent."""
+        """Wait until the peer has read enough of the sent data for the send buffer to shrink."""
         await self._writer.drain()
 
     @property
     def closing(self) -> bool:
-        """Whether the connection is closed, by either side."""
+        """Whether either side has closed the connection."""
         return self._writer.transport.is_closing() or self._reader.at_eof()
 
     async def close_gracefully(self, timeout_s: float) -> None:
-        """Close the connection so that completions that were sent arrive."""
+        """Close the connection in such a way that the completions already sent still arrive."""
         await close_gracefully(self._reader, self._writer, timeout_s)
 
     def abort(self) -> None:
-        """Close the connection; what was not yet sent is lost."""
+        """Close the connection immediately and discard unsent data."""
         self._writer.transport.abort()
--- a/shaletiller/net/nvme/upstream.py
+++ b/shaletiller/net/nvme/upstream.py
@@ -1,7 +1,7 @@
-"""The client of a storage node that speaks NVMe/TCP: one attempt is one command on an association of its own.
+"""The client for an NVMe/TCP storage node: each attempt is one command with exclusive use of an association.
 
 An association carries one command at a time, so that cancelling an attempt can close its connections without
-harm to another attempt.
+affecting other attempts.
 """
 
 from __future__ import annotations
@@ -24,30 +24,32 @@
 
 logger = logging.getLogger(__name__)
 
-# An idle association is closed after this part of the site's idle time: before the storage node closes it,
-# and an attempt that starts just then is lost.  Empirical: the margin costs some new associations.
+# Ratio of the client's idle timeout to the configured connection idle time.  Below 1, the client closes an
+# idle association before the storage node does, which would fail an attempt that starts at that moment.  A
+# smaller value leaves more margin but opens more associations.
 IDLE_TIME_PART = 0.8
 SOCKETS_PER_ASSOCIATION = 2
 MS_PER_S = 1000
-# Statuses of commands that the controller did not begin; after all others the command may have run.
+# Error statuses which prove that the controller did not start the command; after any other the command may
+# have run.
 NEVER_BEGUN = frozenset({Status.NOT_READY, Status.ANA_INACCESSIBLE, Status.ANA_TRANSITION})
-ASSOCIATION_ERRORS = (OSError, NvmeUpstreamError, PduError)  # OSError: TimeoutError is one
+ASSOCIATION_ERRORS = (OSError, NvmeUpstreamError, PduError)  # OSError includes TimeoutError
 
 
 class NvmeUpstreamClient:
-    """Sends attempts to one storage node; an `UpstreamClient`.
+    """An `UpstreamClient` that sends attempts to one storage node.
 
-    :param max_sockets: of its connections, in use or idle.
+    :param max_sockets: the maximum number of connections, in use or idle.
     """
 
     def __init__(self, config: NvmeUpstreamConfig, settings: Settings, max_sockets: int) -> None:
         self._config = config
         self.apply_settings(settings)
         self._free_associations = asyncio.Semaphore(max(1, max_sockets // SOCKETS_PER_ASSOCIATION))
-        self._idle: list[tuple[str, Association]] = []  # by address, the most recently used last
+        self._idle: list[tuple[str, Association]] = []  # (address, association), the most recently used last
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings to what begins from now on."""
+        """Apply new settings; they take effect for later attempts and idle periods."""
         self._connect_timeout_s = settings.connect_timeout_ms / MS_PER_S
         self._idle_s = settings.connection_idle_ms / MS_PER_S * IDLE_TIME_PART
 
@@ -60,8 +62,9 @@
     ) -> AttemptResult:
         """Send a request as a Read or Write of one block.
 
-        :param timeout_ms: not used: a command has no deadline in the protocol; the caller cancels it.
-        :param start_within_ms: bounds the wait for an association, free or new.
+        :param timeout_ms: not used, because the protocol has no command deadline; the caller cancels the
+            attempt.
+        :param start_within_ms: the maximum wait for an association, including the time to open a new one.
         """
         block = int(call.key, 16) - self._config.first_key
         if block < 0 or len(call.body) > self._config.block_bytes:
@@ -103,8 +106,8 @@
             self._log_failure(call, "connection failed after the command was sent, it may have run", error)
             return AttemptResult(Outcome.RESET)
         finally:
-            # After a cancellation or a failure the command may still run at the storage node: its connection
-            # must not carry another one.
+            # After a cancellation or a failure the storage node may still run the command, so the association
+            # must not be reused.
             self._release(address, association, reusable)
 
     def _log_failure(self, call: ClientCall, failure: str, error: Exception) -> None:
@@ -131,10 +134,8 @@
         never_ran = completion.status in NEVER_BEGUN and not completion.do_not_retry
         return AttemptResult(Outcome.FULL if never_ran else Outcome.ERROR)
 
-    # ---- associations
-
     async def _acquire(self, address: str) -> Association:
-        """An idle association, or a new one."""
+        """Return an idle association to the address, or open a new one."""
         self._close_stale()
         for index in range(len(self._idle) - 1, -1, -1):
             if self._idle[index][0] == address:
@@ -151,16 +152,16 @@
         asyncio.get_running_loop().call_later(self._idle_s, self._close_stale)
 
     def _close_stale(self) -> None:
-        """Close the associations that were idle too long, or that the storage node has closed."""
+        """Close the idle associations that have timed out or that the storage node has closed."""
         now_s = time.monotonic()
-        for each in list(self._idle):
-            association = each[1]
+        for entry in list(self._idle):
+            association = entry[1]
             if association.closing or now_s - association.idle_since_s >= self._idle_s:
-                self._idle.remove(each)
+                self._idle.remove(entry)
                 association.abort()
 
     async def probe(self, address: str) -> AttemptResult:
-        """Check that an association can be opened; a storage node over NVMe sends no load report."""
+        """Check that an association can be opened; an NVMe storage node returns no load report."""
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 (await self._acquire(address)).abort()
@@ -172,9 +173,9 @@
 
     def close_idle(self, address: str) -> None:
         """Close the idle associations to an address."""
-        for each in [each for each in self._idle if each[0] == address]:
-            self._idle.remove(each)
-            each[1].abort()
+        for entry in [entry for entry in self._idle if entry[0] == address]:
+            self._idle.remove(entry)
+            entry[1].abort()
 
     async def close(self) -> None:
         """Close all idle associations."""
