--- a/tests/nvme/test_pdu.py
+++ b/tests/nvme/test_pdu.py
@@ -1,4 +1,4 @@
-"""The PDU codec against bytes laid out by hand after the specification."""
+"""Tests of the PDU codec against byte strings written by hand from the specification."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def decode_available(decoder: pdu.PduDecoder, raw: bytes) -> list[pdu.Pdu]:
-    """Feed bytes to a decoder, and return the PDUs that are complete."""
+    """Feed bytes to a decoder and return the PDUs that are complete."""
     decoder.feed(raw)
     return list(iter(decoder.next_pdu, None))
 
 
 def decode(raw: bytes, allowed: frozenset[pdu.PduType] = pdu.FROM_HOST) -> list[pdu.Pdu]:
-    """Decode complete PDUs."""
+    """Decode the complete PDUs in a byte string."""
     return decode_available(pdu.PduDecoder(allowed), raw)
 
 
@@ -62,8 +62,8 @@
 
 
 def test_r2t_and_data_pdus() -> None:
-    wanted = "09 00 18 00 18000000 0500 0600 00100000 00020000 00000000"
-    assert pdu.r2t(5, 6, 4096, 512) == bytes.fromhex(wanted)
+    expected = "09 00 18 00 18000000 0500 0600 00100000 00020000 00000000"
+    assert pdu.r2t(5, 6, 4096, 512) == bytes.fromhex(expected)
     raw = pdu.data_pdu(pdu.PduType.H2C_DATA, 5, 6, 0, b"ab")
     assert raw == bytes.fromhex("06 04 18 18 1a000000 0500 0600 00000000 02000000 00000000") + b"ab"
 
@@ -84,19 +84,19 @@
 
 @settings(derandomize=True, deadline=None)  # the same examples in every run
 @given(st.lists(st.binary(max_size=300), max_size=6))
-def test_any_bytes_are_pdus_or_an_error_and_are_never_buffered_without_bound(parts: list[bytes]) -> None:
+def test_any_bytes_are_pdus_or_an_error_and_are_never_buffered_without_bound(chunks: list[bytes]) -> None:
     """A faulty or hostile host sends arbitrary bytes.
 
-    They are decoded or end in an error that fits into one termination request; until then no more than the
-    largest PDU is buffered.
+    The decoder returns PDUs or raises an error that fits in one TermReq.  It never buffers more than the
+    largest PDU and one read.
     """
     decoder = pdu.PduDecoder(pdu.FROM_HOST)
     buffered = 0
     failure: PduError | None = None
     try:
-        for part in parts:
-            decoded = decode_available(decoder, part)
-            buffered += len(part) - sum(8 + len(each.header) + len(each.data) for each in decoded)
+        for chunk in chunks:
+            decoded = decode_available(decoder, chunk)
+            buffered += len(chunk) - sum(8 + len(found.header) + len(found.data) for found in decoded)
             assert buffered <= 72 + 128 + pdu.MAX_H2C_DATA + 300
     except PduError as error:
         failure = error
@@ -106,17 +106,19 @@
 
 @settings(derandomize=True, deadline=None)  # the same examples in every run
 @given(st.binary(min_size=1, max_size=4096), st.integers(1, 50))
-def test_pdus_that_arrive_in_pieces_are_decoded_completely(data: bytes, step: int) -> None:
-    """The network delivers two PDUs in pieces of any size: both are decoded, with all their data."""
+def test_fragmented_pdus_are_decoded_completely(data: bytes, step: int) -> None:
+    """Two PDUs that arrive in fragments of any size are both decoded, with all their data."""
     raw = pdu.ic_req() + pdu.data_pdu(pdu.PduType.H2C_DATA, 1, 2, 0, data)
     decoder = pdu.PduDecoder(pdu.FROM_HOST)
-    found = [
-        each for at in range(0, len(raw), step) for each in decode_available(decoder, raw[at : at + step])
+    decoded = [
+        found
+        for start in range(0, len(raw), step)
+        for found in decode_available(decoder, raw[start : start + step])
     ]
-    assert [each.type for each in found] == [pdu.PduType.IC_REQ, pdu.PduType.H2C_DATA]
-    assert found[1].data == data
+    assert [found.type for found in decoded] == [pdu.PduType.IC_REQ, pdu.PduType.H2C_DATA]
+    assert decoded[1].data == data
 
 
-@pytest.mark.parametrize(("wait_ms", "number"), [(0, 0), (100, 1), (101, 2), (1000, 3), (5000, 3)])
-def test_retry_delay_is_the_first_that_is_long_enough(wait_ms: float, number: int) -> None:
-    assert identify.retry_delay_number(wait_ms) == number
+@pytest.mark.parametrize(("retry_after_ms", "number"), [(0, 0), (100, 1), (101, 2), (1000, 3), (5000, 3)])
+def test_retry_delay_is_the_first_that_is_long_enough(retry_after_ms: float, number: int) -> None:
+    assert identify.retry_delay_number(retry_after_ms) == number
--- a/tests/nvme/test_scenarios_nvme.py
+++ b/tests/nvme/test_scenarios_nvme.py
@@ -1,4 +1,4 @@
-"""NVMe/TCP as target and as client of storage nodes, over loopback and under the real scheduler."""
+"""Tests of the NVMe/TCP target and the client for NVMe storage nodes, with the real scheduler."""
 
 from __future__ import annotations
 
@@ -22,12 +22,13 @@
 
 
 class Target(Scenario):
-    """NVMe hosts, and storage nodes that speak HTTP."""
+    """NVMe hosts and HTTP storage nodes."""
 
     async def test_blocks_are_objects_of_an_http_node(self) -> None:
-        """A host writes a block, reads it and flushes.
+        """A host writes a block, reads it and sends a Flush.
 
-        The storage node gets a PUT and a GET of the block's object; the Flush completes by itself.
+        The storage node receives a PUT and a GET of the block's object; the Flush completes without a
+        request.
         """
         await self.play("""
             send v1 write 7 hello
@@ -43,9 +44,9 @@
         """)
 
     async def test_a_write_by_r2t_arrives_completely(self) -> None:
-        """A host sends a Write without data in its capsule.
+        """A host sends a Write without in-capsule data.
 
-        The target requests the data by R2T, and the storage node gets all of it.
+        The target requests the data by R2T, and the storage node receives all of it.
         """
         await self.play("send v1 r2t_write 3 " + "y" * 4096)
         _, headers, body, writer, _ = await (await self.party("n1")).next()
@@ -54,7 +55,7 @@
         await self.play("send n1 200\nexpect v1 ok")
 
     async def test_a_command_of_two_blocks_waits_for_both(self) -> None:
-        """A Read of two blocks becomes two requests. It completes with the data of both, in their order."""
+        """A Read of two blocks becomes two requests and completes with the data of both, in block order."""
         await self.play("send v1 read 8 - 2\nexpect n1 GET 8")
         node = await self.party("n1")
         first, _, _, second, _ = await node.next()
@@ -62,13 +63,14 @@
         await self.play("send n1 200 one")
         node.current = second
         await self.play("send n1 200 two")
-        done, data = await (await self.party("v1")).result
-        self.assertEqual((done.status, data[:3], data[4096:4099]), (0, b"one", b"two"))
+        completion, data = await (await self.party("v1")).result
+        self.assertEqual((completion.status, data[:3], data[4096:4099]), (0, b"one", b"two"))
 
     async def test_a_write_whose_node_closes_the_connection_fails_and_is_not_retried(self) -> None:
-        """The storage node closes the connection after it received a write.
+        """A storage node closes the connection after it has received a write.
 
-        The write may have run: the host gets Write Fault with Do Not Retry, and no node gets the write again.
+        The write may have run: the host receives Write Fault with Do Not Retry, and the write is not sent
+        again.
         """
         await self.play("""
             send v1 write 7 once
@@ -80,26 +82,28 @@
         """)
 
     async def test_a_rejection_is_retryable_and_carries_the_retry_delay(self) -> None:
-        """The storage node is down and the scheduler rejects a write with a wait of 250 ms.
+        """The storage node is down, and the scheduler rejects a write with a Retry-After of 250 ms.
 
-        The host gets Command Interrupted with the command retry delay that covers it.
+        The host receives Command Interrupted with the shortest command retry delay of at least that time.
         """
         await self.play("close n1 listener")
         host = await self.party("v1")
         await host.associate()
-        decide = self.gateway.engine._scheduler.handle
+        original_handle = self.gateway.engine._scheduler.handle
 
-        def advised(now_ms: float, event: Any) -> Any:
-            actions = decide(now_ms, event)
-            return [Reject(act.request, 250) if isinstance(act, Reject) else act for act in actions]
+        def handle_with_retry_after(now_ms: float, event: Any) -> Any:
+            actions = original_handle(now_ms, event)
+            return [
+                Reject(action.request, 250) if isinstance(action, Reject) else action for action in actions
+            ]
 
-        self.gateway.engine._scheduler.handle = advised
+        self.gateway.engine._scheduler.handle = handle_with_retry_after
         await self.play("send v1 write 7 a\nexpect v1 interrupted crd2")
 
     async def test_an_aborted_write_that_was_forwarded_must_not_be_retried(self) -> None:
         """A host aborts a write that the storage node has received.
 
-        The write may have run: its status has Do Not Retry, and the attempt's connection is closed.
+        The write may have run: it completes with Do Not Retry, and the attempt's connection is closed.
         """
         await self.play(
             "send v1 write 7 a\nexpect n1 PUT 7\nsend v1 abort\nexpect v1 aborted dnr\nexpect n1 closed"
@@ -108,15 +112,15 @@
     async def test_the_attempts_of_a_disconnected_host_are_closed(self) -> None:
         """A host closes its connections while a read is in flight.
 
-        The attempt's connection is closed, and no controller is left.
+        The attempt's connection is closed, and the controller is removed.
         """
         await self.play("send v1 read 7\nexpect n1 GET 7\nclose v1\nexpect n1 closed")
         self.assertEqual(self.gateway.nvme.controllers, {})
 
-    async def test_commands_out_of_range_are_declined(self) -> None:
-        """A host reads beyond the namespace, and more than one command may transfer.
+    async def test_commands_out_of_range_are_rejected(self) -> None:
+        """A host reads beyond the end of the namespace, and more blocks than one command may transfer.
 
-        Both fail without a request.
+        Both commands fail, and the storage node receives no request.
         """
         await self.play("""
             send v1 read 1000
@@ -126,59 +130,59 @@
             expect n1 nothing
         """)
 
-    async def test_identify_names_the_namespace(self) -> None:
-        """A host lists the namespaces, keeps its association alive and sends an unknown command."""
-        found = await (await self.party("v1")).associate()
+    async def test_identify_lists_the_namespace(self) -> None:
+        """A host sends Identify for active namespaces, Keep Alive and a command with an unknown opcode."""
+        association = await (await self.party("v1")).associate()
         entry = commands.encode_command(
-            commands.AdminOpcode.IDENTIFY, found.admin.next_command_id(), length=4096, tail=b"\x02"
+            commands.AdminOpcode.IDENTIFY, association.admin.next_command_id(), length=4096, tail=b"\x02"
         )
-        done, data = await found.admin.run(entry, read_bytes=4096)
-        self.assertEqual((done.status, data[:8]), (0, b"\1\0\0\0\0\0\0\0"))
-        entry = commands.encode_command(commands.AdminOpcode.KEEP_ALIVE, found.admin.next_command_id())
-        self.assertEqual((await found.admin.run(entry))[0].status, 0)
-        entry = commands.encode_command(0x7E, found.admin.next_command_id())
-        self.assertEqual((await found.admin.run(entry))[0].status, Status.INVALID_OPCODE)
-
-    async def test_digests_are_declined_and_the_connection_goes_on(self) -> None:
-        """A host requests digests in its ICReq. The ICResp declines them, and the connection is usable."""
-        connection_request = bytearray(pdu.ic_req())
-        connection_request[11] = 3
-        await self.play(f"send v1 hex {connection_request.hex()}\nexpect v1 ic_resp 0")
+        completion, data = await association.admin.run(entry, read_bytes=4096)
+        self.assertEqual((completion.status, data[:8]), (0, b"\1\0\0\0\0\0\0\0"))
+        entry = commands.encode_command(commands.AdminOpcode.KEEP_ALIVE, association.admin.next_command_id())
+        self.assertEqual((await association.admin.run(entry))[0].status, 0)
+        entry = commands.encode_command(0x7E, association.admin.next_command_id())
+        self.assertEqual((await association.admin.run(entry))[0].status, Status.INVALID_OPCODE)
+
+    async def test_digests_are_declined_and_the_connection_stays_open(self) -> None:
+        """A host requests digests in its ICReq.  The ICResp declines them and leaves the connection open."""
+        request_with_digests = bytearray(pdu.ic_req())
+        request_with_digests[11] = 3
+        await self.play(f"send v1 hex {request_with_digests.hex()}\nexpect v1 ic_resp 0")
 
     async def test_malformed_pdus_end_only_their_connection(self) -> None:
         """Hosts send PDUs that are malformed or out of sequence.
 
-        Each connection ends with a C2HTermReq that names the reason; another host is served as before.
+        Each connection ends with a C2HTermReq that carries the reason; other hosts are still served.
         """
         capsule = capsules.command_capsule(commands.encode_command(commands.AdminOpcode.KEEP_ALIVE, 1))
         stray = pdu.data_pdu(pdu.PduType.H2C_DATA, 1, 1, 0, b"x" * 16)
-        wrong = {
+        faulty_first_pdus = {
             "no ICReq": (capsule, 2),
             "unknown type": (bytes([0x55, 0, 8, 0, 8, 0, 0, 0]), 1),
-            "a unit of the other side": (pdu.r2t(0, 0, 0, 0), 2),
+            "a PDU that only controllers send": (pdu.r2t(0, 0, 0, 0), 2),
             "a length of 4 GiB": (bytes([4, 0, 72, 72, 255, 255, 255, 255]), 1),
             "a length below the header": (bytes([4, 0, 72, 0, 8, 0, 0, 0]), 1),
             "a wrong header length": (bytes([0, 0, 64, 0, 128, 0, 0, 0]), 1),
-            "a strange version": (pdu.encode_pdu(pdu.PduType.IC_REQ, b"\x09\0"), 6),
+            "an unsupported version": (pdu.encode_pdu(pdu.PduType.IC_REQ, b"\x09\0"), 6),
         }
-        after = {
+        faulty_later_pdus = {
             "stray data": (stray, 1),
             "a second ICReq": (pdu.ic_req(), 2),
             "a digest": (bytes([4, 1, 72, 0, 72, 0, 0, 0]) + bytes(64), 1),
         }
-        for number, (what, (raw, why)) in enumerate(wrong.items()):
-            with self.subTest(what):
-                await self.play(f"send v{number} hex {raw.hex()}\nexpect v{number} term {why}")
-        for number, (what, (raw, why)) in enumerate(after.items(), start=20):
-            with self.subTest(what):
+        for number, (fault, (raw, reason)) in enumerate(faulty_first_pdus.items()):
+            with self.subTest(fault):
+                await self.play(f"send v{number} hex {raw.hex()}\nexpect v{number} term {reason}")
+        for number, (fault, (raw, reason)) in enumerate(faulty_later_pdus.items(), start=20):
+            with self.subTest(fault):
                 await self.play(
                     f"send v{number} hex {IC_REQ}{raw.hex()}\nexpect v{number} ic_resp\n"
-                    f"expect v{number} term {why}"
+                    f"expect v{number} term {reason}"
                 )
         await self.play("send v99 read 7\nexpect n1 GET 7\nsend n1 200 fine\nexpect v99 ok fine")
 
-    async def test_truncated_pdus_and_random_bytes_harm_no_other_host(self) -> None:
-        """Hosts send random bytes and close in the middle of a PDU. Another host is served as before."""
+    async def test_truncated_pdus_and_random_bytes_do_not_affect_other_hosts(self) -> None:
+        """Hosts send random bytes and close in the middle of a PDU.  Other hosts are still served."""
         generator = random.Random(7)
         for number in range(12):
             raw = pdu.ic_req() + generator.randbytes(generator.randrange(1, 300))
@@ -189,8 +193,8 @@
 
     @on_settable_clock
     async def test_the_largest_write_by_r2t_arrives_in_order(self) -> None:
-        """A host writes the sixteen blocks of the largest command by R2T. Each object gets its own block."""
-        text = "".join(chr(97 + at) * 4096 for at in range(16))
+        """A host writes sixteen blocks, the maximum, by R2T.  Each object receives its own block."""
+        text = "".join(chr(97 + block) * 4096 for block in range(16))
         node, bodies = await self.party("n1"), {}
 
         async def record_body(server: Server, found: Any) -> None:
@@ -200,12 +204,12 @@
 
         node.script = record_body
         await self.play(f"send v1 r2t_write 32 {text} 16\nexpect v1 ok")
-        self.assertEqual(bodies, {key(str(32 + at)): bytes([97 + at]) for at in range(16)})
+        self.assertEqual(bodies, {key(str(32 + block)): bytes([97 + block]) for block in range(16)})
 
-    async def test_a_controller_that_is_disabled_drops_its_commands(self) -> None:
+    async def test_disabling_a_controller_aborts_its_commands(self) -> None:
         """A host disables its controller while a read is in flight.
 
-        The I/O queue ends, and no request stays behind.
+        The I/O queue is closed, and no request remains in the engine.
         """
         await self.play("send v1 read 7\nexpect n1 GET 7")
         admin = (await self.party("v1")).association.admin
@@ -221,15 +225,15 @@
     async def test_a_block_whose_request_is_rejected_as_malformed_fails_its_command(self) -> None:
         """The engine rejects the second of three blocks' requests as malformed.
 
-        The command still completes once, with Internal Error.
+        The command still completes exactly once, with Internal Error.
         """
         submit, calls = self.gateway.engine.submit, []
 
-        def reject_second(request: Any, answer: Any) -> Any:
+        def reject_second(request: Any, respond: Any) -> Any:
             calls.append(request)
             if len(calls) == 2:
-                raise BadRequestError("bad on purpose")
-            return submit(request, answer)
+                raise BadRequestError("rejected by the test")
+            return submit(request, respond)
 
         self.gateway.engine.submit = reject_second
         await self.play(
@@ -237,33 +241,36 @@
             "expect v1 internal"
         )
 
-    async def test_connect_is_checked(self) -> None:
-        """Hosts connect with a wrong subsystem, queue size, controller id or queue, and send a command before
-        Connect. Each gets the status of its fault.
+    async def test_invalid_connects_are_rejected(self) -> None:
+        """Hosts send Connect with an invalid subsystem, queue size, controller id or queue id.
+
+        Each Connect fails with the matching status, and so does a command before Connect.
         """
         name = self.gateway.config.nvme.target.subsystem
-        tries = {
+        invalid_connects = {
             "another subsystem": capsules.connect_capsule(1, 0, 32, 0, 0xFFFF, "nqn.other", "nqn.h"),
-            "a queue too large": capsules.connect_capsule(1, 0, 1000, 0, 0xFFFF, name, "nqn.h"),
-            "a queue of one": capsules.connect_capsule(1, 0, 1, 0, 0xFFFF, name, "nqn.h"),
-            "a controller of its choice": capsules.connect_capsule(1, 0, 32, 0, 5, name, "nqn.h"),
-            "an I/O queue of no controller": capsules.connect_capsule(1, 1, 32, 0, 9, name, "nqn.h"),
+            "too many queue entries": capsules.connect_capsule(1, 0, 1000, 0, 0xFFFF, name, "nqn.h"),
+            "a queue of one entry": capsules.connect_capsule(1, 0, 1, 0, 0xFFFF, name, "nqn.h"),
+            "a controller id chosen by the host": capsules.connect_capsule(1, 0, 32, 0, 5, name, "nqn.h"),
+            "an I/O queue of an unknown controller": capsules.connect_capsule(1, 1, 32, 0, 9, name, "nqn.h"),
         }
-        for number, (what, raw) in enumerate(tries.items()):
-            with self.subTest(what):
+        for number, (fault, raw) in enumerate(invalid_connects.items()):
+            with self.subTest(fault):
                 await self.play(
                     f"send v{number} hex {IC_REQ}{raw.hex()}\nexpect v{number} ic_resp\n"
                     f"expect v{number} resp connect_parameter"
                 )
-        early = capsules.command_capsule(
+        command_before_connect = capsules.command_capsule(
             commands.encode_command(commands.AdminOpcode.IDENTIFY, 1, length=4096)
         )
-        await self.play(f"send v8 hex {IC_REQ}{early.hex()}\nexpect v8 ic_resp\nexpect v8 resp sequence")
+        await self.play(
+            f"send v8 hex {IC_REQ}{command_before_connect.hex()}\nexpect v8 ic_resp\nexpect v8 resp sequence"
+        )
 
     async def test_a_host_whose_keep_alive_expires_is_disconnected(self) -> None:
         """A host sets a keep alive timeout and then sends nothing.
 
-        Its connection ends, and no controller is left.
+        Its connection is closed, and the controller is removed.
         """
         raw = capsules.connect_capsule(
             1, 0, 32, 80, 0xFFFF, self.gateway.config.nvme.target.subsystem, "nqn.h"
@@ -274,14 +281,14 @@
         self.assertEqual(self.gateway.nvme.controllers, {})
 
     async def test_a_host_that_sends_a_term_req_has_its_connection_closed(self) -> None:
-        """A host ends the connection by H2CTermReq. The target closes it."""
+        """A host sends an H2CTermReq.  The target closes the connection."""
         raw = pdu.term_req(pdu.PduType.H2C_TERM_REQ, PduError(FatalErrorStatus.SEQUENCE_ERROR, "x"))
         await self.play(f"send v1 hex {IC_REQ}{raw.hex()}\nexpect v1 ic_resp\nexpect v1 end")
 
-    async def test_more_commands_than_the_queue_holds_end_the_connection(self) -> None:
-        """A host sends one command more than the queue has entries.
+    async def test_exceeding_the_queue_size_ends_the_connection(self) -> None:
+        """A host has one command more outstanding than the queue has entries.
 
-        The connection ends with a sequence error.
+        The target ends the connection with a PDU sequence error.
         """
         name = self.gateway.config.nvme.target.subsystem
         entries = [
@@ -301,11 +308,11 @@
             "expect v1 resp success\nexpect v1 term 2"
         )
 
-    async def test_a_write_beyond_the_memory_for_write_data_is_retryable(self) -> None:
+    async def test_a_write_that_exceeds_the_write_data_limit_is_retryable(self) -> None:
         """One host's write occupies all memory for write data.
 
-        Another host's write is interrupted, to be retried, and succeeds when the first has completed; in the
-        end nothing is reserved.
+        Another host's write completes with Command Interrupted, and succeeds when sent again after the first
+        has completed.  At the end no memory is reserved.
         """
         with unittest.mock.patch("shaletiller.net.nvme.io_commands.MAX_WRITE_DATA_BYTES", 4096):
             await self.play(
@@ -317,14 +324,14 @@
 
 
 class Upstream(Scenario):
-    """HTTP clients and NVMe hosts, and a storage node of shard 1 that speaks NVMe."""
+    """HTTP clients, NVMe hosts, and an NVMe storage node in shard 1."""
 
     servers = ("b1", "n2")
 
     async def test_http_requests_reach_an_nvme_storage_node(self) -> None:
-        """An HTTP client writes and reads an object on a storage node that speaks NVMe.
+        """An HTTP client writes and reads an object on an NVMe storage node.
 
-        A shorter object is filled with zeros to the block's size.
+        An object shorter than a block is padded with zeros to the block size.
         """
         await self.play("""
             send c1 PUT 5 hello
@@ -338,19 +345,19 @@
         client = await self.party("c1")
         self.assertEqual((await read_message(client.reader))[2], b"hello".ljust(4096, b"\0"))
 
-    async def test_a_storage_node_that_stalls_in_a_command_is_waited_for(self) -> None:
-        """A storage node takes 200 ms for a write.
+    async def test_the_gateway_waits_for_a_slow_storage_node(self) -> None:
+        """A storage node takes 200 ms to complete a write.
 
-        The client gets its response, and the write is sent once.
+        The client receives its response, and the write is sent once.
         """
         await self.play(
             "send c1 PUT 5 a\nexpect b1 write 5 a\nwait 200\nsend b1 ok\nexpect c1 200\nexpect b1 nothing"
         )
 
-    async def test_a_storage_node_that_stalls_past_the_deadline_fails_its_write_once(self) -> None:
-        """A storage node does not complete a write by its deadline.
+    async def test_a_write_that_exceeds_its_deadline_fails_and_is_sent_once(self) -> None:
+        """A storage node does not complete a write before its deadline.
 
-        The client gets 502, the command's connection is closed and the write was sent once.
+        The client receives 502, the connection of the command is closed, and the write is sent once.
         """
         await self.play(
             "send c1 PUT 5 a timeout=150\nexpect b1 write 5 a\nwait 200\nexpect c1 502\n"
@@ -359,9 +366,9 @@
         self.assertEqual(len((await self.party("b1")).writes), 1)
 
     async def test_a_write_whose_connection_fails_after_its_capsule_is_never_retried(self) -> None:
-        """A storage node closes the connection after the command capsule.
+        """A storage node closes the connection after it has received the command capsule.
 
-        The write may have run: the client gets 502 and the write was sent once.
+        The write may have run: the client receives 502, and the write is sent once.
         """
         await self.play(
             "send c1 PUT 5 a\nexpect b1 write 5 a\nclose b1\nexpect c1 502\nwait 100\nexpect b1 nothing"
@@ -369,15 +376,15 @@
         self.assertEqual(len((await self.party("b1")).writes), 1)
 
     async def test_a_read_whose_connection_fails_is_retried(self) -> None:
-        """A storage node closes the connection of a read. The read is sent again and served."""
+        """A storage node closes the connection during a read.  The read is retried and served."""
         await self.play(
             "send c1 GET 5\nexpect b1 read 5\nclose b1\nexpect b1 read 5\nsend b1 ok a\nexpect c1 200"
         )
 
     async def test_a_write_to_a_storage_node_that_is_down_is_rejected(self) -> None:
-        """A storage node closes its connections and no longer listens.
+        """A storage node has closed its connections and stopped listening.
 
-        The write never ran: the client gets 503.
+        The write cannot have run: the client receives 503.
         """
         node = await self.party("b1")
         await node.close()
@@ -385,30 +392,30 @@
         await self.play("send c1 PUT 5 a timeout=400\nexpect c1 503")
 
     async def test_an_nvme_host_reaches_an_nvme_storage_node(self) -> None:
-        """A host's Write and Read are carried out by a storage node that speaks NVMe too."""
+        """An NVMe storage node executes the Write and the Read of an NVMe host."""
         await self.play(
             "send v1 write 9 deep\nexpect b1 write 9 deep\nsend b1 ok\nexpect v1 ok\n"
             "send v1 read 9\nexpect b1 read 9\nsend b1 ok deep\nexpect v1 ok deep"
         )
 
     async def test_a_client_that_disconnects_closes_the_attempts_association(self) -> None:
-        """An HTTP client closes its connection while a storage node reads.
+        """An HTTP client closes its connection while its read is in progress at a storage node.
 
-        The command's association is closed.
+        The association of the command is closed.
         """
         await self.play("send c1 GET 5\nexpect b1 read 5\nclose c1\nexpect b1 disconnected 5")
 
     async def test_a_body_larger_than_a_block_is_not_sent(self) -> None:
-        """A client's body is larger than a block. It gets 502, and the storage node gets no command."""
+        """A client sends a body larger than a block.  It receives 502, and no command is sent."""
         node = await self.party("b1")
         await self.play(f"send c1 PUT 5 {'z' * 5000}\nexpect c1 502")
         self.assertEqual(node.writes, [])
 
     @on_settable_clock
-    async def test_a_write_that_the_storage_node_did_not_begin_is_retried(self) -> None:
+    async def test_a_write_that_the_storage_node_did_not_start_is_retried(self) -> None:
         """A storage node completes a write with Namespace Not Ready, without Do Not Retry.
 
-        The write never ran: it is retried and served.
+        The write did not run: it is retried and served.
         """
         await self.play("send c1 PUT 5 a\nexpect b1 write 5 a\nsend b1 not_ready")
         await until(lambda: not self.gateway.engine.attempts.in_flight, "the outcome of the first attempt")
@@ -417,17 +424,14 @@
     async def test_a_write_that_the_storage_node_fails_is_not_retried(self) -> None:
         """A storage node completes a write with an error status.
 
-        It may have run: the client gets 502 and the write is not sent again.
+        The write may have run: the client receives 502, and the write is not sent again.
         """
         await self.play(
             "send c1 PUT 5 a\nexpect b1 write 5 a\nsend b1 fault\nexpect c1 502\nexpect b1 nothing"
         )
 
     async def test_an_association_is_reused_and_closed_when_idle(self) -> None:
-        """Three reads follow one another.
-
-        They share one association, which is closed when its idle time is over.
-        """
+        """Three consecutive reads share one association, which is closed after its idle timeout."""
         for number in range(3):
             await self.play(f"send c1 GET {number}\nexpect b1 read {number}\nsend b1 ok\nexpect c1 200")
         node, upstream = await self.party("b1"), self.gateway._nvme_clients["b1"]
@@ -439,16 +443,16 @@
 
 
 class LargeBlocks(Scenario):
-    """A storage node whose blocks are larger than a command capsule."""
+    """A storage node whose blocks exceed the in-capsule data of a command."""
 
     servers = ("b1",)
     nvme_block_bytes = 65536
 
     @on_settable_clock
     async def test_a_write_larger_than_a_capsule_is_sent_by_r2t(self) -> None:
-        """A block is larger than what fits a command capsule.
+        """A block does not fit into a command capsule.
 
-        The storage node requests its data by R2T, and a read returns it.
+        The storage node requests its data by R2T, and a read returns the data.
         """
         body = "z" * 65536
         await self.play(
@@ -458,31 +462,33 @@
 
 
 class WrongBlockSize(Scenario):
-    """A storage node whose blocks have another size than configured."""
+    """A storage node whose block size differs from the configured one."""
 
     servers = ("b1",)
 
-    async def test_a_storage_node_of_another_block_size_gets_no_command(self) -> None:
-        """A storage node's namespace has larger blocks than the configuration states.
+    async def test_a_storage_node_with_a_wrong_block_size_receives_no_command(self) -> None:
+        """The namespace of a storage node has larger blocks than configured.
 
-        Its association is closed before the first command: the client gets 503.
+        The association is closed before the first I/O command, and the client receives 503.
         """
         node = await self.party("b1")
-        space = node.target.namespaces[1]
-        node.target.namespaces[1] = type(space)(1, 1000, "r", "w", "p", space.volume, 0, block_bytes=8192)
+        namespace = node.target.namespaces[1]
+        node.target.namespaces[1] = type(namespace)(
+            1, 1000, "r", "w", "p", namespace.volume, 0, block_bytes=8192
+        )
         await self.play("send c1 PUT 5 a timeout=300\nexpect c1 503\nexpect b1 nothing")
 
 
 class Mixed(Scenario):
-    """Clients and storage nodes of both protocols; the nodes close connections, stall and reject."""
+    """Clients and storage nodes of both protocols; the storage nodes fail at random."""
 
     servers = ("n1", "b2")
 
     async def test_no_write_runs_twice_and_every_request_gets_a_response(self) -> None:
         """Six HTTP clients and six NVMe hosts read and write, and both storage nodes fail at random.
 
-        The nodes close connections, stall and reject.  Every request must get a response, and no write may
-        reach a node twice, except after a rejection that proves that it did not run.
+        The nodes close connections, stall and reject requests.  Every request must receive a response, and no
+        write may reach a node twice, unless the node rejected the first attempt without running it.
         """
         self.random = random.Random(11)
         self.writes_run: Counter[str] = Counter()
@@ -494,19 +500,19 @@
         await asyncio.gather(*clients, *hosts)
         self.writes_run.update(f"{target} {body!r}" for target, body in nvme_node.writes)
         self.assertEqual(sum(self.statuses.values()), 12 * 12)
-        self.assertEqual([each for each, count in self.writes_run.items() if count > 1], [])
+        self.assertEqual([write for write, count in self.writes_run.items() if count > 1], [])
         self.assertGreater(self.statuses["200"], 30)
         self.assertGreater(self.statuses["SUCCESS"], 30)
         self.assertEqual(self.gateway.engine.exchanges, {})
 
     async def run_http_node(self, server: Server, found: Any) -> None:
-        """An HTTP storage node that closes, rejects or stalls now and then."""
+        """Respond as an HTTP storage node that sometimes closes the connection, rejects or stalls."""
         first, headers, _, writer, _ = found
         chance = self.random.random()
         if first.startswith("PUT") and not 0.1 <= chance < 0.2:
             self.writes_run[headers["request-id"]] += 1
         await asyncio.sleep(0.2 if chance > 0.95 else 0.002)
-        server.current = writer  # only now: other requests were served meanwhile
+        server.current = writer  # set after the sleep, during which other requests change it
         if chance < 0.1:
             await server.close()
         elif chance < 0.2:
@@ -515,7 +521,7 @@
             await server.send("200", "ok")
 
     def run_nvme_node(self, server: NvmeNode, call: Any, respond: Any) -> None:
-        """An NVMe storage node that closes its connections or stalls now and then."""
+        """Respond as an NVMe storage node that sometimes closes its connections or stalls."""
         chance = self.random.random()
         loop = asyncio.get_running_loop()
         if chance < 0.1:
@@ -525,7 +531,7 @@
             loop.call_later(wait_s, respond, FinalResponse(FinalResult.SERVED, b"ok"))
 
     async def run_client(self, name: str) -> None:
-        """Twelve requests of an HTTP client, one after another, to both shards."""
+        """Send twelve requests sequentially as an HTTP client, to both shards."""
         for number in range(12):
             party = await self.party(name)
             write = self.random.random() < 0.5
@@ -541,12 +547,12 @@
             self.statuses[first.split()[1]] += 1
 
     async def run_host(self, name: str) -> None:
-        """Twelve commands of an NVMe host, one after another."""
+        """Send twelve commands sequentially as an NVMe host."""
         party = await self.party(name)
         for _ in range(12):
             if self.random.random() < 0.5:
                 await party.send("write", str(self.count() % 1000), f"{name}x")
             else:
                 await party.send("read", str(self.count() % 1000))
-            done, _ = await asyncio.wait_for(party.result, 2.0)
-            self.statuses[Status(done.status).name] += 1
+            completion, _ = await asyncio.wait_for(party.result, 2.0)
+            self.statuses[Status(completion.status).name] += 1
