--- a/shaletiller/net/nvme/io_commands.py
+++ b/shaletiller/net/nvme/io_commands.py
@@ -1,4 +1,4 @@
-"""The target's I/O commands: Read, Write and Flush, carried out by client requests for objects.
+"""The target's I/O commands: Read, Write and Flush, implemented by client requests for objects.
 
 Each block is an object.  A Read or Write is submitted to the engine as one request per block.
 """
