--- a/shaletiller/net/nvme/admin_commands.py
+++ b/shaletiller/net/nvme/admin_commands.py
@@ -15,7 +15,7 @@
     from shaletiller.net.nvme.queue import ControllerQueue
 
 NOT_ABORTED = 1  # result of an Abort whose command was not found
-OFFERED_QUEUES = (MAX_IO_QUEUES - 1) << 16 | (MAX_IO_QUEUES - 1)  # NCQA and NSQA, 0's based
+NUMBER_OF_QUEUES_RESULT = (MAX_IO_QUEUES - 1) << 16 | (MAX_IO_QUEUES - 1)  # NCQA and NSQA, 0's based
 
 
 class AdminCommands:
@@ -45,7 +45,7 @@
                 result = _set_feature(command, controller, data)
                 self._queue.complete(pending, Status.SUCCESS, result=result)
             case AdminOpcode.ASYNC_EVENT_REQUEST:
-                self._defer_event_request(pending)
+                self._hold_event_request(pending)
             case _:
                 raise CommandError(Status.INVALID_OPCODE)
 
@@ -66,12 +66,12 @@
             return identify.identify_namespace(namespace)
         return identify.namespace_descriptors(namespace)
 
-    def _defer_event_request(self, pending: PendingCommand) -> None:
+    def _hold_event_request(self, pending: PendingCommand) -> None:
         """Keep an Asynchronous Event Request outstanding; this controller reports no events."""
         if len(self._queue.event_requests) >= identify.MAX_EVENT_REQUESTS:
             raise CommandError(Status.INVALID_FIELD)
         self._queue.event_requests.append(pending.command.command_id)
-        self._queue.forget(pending)
+        self._queue.remove_pending(pending)
 
 
 def _set_feature(command: Command, controller: Controller, data: bytes) -> int:
@@ -81,12 +81,12 @@
     """
     feature = command.raw[40]
     if feature == Feature.NUMBER_OF_QUEUES:
-        return OFFERED_QUEUES
+        return NUMBER_OF_QUEUES_RESULT
     if feature == Feature.KEEP_ALIVE_TIMER:
         controller.keep_alive_ms = command.field("I", 44)
         return 0
     if feature == Feature.HOST_BEHAVIOR_SUPPORT and data:
-        controller.host_retries = data[0] == 1  # ACRE: advanced command retry
+        controller.host_supports_retry_delay = data[0] == 1  # ACRE: advanced command retry
         return 0
     raise CommandError(Status.INVALID_FIELD)
 
--- a/shaletiller/net/nvme/commands.py
+++ b/shaletiller/net/nvme/commands.py
@@ -129,13 +129,13 @@
         """Number of blocks of a Read or Write (NLB + 1)."""
         return self.field("H", 48) + 1
 
-    def field(self, form: str, offset: int) -> int:
+    def field(self, format_char: str, offset: int) -> int:
         """Return an integer field of the entry.
 
-        :param form: the `struct` format character of the field.
+        :param format_char: the `struct` format character of the field.
         :param offset: the byte offset from the start of the entry, as in the specification.
         """
-        value: int = struct.unpack_from("<" + form, self.raw, offset)[0]
+        value: int = struct.unpack_from("<" + format_char, self.raw, offset)[0]
         return value
 
 
--- a/shaletiller/net/nvme/controller.py
+++ b/shaletiller/net/nvme/controller.py
@@ -21,15 +21,15 @@
     """The controller that serves one host, with its admin queue and I/O queues.
 
     `host` is the NQN of the host.  `keep_alive_ms` is the keep alive timeout (KATO); 0 disables it.
-    `configuration` is the property CC.  `host_retries` is set when the host supports command retry delays
-    (ACRE).  `queues` maps a queue identifier to its queue.
+    `configuration` is the property CC.  `host_supports_retry_delay` is set when the host supports command
+    retry delays (ACRE).  `queues` maps a queue identifier to its queue.
     """
 
     controller_id: int
     host: str
     keep_alive_ms: int
     configuration: int = CC_RESET
-    host_retries: bool = False
+    host_supports_retry_delay: bool = False
     queues: dict[int, ControllerQueue] = field(default_factory=dict)
 
     @property
--- a/shaletiller/net/nvme/host_queue.py
+++ b/shaletiller/net/nvme/host_queue.py
@@ -167,9 +167,9 @@
                 FatalErrorStatus.DATA_OUT_OF_RANGE, "the R2T requests a range outside the command's data", 12
             )
         for offset in range(start, end, self._max_h2c_data):
-            piece = data[offset : min(offset + self._max_h2c_data, end)]
-            flags = FLAG_LAST_PDU if offset + len(piece) == end else 0
-            self._stream.send(data_pdu(PduType.H2C_DATA, command_id, transfer_tag, offset, piece, flags))
+            chunk = data[offset : min(offset + self._max_h2c_data, end)]
+            flags = FLAG_LAST_PDU if offset + len(chunk) == end else 0
+            self._stream.send(data_pdu(PduType.H2C_DATA, command_id, transfer_tag, offset, chunk, flags))
             await self._stream.drain()
 
     @property
--- a/shaletiller/net/nvme/identify.py
+++ b/shaletiller/net/nvme/identify.py
@@ -30,7 +30,7 @@
 IO_CONTROLLER = 1  # CNTRLTYPE
 UUID_TYPE, UUID_BYTES = 3, 16  # NIDT and NIDL of a namespace identification descriptor
 ENTRY_SIZE_EXPONENTS = (0x66, 0x44)  # SQES and CQES: the minimum and the maximum are both 2^6 and 2^4 bytes
-SGLS_SUPPORTED, SGLS_OFFSET = 1, 1 << 20  # SGLs are supported, also with an offset into the capsule
+SGLS_SUPPORTED, SGLS_OFFSET_SUPPORTED = 1, 1 << 20  # SGLs are supported, also with an offset into the capsule
 
 
 def capabilities(queue_depth: int) -> int:
@@ -65,9 +65,9 @@
     data[258], data[259] = MAX_ABORTS - 1, MAX_EVENT_REQUESTS - 1  # ACL, AERL
     struct.pack_into("<H", data, 320, KEEP_ALIVE_UNITS)  # KAS
     data[512], data[513] = ENTRY_SIZE_EXPONENTS
-    max_nsid = max((space.nsid for space in target.namespaces), default=0)
+    max_nsid = max((namespace.nsid for namespace in target.namespaces), default=0)
     struct.pack_into("<HI", data, 514, target.queue_depth, max_nsid)  # MAXCMD, NN
-    struct.pack_into("<I", data, 536, SGLS_SUPPORTED | SGLS_OFFSET)  # SGLS
+    struct.pack_into("<I", data, 536, SGLS_SUPPORTED | SGLS_OFFSET_SUPPORTED)  # SGLS
     data[768 : 768 + len(target.subsystem)] = target.subsystem.encode()  # SUBNQN
     command_capsule_units = (SUBMISSION_ENTRY_BYTES + MAX_IN_CAPSULE_DATA) // CAPSULE_UNIT_BYTES
     response_capsule_units = COMPLETION_ENTRY_BYTES // CAPSULE_UNIT_BYTES
@@ -76,21 +76,22 @@
     return bytes(data)
 
 
-def identify_namespace(space: NvmeNamespace) -> bytes:
+def identify_namespace(namespace: NvmeNamespace) -> bytes:
     """Encode the Identify Namespace data structure with the size and the only LBA format."""
     data = bytearray(IDENTIFY_BYTES)
-    struct.pack_into("<QQQ", data, 0, space.blocks, space.blocks, space.blocks)  # NSZE, NCAP, NUSE
-    struct.pack_into("<I", data, 128, (space.block_bytes.bit_length() - 1) << 16)  # LBAF0.LBADS
+    # NSZE, NCAP, NUSE
+    struct.pack_into("<QQQ", data, 0, namespace.blocks, namespace.blocks, namespace.blocks)
+    struct.pack_into("<I", data, 128, (namespace.block_bytes.bit_length() - 1) << 16)  # LBAF0.LBADS
     return bytes(data)
 
 
 def active_namespaces(target: NvmeTargetConfig, after_nsid: int) -> bytes:
     """Encode the list of the namespace identifiers above `after_nsid`, in ascending order."""
-    nsids = sorted(space.nsid for space in target.namespaces if space.nsid > after_nsid)
+    nsids = sorted(namespace.nsid for namespace in target.namespaces if namespace.nsid > after_nsid)
     return struct.pack(f"<{len(nsids)}I", *nsids).ljust(IDENTIFY_BYTES, b"\0")
 
 
-def namespace_descriptors(space: NvmeNamespace) -> bytes:
+def namespace_descriptors(namespace: NvmeNamespace) -> bytes:
     """Encode the identification descriptor of a namespace: a UUID formed from its volume and NSID."""
-    uuid = bytes.fromhex(space.volume) + struct.pack(">Q", space.nsid)
+    uuid = bytes.fromhex(namespace.volume) + struct.pack(">Q", namespace.nsid)
     return (struct.pack("<BBH", UUID_TYPE, UUID_BYTES, 0) + uuid).ljust(IDENTIFY_BYTES, b"\0")
--- a/shaletiller/net/nvme/io_commands.py
+++ b/shaletiller/net/nvme/io_commands.py
@@ -55,7 +55,7 @@
             raise CommandError(Status.INVALID_FIELD)
         if namespace is None:
             raise CommandError(Status.INVALID_NAMESPACE)
-        size = _checked_size(command, namespace)
+        size = _validate_size(command, namespace)
         if command.opcode == IoOpcode.READ:
             pending.namespace = namespace
             self._submit(pending, namespace)
@@ -101,7 +101,7 @@
             raise PduError(
                 FatalErrorStatus.INVALID_HEADER_FIELD, "H2CData does not match an outstanding R2T", 8
             )
-        _check_data(pdu, pending)
+        _check_data_pdu(pdu, pending)
         pending.data += pdu.data
         pending.missing_bytes -= len(pdu.data)
         if bool(pdu.flags & FLAG_LAST_PDU) != (pending.missing_bytes == 0):
@@ -118,7 +118,7 @@
         """Submit a request for each block; their deadlines start now, after all write data has arrived."""
         for position in range(pending.command.blocks):
             call = self._block_call(pending, namespace, position)
-            respond = partial(self._receive_response, pending, position)
+            respond = partial(self._on_block_response, pending, position)
             try:
                 pending.exchanges.append(self._target.requests.submit(call, respond))
             except BadRequestError as error:
@@ -127,7 +127,7 @@
         # The engine may respond to one block before the next one is submitted; the command may complete only
         # now that all blocks are submitted.
         pending.submitted = True
-        self._complete_when_responded(pending)
+        self._complete_if_responded(pending)
 
     def _block_call(self, pending: PendingCommand, namespace: NvmeNamespace, position: int) -> ClientCall:
         is_write, block_bytes = pending.is_write, namespace.block_bytes
@@ -154,11 +154,11 @@
             body=body,
         )
 
-    def _receive_response(self, pending: PendingCommand, position: int, response: FinalResponse) -> None:
+    def _on_block_response(self, pending: PendingCommand, position: int, response: FinalResponse) -> None:
         pending.responses[position] = response
-        self._complete_when_responded(pending)
+        self._complete_if_responded(pending)
 
-    def _complete_when_responded(self, pending: PendingCommand) -> None:
+    def _complete_if_responded(self, pending: PendingCommand) -> None:
         """Complete a command if all its blocks have been submitted and have final responses."""
         blocks = pending.command.blocks
         if pending.done or not pending.submitted or len(pending.responses) < blocks:
@@ -182,7 +182,7 @@
     def _retry_delay(self, responses: list[FinalResponse]) -> int:
         """Return the command retry delay (CRD) field, 0 if the host does not support it."""
         controller = self._queue.controller
-        if controller is None or not controller.host_retries:
+        if controller is None or not controller.host_supports_retry_delay:
             return 0
         return retry_delay_number(max(response.retry_after_ms for response in responses))
 
@@ -207,7 +207,7 @@
         self._queue.complete(pending, Status.SUCCESS, data=data)
 
 
-def _checked_size(command: Command, namespace: NvmeNamespace) -> int:
+def _validate_size(command: Command, namespace: NvmeNamespace) -> int:
     """Validate a Read or Write and return its size in bytes.
 
     :raises CommandError: if the size, the block range or the data pointer is invalid.
@@ -222,7 +222,7 @@
     return size
 
 
-def _check_data(pdu: Pdu, pending: PendingCommand) -> None:
+def _check_data_pdu(pdu: Pdu, pending: PendingCommand) -> None:
     """Check that an H2CData PDU starts where the received data ends and stays within the R2T."""
     if pdu.field("I", 16) != len(pdu.data) or not pdu.data:
         raise PduError(
--- a/shaletiller/net/nvme/pdu.py
+++ b/shaletiller/net/nvme/pdu.py
@@ -56,7 +56,7 @@
     PduType.C2H_TERM_REQ: MAX_TERM_REQ_DATA,
 }
 # PDU types whose data starts at the data offset (PDO) of the header, possibly after padding.
-WITH_DATA_OFFSET = frozenset({PduType.COMMAND_CAPSULE, PduType.H2C_DATA, PduType.C2H_DATA})
+DATA_OFFSET_TYPES = frozenset({PduType.COMMAND_CAPSULE, PduType.H2C_DATA, PduType.C2H_DATA})
 IC_TYPES = frozenset({PduType.IC_REQ, PduType.IC_RESP})
 TERM_REQ_TYPES = frozenset({PduType.H2C_TERM_REQ, PduType.C2H_TERM_REQ})
 FROM_HOST = frozenset({PduType.IC_REQ, PduType.H2C_TERM_REQ, PduType.COMMAND_CAPSULE, PduType.H2C_DATA})
@@ -72,13 +72,13 @@
     header: bytes
     data: bytes = b""
 
-    def field(self, form: str, offset: int) -> int:
+    def field(self, format_char: str, offset: int) -> int:
         """Return an integer field of the header.
 
-        :param form: the `struct` format character of the field.
+        :param format_char: the `struct` format character of the field.
         :param offset: the byte offset from the start of the PDU, as in the specification.
         """
-        value: int = struct.unpack_from("<" + form, self.header, offset - COMMON_HEADER.size)[0]
+        value: int = struct.unpack_from("<" + format_char, self.header, offset - COMMON_HEADER.size)[0]
         return value
 
 
@@ -106,7 +106,7 @@
         if len(self._buffer) < COMMON_HEADER.size:
             return None
         length = self._check_header(bytes(self._buffer[: COMMON_HEADER.size]))
-        return self._cut(length) if len(self._buffer) >= length else None
+        return self._take_pdu(length) if len(self._buffer) >= length else None
 
     def _check_header(self, header: bytes) -> int:
         """Validate a common header.
@@ -119,11 +119,11 @@
             raise _header_error(f"invalid header length {header_bytes} for the PDU type", 2, header)
         if flags & DIGEST_FLAGS and pdu_type not in IC_TYPES:
             raise _header_error("the PDU carries a digest, but digests were declined", 1, header)
-        carried = length - header_bytes
-        padding = data_offset - header_bytes if carried > 0 and pdu_type in WITH_DATA_OFFSET else 0
-        if not 0 <= padding <= MAX_PADDING or padding > max(0, carried):
+        data_bytes = length - header_bytes
+        padding = data_offset - header_bytes if data_bytes > 0 and pdu_type in DATA_OFFSET_TYPES else 0
+        if not 0 <= padding <= MAX_PADDING or padding > max(0, data_bytes):
             raise _header_error(f"invalid data offset {data_offset}", 3, header)
-        if carried < 0 or carried - padding > MAX_DATA_BYTES.get(pdu_type, 0):
+        if data_bytes < 0 or data_bytes - padding > MAX_DATA_BYTES.get(pdu_type, 0):
             raise _header_error(f"invalid PDU length {length}", 4, header)
         return int(length)
 
@@ -136,13 +136,13 @@
             )
         raise _header_error(f"unknown PDU type {raw_type:#x}", 0, header)
 
-    def _cut(self, length: int) -> Pdu:
+    def _take_pdu(self, length: int) -> Pdu:
         """Remove a complete PDU of `length` bytes from the buffer and decode it."""
         raw = bytes(self._buffer[:length])
         del self._buffer[:length]
         raw_type, flags, header_bytes, data_offset, _ = COMMON_HEADER.unpack_from(raw)
         pdu_type = PduType(raw_type)
-        data_start = max(data_offset, header_bytes) if pdu_type in WITH_DATA_OFFSET else header_bytes
+        data_start = max(data_offset, header_bytes) if pdu_type in DATA_OFFSET_TYPES else header_bytes
         return Pdu(pdu_type, flags, raw[COMMON_HEADER.size : header_bytes], raw[data_start:])
 
 
--- a/shaletiller/net/nvme/queue.py
+++ b/shaletiller/net/nvme/queue.py
@@ -26,7 +26,7 @@
 # an idle connection hold one of the limited connections for longer.
 CONNECT_TIMEOUT_S = 5.0
 NOT_CONNECTED = -1  # the queue id before Connect has succeeded
-NO_FLOW_CONTROL = 0xFFFF  # SQHD in completions if the host has disabled flow control
+SQ_HEAD_NO_FLOW_CONTROL = 0xFFFF  # SQHD in completions if the host has disabled flow control
 MS_PER_S = 1000
 
 
@@ -69,7 +69,7 @@
         self._initialize(first)
         while True:
             pdu = await self.stream.receive(self._receive_timeout_s())
-            if pdu is None or not self._handle(pdu):
+            if pdu is None or not self._handle_pdu(pdu):
                 return
             await self.stream.drain()
 
@@ -113,7 +113,7 @@
         """
         for pending in list(self.pending.values()):
             pending.done = True
-            self.forget(pending)
+            self.remove_pending(pending)
             self.cancel_requests(pending)
         if self.controller is None:
             return
@@ -141,7 +141,7 @@
             )
         self.stream.send(ic_resp())
 
-    def _handle(self, pdu: Pdu) -> bool:
+    def _handle_pdu(self, pdu: Pdu) -> bool:
         """Handle a PDU.
 
         :returns: False if the host terminates the connection by H2CTermReq.
@@ -205,7 +205,7 @@
         if pending.done:
             return
         pending.done = True
-        self.forget(pending)
+        self.remove_pending(pending)
         command_id = pending.command.command_id
         if data:
             self.stream.send(data_pdu(PduType.C2H_DATA, command_id, 0, 0, data))
@@ -227,14 +227,14 @@
                 command_id,
                 status,
                 result=result,
-                sq_head=self._sq_head if self._flow_control else NO_FLOW_CONTROL,
+                sq_head=self._sq_head if self._flow_control else SQ_HEAD_NO_FLOW_CONTROL,
                 sq_id=max(0, self.queue_id),
                 retry_delay=retry_delay,
                 do_not_retry=do_not_retry,
             )
         )
 
-    def forget(self, pending: PendingCommand) -> None:
+    def remove_pending(self, pending: PendingCommand) -> None:
         """Remove a command from the pending commands and release the memory reserved for its write data."""
         if self.pending.pop(pending.command.command_id, None) is not None:
             self.target.write_data_bytes -= pending.reserved_bytes
--- a/shaletiller/net/nvme/target.py
+++ b/shaletiller/net/nvme/target.py
@@ -38,7 +38,7 @@
     def __init__(self, config: NvmeTargetConfig, requests: RequestSink) -> None:
         self.config = config
         self.requests = requests
-        self.namespaces = {space.nsid: space for space in config.namespaces}
+        self.namespaces = {namespace.nsid: namespace for namespace in config.namespaces}
         self.controllers: dict[int, Controller] = {}  # one per association, by controller id
         self.write_data_bytes = 0  # memory reserved for the write data of all pending commands
         self.address: tuple[str, int] = ("", 0)
@@ -75,10 +75,10 @@
                     await asyncio.sleep(STOP_POLL_S)
         # I/O queues are closed first: closing an admin queue aborts its I/O queues, which would discard
         # completions that are still being sent.
-        await self._end_queues(admin=False)
-        await self._end_queues(admin=True)
+        await self._close_queues(admin=False)
+        await self._close_queues(admin=True)
 
-    async def _end_queues(self, admin: bool) -> None:
+    async def _close_queues(self, admin: bool) -> None:
         """Close either the admin queues or all other connections, and wait until they are closed."""
         tasks = [task for task, queue in self._queues.items() if queue.is_admin is admin]
         for task in tasks:
--- a/shaletiller/net/nvme/upstream.py
+++ b/shaletiller/net/nvme/upstream.py
@@ -27,12 +27,12 @@
 # Ratio of the client's idle timeout to the configured connection idle time.  Below 1, the client closes an
 # idle association before the storage node does, which would fail an attempt that starts at that moment.  A
 # smaller value leaves more margin but opens more associations.
-IDLE_TIME_PART = 0.8
+IDLE_TIMEOUT_RATIO = 0.8
 SOCKETS_PER_ASSOCIATION = 2
 MS_PER_S = 1000
 # Error statuses which prove that the controller did not start the command; after any other the command may
 # have run.
-NEVER_BEGUN = frozenset({Status.NOT_READY, Status.ANA_INACCESSIBLE, Status.ANA_TRANSITION})
+NOT_STARTED_STATUSES = frozenset({Status.NOT_READY, Status.ANA_INACCESSIBLE, Status.ANA_TRANSITION})
 ASSOCIATION_ERRORS = (OSError, NvmeUpstreamError, PduError)  # OSError includes TimeoutError
 
 
@@ -45,13 +45,14 @@
     def __init__(self, config: NvmeUpstreamConfig, settings: Settings, max_sockets: int) -> None:
         self._config = config
         self.apply_settings(settings)
-        self._free_associations = asyncio.Semaphore(max(1, max_sockets // SOCKETS_PER_ASSOCIATION))
-        self._idle: list[tuple[str, Association]] = []  # (address, association), the most recently used last
+        self._association_slots = asyncio.Semaphore(max(1, max_sockets // SOCKETS_PER_ASSOCIATION))
+        # Pairs of address and association, the most recently used last.
+        self._idle_associations: list[tuple[str, Association]] = []
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply new settings; they take effect for later attempts and idle periods."""
         self._connect_timeout_s = settings.connect_timeout_ms / MS_PER_S
-        self._idle_s = settings.connection_idle_ms / MS_PER_S * IDLE_TIME_PART
+        self._idle_timeout_s = settings.connection_idle_ms / MS_PER_S * IDLE_TIMEOUT_RATIO
 
     async def attempt(
         self,
@@ -75,20 +76,22 @@
                 call.key,
             )
             return AttemptResult(Outcome.ERROR)
-        start_by_s = time.monotonic() + start_within_ms / MS_PER_S
+        start_deadline_s = time.monotonic() + start_within_ms / MS_PER_S
         try:
             async with asyncio.timeout(min(self._connect_timeout_s, start_within_ms / MS_PER_S)):
-                await self._free_associations.acquire()
+                await self._association_slots.acquire()
         except TimeoutError:
             return AttemptResult(Outcome.CONNECT_FAILED)
         try:
-            return await self._attempt(address, call, block, start_by_s)
+            return await self._attempt(address, call, block, start_deadline_s)
         finally:
-            self._free_associations.release()
+            self._association_slots.release()
 
-    async def _attempt(self, address: str, call: ClientCall, block: int, start_by_s: float) -> AttemptResult:
+    async def _attempt(
+        self, address: str, call: ClientCall, block: int, start_deadline_s: float
+    ) -> AttemptResult:
         try:
-            start_within_s = max(0.0, min(self._connect_timeout_s, start_by_s - time.monotonic()))
+            start_within_s = max(0.0, min(self._connect_timeout_s, start_deadline_s - time.monotonic()))
             async with asyncio.timeout(start_within_s):
                 association = await self._acquire(address)
         except ASSOCIATION_ERRORS as error:
@@ -131,15 +134,15 @@
         completion, received = await queue.run(entry, data, 0 if call.write else block_bytes)
         if completion.status == Status.SUCCESS and (call.write or len(received) == block_bytes):
             return AttemptResult(Outcome.OK, received)
-        never_ran = completion.status in NEVER_BEGUN and not completion.do_not_retry
+        never_ran = completion.status in NOT_STARTED_STATUSES and not completion.do_not_retry
         return AttemptResult(Outcome.FULL if never_ran else Outcome.ERROR)
 
     async def _acquire(self, address: str) -> Association:
         """Return an idle association to the address, or open a new one."""
-        self._close_stale()
-        for index in range(len(self._idle) - 1, -1, -1):
-            if self._idle[index][0] == address:
-                return self._idle.pop(index)[1]
+        self._close_expired()
+        for index in range(len(self._idle_associations) - 1, -1, -1):
+            if self._idle_associations[index][0] == address:
+                return self._idle_associations.pop(index)[1]
         host, port = read_address(address, self._config.node)
         return await Association.open(host, port, self._config)
 
@@ -148,16 +151,16 @@
             association.abort()
             return
         association.idle_since_s = time.monotonic()
-        self._idle.append((address, association))
-        asyncio.get_running_loop().call_later(self._idle_s, self._close_stale)
+        self._idle_associations.append((address, association))
+        asyncio.get_running_loop().call_later(self._idle_timeout_s, self._close_expired)
 
-    def _close_stale(self) -> None:
+    def _close_expired(self) -> None:
         """Close the idle associations that have timed out or that the storage node has closed."""
         now_s = time.monotonic()
-        for entry in list(self._idle):
+        for entry in list(self._idle_associations):
             association = entry[1]
-            if association.closing or now_s - association.idle_since_s >= self._idle_s:
-                self._idle.remove(entry)
+            if association.closing or now_s - association.idle_since_s >= self._idle_timeout_s:
+                self._idle_associations.remove(entry)
                 association.abort()
 
     async def probe(self, address: str) -> AttemptResult:
@@ -173,12 +176,12 @@
 
     def close_idle(self, address: str) -> None:
         """Close the idle associations to an address."""
-        for entry in [entry for entry in self._idle if entry[0] == address]:
-            self._idle.remove(entry)
+        for entry in [entry for entry in self._idle_associations if entry[0] == address]:
+            self._idle_associations.remove(entry)
             entry[1].abort()
 
     async def close(self) -> None:
         """Close all idle associations."""
-        for _, association in self._idle:
+        for _, association in self._idle_associations:
             association.abort()
-        self._idle.clear()
+        self._idle_associations.clear()
--- a/tests/nvme/test_scenarios_nvme.py
+++ b/tests/nvme/test_scenarios_nvme.py
@@ -436,8 +436,8 @@
             await self.play(f"send c1 GET {number}\nexpect b1 read {number}\nsend b1 ok\nexpect c1 200")
         node, upstream = await self.party("b1"), self.gateway._nvme_clients["b1"]
         self.assertEqual(len(node.target.controllers), 1)
-        upstream._idle_s = 0.0
-        upstream._close_stale()
+        upstream._idle_timeout_s = 0.0
+        upstream._close_expired()
         await self.play("wait 50")
         self.assertEqual(node.target.controllers, {})
 
