--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -337,7 +337,7 @@
         await self._clock.sleep(min(ACCEPT_AFTER_SIGTERM_MS, grace_ms))
         self.http_server.stop_accepting()
         if self.nvme is not None:
-            self.nvme.shut()
+            self.nvme.stop_listening()
         await self._stop_servers(ends_ms)
         await self._close_parts()
 
--- a/shaletiller/net/nvme/target.py
+++ b/shaletiller/net/nvme/target.py
@@ -58,7 +58,7 @@
         queues = (queue for controller in self.controllers.values() for queue in controller.queues.values())
         return any(queue.pending for queue in queues)
 
-    def shut(self) -> None:
+    def stop_listening(self) -> None:
         """Close the listening socket; open connections are not affected."""
         if self._server is not None:
             self._server.close()
@@ -68,7 +68,7 @@
 
         :param grace_s: the maximum wait for pending commands.
         """
-        self.shut()
+        self.stop_listening()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(grace_s):
                 while self.busy:
