--- a/shaletiller/net/__init__.py
+++ b/shaletiller/net/__init__.py
@@ -1,4 +1,4 @@
-"""Network I/O: clients, nodes, discovery, peers and operators."""
+"""Network I/O with clients, storage nodes, discovery, other gateways and operators."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 def _import_aiohttp() -> None:
-    """Import aiohttp as on a Python without `ssl`, which it supports.
+    """Import aiohttp as if Python had no `ssl` module, which aiohttp supports.
 
-    On import, aiohttp builds two TLS contexts and loads every certificate that the machine trusts, a good
-    part of the CPU that a start takes: gateways that start together on one core would not be ready in time.
-    No connection of this program uses TLS, and aiohttp's client raises an error if it is given an https URL.
+    On import, aiohttp creates two TLS contexts and loads all trusted certificates, which takes a large part
+    of the CPU time of a start: gateways that start at the same time on one core would not be ready in time.
+    The gateway does not use TLS, and aiohttp's client raises an error for an https URL.
     """
     modules: dict[str, Any] = sys.modules
-    import ssl  # loaded by asyncio in any case
+    import ssl  # asyncio imports it in any case
 
     modules["ssl"] = None
     try:
--- a/shaletiller/net/admin.py
+++ b/shaletiller/net/admin.py
@@ -1,8 +1,8 @@
-"""The operators' line protocol: one command a connection, one response, then the connection ends.
+"""Line protocol for operators: one command and one response per connection.
 
     READY | STATS | DISABLE ID | ENABLE ID | DRAIN | UNDRAIN
 
-The response is a line that begins with `done` or `error`; STATS adds its metrics, then a line `end`.
+The response is a line that starts with `done` or `error`; for STATS, the metrics and a line `end` follow.
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_LINE_BYTES = 256  # the longest command is a verb and a node's id
-# A caller that has not sent its line by then is closed.  Empirical: scripts send it at once; a longer time
-# only keeps descriptors of callers that never will.
+MAX_LINE_BYTES = 256  # the longest command is a verb and a node id
+# Time within which a client must send its line.  Scripts send it at once; a larger value only holds file
+# descriptors of clients that never send one.
 READ_TIMEOUT_S = 4.0
-WRITE_TIMEOUT_S = 1.0  # for a caller that does not read its response
-SHUTDOWN_TIMEOUT_S = 0.05  # for callers that are connected when the process ends
-MAX_LOGGED_LINE = 64  # characters of a rejected command in the log
-MAX_ECHOED_VERB = 32  # characters of an unknown verb in its response
+WRITE_TIMEOUT_S = 1.0  # time for a client to read its response
+SHUTDOWN_TIMEOUT_S = 0.05  # time for open connections to complete at shutdown
+MAX_LOGGED_LINE = 64  # maximum characters of a rejected command in a log line
+MAX_ECHOED_VERB = 32  # maximum characters of an unknown verb in a response
 
-# A command takes the arguments on its line.  It returns what follows `done`, then further lines, or an
-# awaitable of them.  It raises AdminCommandError to be answered with `error`.
+# Called with the arguments of a command.  Returns the text that follows `done` and any further lines, or an
+# awaitable of them.  Raises AdminCommandError for an `error` response.
 Command = Callable[[list[str]], list[str] | Awaitable[list[str]]]
 
 
 class AdminServer:
-    """Listens for operators and runs their commands."""
+    """Accepts connections of operators and runs their commands."""
 
     def __init__(self, commands: dict[str, Command]) -> None:
-        """Make a server that does not listen yet.
+        """Create a server that does not listen yet.
 
-        :param commands: by verb, in capitals.
+        :param commands: commands by verb, in upper case.
         """
         self._commands = commands
         self._server: asyncio.Server | None = None
@@ -45,14 +45,14 @@
         self.address: tuple[str, int] = ("", 0)
 
     async def start(self, host: str, port: int) -> None:
-        """Listen for operators."""
+        """Listen for connections of operators."""
         self._server = await asyncio.start_server(self._handle_connection, host, port, limit=MAX_LINE_BYTES)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def execute(self, line: str) -> list[str]:
-        """Run the command on a line.
+        """Run the command of a line.
 
-        :returns: the lines of the response.
+        :returns: lines of the response.
         """
         verb, *arguments = line.split()
         command = self._commands.get(verb.upper())
@@ -84,28 +84,28 @@
             response = await self.execute(line)
             if response[0].startswith("error"):
                 logger.warning("admin command %r rejected: %s", line.strip()[:MAX_LOGGED_LINE], response[0])
-            writer.write("".join(f"{each}\n" for each in response).encode())
-        with contextlib.suppress(TimeoutError, ConnectionError):  # the caller has left, or does not read
+            writer.write("".join(f"{text}\n" for text in response).encode())
+        with contextlib.suppress(TimeoutError, ConnectionError):  # the client left or does not read
             async with asyncio.timeout(WRITE_TIMEOUT_S):
                 await writer.drain()
-        await close_gracefully(reader, writer, WRITE_TIMEOUT_S)  # a caller may send more behind its line
+        await close_gracefully(reader, writer, WRITE_TIMEOUT_S)  # the client may send data after its line
 
     @staticmethod
     async def _read_line(reader: asyncio.StreamReader) -> str:
-        """Read the caller's line; empty if none came.
+        """Read the line of a client; empty if none was received.
 
-        :raises asyncio.LimitOverrunError: it is too long.
+        :raises asyncio.LimitOverrunError: the line is too long.
         """
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
                 return (await reader.readuntil(b"\n")).decode("utf-8", "replace")
-        except asyncio.IncompleteReadError as error:  # the caller closed its side behind the line
+        except asyncio.IncompleteReadError as error:  # the client half-closed without a newline
             return error.partial.decode("utf-8", "replace")
         except (TimeoutError, ConnectionError):
             return ""
 
     async def stop(self) -> None:
-        """Accept no further callers; one whose line has arrived gets its response."""
+        """Stop listening, and wait briefly for the responses to received commands."""
         if self._server is not None:
             self._server.close()
         if self._connection_tasks:
--- a/shaletiller/net/body.py
+++ b/shaletiller/net/body.py
@@ -1,16 +1,16 @@
-"""Reading a body of bounded size."""
+"""Reading a message body of limited size."""
 
 from __future__ import annotations
 
 from aiohttp import StreamReader
 
-MAX_BODY_BYTES = 64 * 1024  # of one request or response
+MAX_BODY_BYTES = 64 * 1024  # maximum body size of a request or response
 
 
 async def read_bounded(stream: StreamReader, max_bytes: int = MAX_BODY_BYTES) -> bytes | None:
     """Read a body to its end.
 
-    :returns: the body, or None if it is larger than `max_bytes`; the rest of it is then left unread.
+    :returns: the body, or None if it is larger than `max_bytes`; the rest of the body then stays unread.
     """
     parts, size = [], 0
     async for part in stream.iter_any():
--- a/shaletiller/net/client_connection.py
+++ b/shaletiller/net/client_connection.py
@@ -1,8 +1,8 @@
-"""One client's HTTP/1.1 connection: its state machine, the fast path, and the orderly close.
+"""One client's HTTP/1.1 connection: its state machine, the fast path, and graceful close.
 
-aiohttp's `RequestHandler` parses requests and runs handlers.  This subclass adds an explicit state (compare
-h11's and httpcore's connection states), a fast path that answers a complete request without aiohttp's task,
-and closes that lose neither a response nor a request: half-close and lingering close.
+aiohttp's `RequestHandler` parses requests and runs handlers.  This subclass adds an explicit connection state
+(similar to those of h11 and httpcore), a fast path that answers a complete request without running aiohttp's
+task, and two ways to close without losing a response or a request: half-close and lingering close.
 """
 
 from __future__ import annotations
@@ -28,38 +28,38 @@
 
 
 class ConnectionState(IntEnum):
-    """What a client connection is doing; an `IntEnum` so that a transition is one index into a tuple."""
+    """State of a client connection; an `IntEnum`, so that a transition is one index into a tuple."""
 
     NEW = 0
-    """Not a byte has been received."""
+    """No byte has been received yet."""
     READING_HEAD = 1
-    """A part of a request head has been received."""
+    """Part of a request head has been received."""
     ACTIVE = 2
     """A request has been received; its response is pending."""
     IDLE = 3
-    """Keep-alive: every request has its response."""
+    """Keep-alive: every request has been answered."""
     LINGERING = 4
-    """An error response was sent and the write side closed; input is read and discarded."""
+    """An error response was sent and the write side is closed; input is read and discarded."""
     HALF_CLOSED = 5
     """The write side is closed; input stays unread in the kernel."""
 
 
 class ConnectionEvent(IntEnum):
-    """What moves a connection from one state to another."""
+    """Event that may change the state of a connection."""
 
     BYTES_RECEIVED = 0
     REQUEST_RECEIVED = 1
     RESPONSE_SENT = 2
     REQUEST_PIPELINED = 3
-    """After a response: a further request had been received behind the answered one."""
+    """A response was sent while a pipelined request had already been received."""
     ERROR_SENT = 4
-    """An error response after which the connection ends, while its client may still be sending."""
+    """An error response was sent that ends the connection; the client may still be sending."""
     WRITE_SIDE_CLOSED = 5
 
 
 _State, _Event = ConnectionState, ConnectionEvent
 
-# An event that a state does not list leaves that state.
+# An event that is not listed for a state does not change it.
 TRANSITIONS: Mapping[ConnectionState, Mapping[ConnectionEvent, ConnectionState]] = {
     _State.NEW: {
         _Event.BYTES_RECEIVED: _State.READING_HEAD,
@@ -77,7 +77,7 @@
     },
     _State.IDLE: {
         _Event.BYTES_RECEIVED: _State.READING_HEAD,
-        _Event.ERROR_SENT: _State.LINGERING,  # to a request that aiohttp parsed late
+        _Event.ERROR_SENT: _State.LINGERING,  # error for a request that aiohttp parsed late
         _Event.REQUEST_PIPELINED: _State.ACTIVE,
         _Event.WRITE_SIDE_CLOSED: _State.HALF_CLOSED,
     },
@@ -89,7 +89,7 @@
 
 
 def _next_states(event: ConnectionEvent) -> tuple[ConnectionState, ...]:
-    """Return an event's column of `TRANSITIONS` as a tuple, so that a transition costs one index."""
+    """Return the next state for an event, indexed by the current state."""
     return tuple(TRANSITIONS[state].get(event, state) for state in ConnectionState)
 
 
@@ -101,25 +101,26 @@
 _ON_WRITE_SIDE_CLOSED = _next_states(ConnectionEvent.WRITE_SIDE_CLOSED)
 _IDLE = ConnectionState.IDLE
 
-# Takes a complete request.  True: its response goes to `ClientConnection.send_response`, maybe before this
-# returns.  False: aiohttp's handler has to serve it.
+# Called with a complete request.  Returns True if it serves the request; it then calls
+# `ClientConnection.send_response`, possibly before it returns.  Returns False if aiohttp's handler has to
+# serve the request.
 FastPath = Callable[["ClientConnection", RawRequestMessage, bytes], bool]
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its listener."""
+    """Interface that a connection needs of its listener."""
 
     clock: Clock
     fast_path: FastPath
 
     def connection_half_closed(self, connection: ClientConnection) -> None:
-        """Note that the connection has closed its write side."""
+        """Handle that the connection has closed its write side."""
 
     def connection_lost(self, connection: ClientConnection) -> None:
-        """Note that the connection is closed."""
+        """Handle that the connection is closed."""
 
     def start_linger(self, linger: Coroutine[Any, Any, None], connection: ClientConnection) -> None:
-        """Run `linger` in a task of its own, then close the connection."""
+        """Run `linger` in a separate task, then close the connection."""
 
 
 class ClientConnection(RequestHandler):
@@ -139,27 +140,26 @@
     )
 
     def __init__(self, owner: ConnectionOwner, manager: web.Server, **options: Any) -> None:
-        """Make a connection that has no transport yet.
+        """Create a connection that has no transport yet.
 
-        :param options: aiohttp's own, passed on.
+        :param options: options of aiohttp's `RequestHandler`.
         """
         super().__init__(manager, loop=asyncio.get_running_loop(), **options)
         self._owner = owner
         self.state = ConnectionState.NEW
         self.state_since_ms = owner.clock.now_ms()
-        self.arrivals_ms: collections.deque[float] = collections.deque()  # of the requests without a response
-        # The next request's body, if the fast path read it before it declined the request.
+        # Times at which the requests that have no response yet were received.
+        self.arrivals_ms: collections.deque[float] = collections.deque()
+        # Body of the next request, if it was read before the fast path declined the request.
         self.prefetched_body: bytes | None = None
-        self.task_started = False  # whether aiohttp's task has run as far as its first wait
-        self.fast_path_pending = False  # whether a request that took the fast path waits for its response
+        self.task_started = False  # whether aiohttp's task has started to run
+        self.fast_path_pending = False  # whether a request on the fast path has no response yet
         self.on_client_gone: Callable[[], None] | None = None
         self._linger_bytes_left = limits.MAX_LINGER_BYTES
         self._linger_done: asyncio.Future[None] | None = None
 
-    # ---- asyncio protocol
-
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Cancel what was pending for the client."""
+        """Cancel the pending request of the client."""
         self._owner.connection_lost(self)
         self.fast_path_pending, on_client_gone, self.on_client_gone = False, self.on_client_gone, None
         self._end_linger()
@@ -170,8 +170,8 @@
     async def start(self) -> None:
         """Run aiohttp's task.
 
-        What is pipelined behind a fast-path request must not be answered before it: clients match responses
-        to requests by their order alone.  The task therefore waits first if such a response is pending.
+        A request that is pipelined behind a fast-path request must not be answered first, because clients
+        match responses to requests by order.  The task therefore waits while a fast-path response is pending.
         """
         self.task_started = True
         if self.fast_path_pending:
@@ -183,7 +183,7 @@
         await super().start()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was received; serve a complete request on the fast path, else wake aiohttp's task."""
+        """Parse received data; serve a complete request on the fast path, otherwise wake aiohttp's task."""
         if self._linger_done is not None:
             self._discard(len(data))
             return
@@ -191,8 +191,8 @@
             if self.state is _IDLE:
                 self.state_since_ms = self._owner.clock.now_ms()
             self.state = _ON_BYTES_RECEIVED[self.state]
-        # The parser must not wake aiohttp's task before the fast path has had its turn: its two tasks, its
-        # request and its response cost more for each request than all decisions of the gateway.
+        # Parsing must not wake aiohttp's task before the fast path is tried: aiohttp's two tasks and its
+        # request and response objects cost more per request than all decisions of the gateway.
         count_before, waiter = self._request_count, self._waiter
         self._waiter = None
         super().data_received(data)
@@ -208,14 +208,12 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether it has a transport: without one it cannot be closed, and its client would see no end."""
+        """Whether it has a transport; without one, closing the connection would not reach its client."""
         return self.transport is not None
 
-    # ---- fast path
-
     @property
     def has_pipelined_request(self) -> bool:
-        """Whether a further request has been received; it is owed a response too."""
+        """Whether another request has been received that needs a response too."""
         return bool(self._messages)
 
     def _wake_task(self) -> None:
@@ -223,10 +221,11 @@
             self._waiter.set_result(None)
 
     def _try_fast_path(self) -> bool:
-        """Offer the one received request to the owner's fast path.
+        """Pass the only received request to the owner's fast path.
 
-        :returns: False if the request is unusual, incomplete or declined, or if the client is slow to read
-            its responses: they must not pile up here, and aiohttp's task waits for the client.
+        :returns: False if the request is unusual, incomplete or declined, or if the client reads its
+            responses slowly: aiohttp's task waits for the client, so that responses do not accumulate in
+            memory.
         """
         message, payload = self._messages[0]
         alone = len(self._messages) == 1 and not self._buffer_paused and not self.fast_path_pending
@@ -240,8 +239,8 @@
             return False
         body = payload.read_nowait() if payload.total_bytes else b""
         self.fast_path_pending = True
-        # Cleared before the call, for the response may be sent within it: what `send_response` finds in the
-        # queue then was pipelined behind this request.
+        # Clear the queue before the call, which may already send the response: `send_response` takes any
+        # request in the queue for one that was pipelined behind this request.
         self._messages.clear()
         if not self._owner.fast_path(self, message, body):
             self.fast_path_pending, self.prefetched_body = False, body  # the payload can be read only once
@@ -252,10 +251,10 @@
         return True
 
     def send_response(self, raw: bytes, close: bool) -> None:
-        """Send the response to a request that took the fast path.
+        """Send the response to a request on the fast path.
 
-        :param raw: the response, head and body.
-        :param close: whether the response announces the end of the connection.
+        :param raw: encoded response, head and body.
+        :param close: whether the response has `Connection: close`.
         """
         if not self.fast_path_pending:
             return
@@ -277,9 +276,9 @@
         resp: web.StreamResponse,
         start_time: float | None,
     ) -> tuple[web.StreamResponse, bool]:
-        """Send a handler's response, then keep, half-close or linger on the connection."""
+        """Send a handler's response, then keep the connection open, half-close it or let it linger."""
         result = await super().finish_response(request, resp, start_time)
-        if self.arrivals_ms:  # empty if what followed an upgrade request was parsed late
+        if self.arrivals_ms:  # empty if data behind an upgrade request was parsed late
             self.arrivals_ms.popleft()
         self.state_since_ms = self._owner.clock.now_ms()
         if 400 <= resp.status < 500 and not resp.keep_alive and self.transport is not None:
@@ -292,16 +291,14 @@
             self.half_close()
         return result
 
-    # ---- closing
-
     def half_close(self) -> None:
-        """Send what was written, close the write side, and read nothing more.
+        """Flush written data, close the write side, and stop reading.
 
-        For a connection that owes no response.
-        A socket closed over unread bytes is reset, and the client loses a response in flight, along with
-        what the kernel has not sent.  Reading on is no way out: a request read after the write side is
-        closed could be neither answered nor left to another connection, because its client retries only a
-        request that was not read.  Unread input stays in the kernel until the client closes too.
+        Only for a connection without a pending response.  Closing a socket that has unread input resets the
+        connection: the client loses a response in flight and all data that the kernel has not sent.  Reading
+        the input is no alternative: a request that is read after the write side is closed cannot be answered,
+        and its client retries it on another connection only if it was not read.  Unread input therefore stays
+        in the kernel until the client closes its side.
         """
         transport, self._force_close = self.transport, True
         if self._waiter is not None:
@@ -311,15 +308,15 @@
         self.state = _ON_WRITE_SIDE_CLOSED[self.state]
         self.state_since_ms = self._owner.clock.now_ms()
         self._owner.connection_half_closed(self)
-        with contextlib.suppress(OSError, RuntimeError):  # the client may have reset it meanwhile
+        with contextlib.suppress(OSError, RuntimeError):  # the client may have reset the connection
             transport.pause_reading()
             transport.write_eof()
 
     def may_close(self, now_ms: float) -> bool:
-        """Whether this half-closed connection may be closed: its client closed too, or has had the time.
+        """Whether this half-closed connection may be closed: its client has closed too, or a timeout is over.
 
-        Until a slow client has taken the whole response, closing over what it sent behind its request would
-        reset the connection and cut that response.
+        The timeout is longer while the client has not received the complete response: a close with unread
+        input would reset the connection and truncate that response.
         """
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
         if self.transport is None or sock is None or sock.fileno() < 0 or peer_has_closed(sock):
@@ -329,13 +326,14 @@
         return now_ms - self.state_since_ms >= timeout_ms
 
     async def _linger(self, transport: asyncio.Transport) -> None:
-        """Discard what the client still sends until it closes (lingering close, as nginx has it).
+        """Discard input until the client closes (lingering close, like `lingering_close` of nginx).
 
-        A socket closed over unread bytes is reset, and the client never sees the error response.
+        Closing a socket that has unread input resets the connection, and the client would not see the error
+        response.
         """
         self.state = _ON_ERROR_SENT[self.state]
         self._linger_done = self._loop.create_future()
-        # The client may have reset the connection meanwhile, which uvloop reports as a RuntimeError.
+        # The client may have reset the connection, which uvloop reports as a RuntimeError.
         with contextlib.suppress(OSError, RuntimeError):
             if transport.can_write_eof() and not transport.is_closing():
                 transport.write_eof()
@@ -344,7 +342,7 @@
             async with asyncio.timeout(limits.LINGER_TIMEOUT_S):
                 await self._linger_done
         except TimeoutError:
-            pass  # the client has had its time
+            pass  # the client did not close in time
 
     def _discard(self, size: int) -> None:
         self._linger_bytes_left -= size
@@ -356,7 +354,7 @@
             self._linger_done.set_result(None)
 
     def time_out(self) -> None:
-        """End a connection that has timed out; a client that has sent a part of a request gets a 408."""
+        """End a connection that has timed out; a client that has sent part of a request gets a 408."""
         if self.state is ConnectionState.IDLE:
             self.half_close()
             return
@@ -366,9 +364,9 @@
             self.force_close()
 
     def end_partial_request(self, response: bytes) -> None:
-        """Answer a request of which a part has come, and let its client finish sending.
+        """Answer a partially received request, and let its client finish sending.
 
-        Without the linger the client would be reset and not see the response.
+        Without the lingering close the connection would be reset, and the client would not see the response.
         """
         if self.transport is None or self.transport.is_closing():
             self.force_close()
--- a/shaletiller/net/connection_limits.py
+++ b/shaletiller/net/connection_limits.py
@@ -1,49 +1,51 @@
-"""Timeouts and sizes that bound what one client connection may hold.
+"""Timeouts and sizes that limit the resources of client connections.
 
-Other modules read these as attributes of this module, so that a test that replaces one reaches every use.
+Other modules read these as attributes of this module, so that a test can replace a value for every use.
 """
 
 from __future__ import annotations
 
 from typing import TypedDict
 
-# A request must be complete by then, or its client gets a 408.  Clients are owed an answer, be it an error,
-# within 3 s of connecting; the rest of the 3 s is for sending it.
+# Time within which a request must be complete, or its client gets a 408.  Clients must get a response, or an
+# error, within 3 s of connecting; the rest of the 3 s is for sending it.
 REQUEST_TIMEOUT_MS = 2200.0
-# A keep-alive connection without a request is closed then.  Empirical: longer saves reconnects, shorter frees
-# descriptors.
+# Time after which an idle keep-alive connection is closed.  A larger value saves reconnects; a smaller value
+# frees file descriptors sooner.
 IDLE_TIMEOUT_MS = 10_000.0
-# How long an error response waits for a client that is still sending (lingering close).  Empirical: a client
-# that sends a large body on a slow line must see the error; a hostile one holds a connection meanwhile.
+# Time for which a lingering close waits for a client that is still sending.  A larger value lets a client
+# that sends a large body on a slow network see the error; a smaller value frees the connection of a hostile
+# client sooner.
 LINGER_TIMEOUT_S = 4.0
-MAX_LINGER_BYTES = 64 << 20  # and how much of what that client sends is discarded before it is cut off
-# How long a half-closed connection waits for its client to close too.  What arrives meanwhile is not read.
-# Empirical: a round trip to a distant client, and no longer than a descriptor can be spared.
+MAX_LINGER_BYTES = 64 << 20  # input discarded by a lingering close before the connection is closed
+# Time for which a half-closed connection waits for its client to close too; its input is not read.  The value
+# must cover a round trip to a distant client; a larger value holds file descriptors longer.
 HALF_CLOSE_TIMEOUT_MS = 250.0
-SHUTDOWN_POLL_S = 0.005  # how often half-closed connections are checked while the process ends
-# aiohttp's own keep-alive timer is off: only the sweep distinguishes silent from idle clients.
+SHUTDOWN_POLL_S = 0.005  # interval between checks of half-closed connections during shutdown
+# Disables aiohttp's keep-alive timer: only the sweep distinguishes clients that have sent nothing from idle
+# ones.
 NO_KEEPALIVE_TIMEOUT_S = 1e6
-SWEEP_INTERVAL_MS = 50.0  # the timeouts above are late by this at most
-READ_SIZE = 64 * 1024  # bytes read at once from a socket that has no protocol
-ACCEPTS_PER_WAKEUP = 64  # connections accepted in one turn of the event loop; requests wait meanwhile
-# Accepted connections started in one turn of the event loop.  Starting one costs as much as a request, and
-# the requests of established connections wait meanwhile.
+SWEEP_INTERVAL_MS = 50.0  # interval between timeout checks; a timeout is late by at most this time
+READ_SIZE = 64 * 1024  # maximum bytes per read from a socket that has no protocol
+ACCEPTS_PER_WAKEUP = 64  # maximum connections accepted in one event loop iteration, which delays requests
+# Maximum accepted connections started in one event loop iteration.  Starting one costs as much as a request
+# and delays the requests of established connections.
 STARTS_PER_TURN = 4
-# If accepted connections have queued for so long without a gap, more arrive than can be started (a standing
-# queue, as in CoDel, RFC 8289).
+# Time for which the accept queue must be nonempty without interruption to count as overload: more connections
+# arrive than can be started (a standing queue, as in CoDel, RFC 8289).
 OVERLOAD_AFTER_MS = 100.0
-# Under overload, connections that queued for this long are rejected unread: started in order of arrival, all
-# of them would be answered too late, and their clients would retry and add to the load.
+# Age at which queued connections are rejected unread under overload.  If they were started in order of
+# arrival, all of them would be answered too late, and the retries of their clients would add to the load.
 MAX_QUEUE_AGE_MS = 5.0
-REJECT_RETRY_AFTER_MS = OVERLOAD_AFTER_MS  # the Retry-After of those: overload cannot end sooner
-LISTEN_BACKLOG = 1024  # connections that the kernel queues while the gateway is at its limit
-# Above this part of the connection limit, responses close their connections.  It must stay above the third of
-# the descriptors that clients with requests in progress may use.
+REJECT_RETRY_AFTER_MS = OVERLOAD_AFTER_MS  # Retry-After of these rejections; overload cannot end sooner
+LISTEN_BACKLOG = 1024  # connections that the kernel queues while the connection limit is reached
+# Fraction of the connection limit from which responses close their connections.  It must exceed the third of
+# the file descriptors that clients with requests in progress may use.
 CROWDED_PART = 0.75
 
 
 class HeadLimits(TypedDict):
-    """aiohttp's limits for one request head."""
+    """Limits of aiohttp for one request head."""
 
     max_line_size: int
     max_field_size: int
@@ -51,7 +53,7 @@
     read_bufsize: int
 
 
-# Together they bound the memory of one connection.
+# Together, these values limit the memory of one connection.
 HEAD_LIMITS: HeadLimits = {
     "max_line_size": 4096,
     "max_field_size": 4096,
--- a/shaletiller/net/connection_table.py
+++ b/shaletiller/net/connection_table.py
@@ -1,4 +1,4 @@
-"""The open connections of a listener: which have timed out, and which is evicted for a new one."""
+"""Open connections of a listener: timeouts, and eviction in favour of new connections."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from shaletiller.net.client_connection import ClientConnection, ConnectionState
 from shaletiller.net.sockets import has_unread_input
 
-# When the limit is reached, a connection that has been for so long in a state that owes it nothing may be
-# evicted for a new one.  Empirical: short enough that a new client is served in time, long enough that a
-# client on a slow line gets its request through (NEW), sees its error (LINGERING) or reuses its connection
-# (IDLE).
+# Time in a state after which a connection may be evicted for a new one when the connection limit is reached.
+# Only states without a pending response are listed.  A smaller value serves new clients sooner; a larger
+# value gives a client on a slow network time to send its request (NEW), receive its error (LINGERING) or
+# reuse its connection (IDLE).
 EVICTABLE_AFTER_MS = {
     ConnectionState.NEW: 250.0,
     ConnectionState.LINGERING: 1000.0,
@@ -22,55 +22,58 @@
 class ConnectionTable:
     """Started connections, up to a limit.
 
-    A client may connect and stay silent, begin a request and never complete it, or keep its connection
-    forever.  None of them may take the place of a client that sends requests.
+    Clients that connect and send nothing, never complete a request or keep an idle connection must not
+    prevent other clients from connecting.
     """
 
     def __init__(self, max_connections: int) -> None:
-        """Make an empty table for so many connections."""
+        """Create an empty table.
+
+        :param max_connections: connection limit, which includes half-closed connections.
+        """
         self.max_connections = max_connections
         self.open: dict[ClientConnection, None] = {}
-        self.half_closed: dict[ClientConnection, None] = {}  # the oldest first
+        self.half_closed: dict[ClientConnection, None] = {}  # in the order in which they were half-closed
 
     def __len__(self) -> int:
-        """How many connections count against the limit."""
+        """Return the number of connections that count against the limit."""
         return len(self.open) + len(self.half_closed)
 
     def add(self, connection: ClientConnection) -> None:
-        """Count a connection as open."""
+        """Add an open connection."""
         self.open[connection] = None
 
     def half_close(self, connection: ClientConnection) -> None:
-        """Count a connection as half-closed."""
+        """Move a connection to the half-closed ones."""
         self.open.pop(connection, None)
         self.half_closed[connection] = None
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection; an unknown one is ignored."""
         self.open.pop(connection, None)
         self.half_closed.pop(connection, None)
 
     def is_crowded(self, accepted: int) -> bool:
-        """Whether so many connections are open that responses have to close theirs.
+        """Whether so many connections are open that each response has to close its connection.
 
-        Half-closed connections do not count: they are about to end, and are evicted first.
+        Half-closed connections are not counted: they are about to end, and are evicted first.
 
-        :param accepted: connections that were accepted and not started yet.
+        :param accepted: number of connections that are accepted and not started yet.
         """
         return len(self.open) + accepted >= self.max_connections * limits.CROWDED_PART
 
     @property
     def owes_response(self) -> bool:
-        """Whether some client may still read a response that was written, or be owed one."""
+        """Whether any client waits for a response, or may not have read all of one that was written."""
         return bool(self.half_closed) or any(
             connection.state in (ConnectionState.ACTIVE, ConnectionState.LINGERING)
             for connection in self.open
         )
 
     def evict(self, now_ms: float) -> bool:
-        """Close the connection of least use.
+        """Close one connection: a half-closed one if possible, otherwise one of `EVICTABLE_AFTER_MS`.
 
-        :returns: False if every connection is in use.
+        :returns: False if no connection may be evicted.
         """
         connection = next(iter(self.half_closed), None) or self._find_evictable(now_ms)
         if connection is None:
@@ -80,7 +83,7 @@
         return True
 
     def _find_evictable(self, now_ms: float) -> ClientConnection | None:
-        """Find the connection to evict: others before idle ones, each group the oldest first."""
+        """Find the connection to evict: idle ones last, the oldest of each group first."""
 
         def is_evictable(connection: ClientConnection) -> bool:
             evictable_after_ms = EVICTABLE_AFTER_MS.get(connection.state, math.inf)
@@ -91,15 +94,15 @@
             key=lambda connection: (connection.state is ConnectionState.IDLE, connection.state_since_ms),
         )
         for connection in filter(is_evictable, idle_last):
-            # Unread input may be a complete request, which must not be reset.
+            # Unread input may be a complete request, which a close would reset.
             if connection.state is ConnectionState.LINGERING or not has_unread_input(connection.transport):
                 return connection
         return None
 
     def time_out(self, now_ms: float, draining: bool) -> None:
-        """End the connections whose request is late, and those that have been idle for too long.
+        """End connections whose request is not received in time, and those that are idle for too long.
 
-        :param draining: idle connections end without delay: their clients might keep them for any time.
+        :param draining: close idle connections at once; their clients might keep them open indefinitely.
         """
         idle_timeout_ms = 0.0 if draining else limits.IDLE_TIMEOUT_MS
         for connection in list(self.open):
@@ -111,10 +114,10 @@
                 self._time_out_request(connection)
 
     def _time_out_request(self, connection: ClientConnection) -> None:
-        """End a connection whose request has not come, unless what came of it is still unread.
+        """End a connection whose request is incomplete, unless it has unread input.
 
-        After a stall of this process the rest of a request may lie in the kernel.  A client that goes on
-        sending cannot stay for ever: the size of a head is bounded.
+        After this process has stalled, the rest of a request may be in the kernel's buffer.  A client cannot
+        extend its time indefinitely by sending more, because the size of a request head is limited.
         """
         if connection.state not in (ConnectionState.READING_HEAD, ConnectionState.NEW):
             return
@@ -125,7 +128,7 @@
         connection.time_out()
 
     def close_half_closed(self, now_ms: float) -> None:
-        """Close the half-closed connections whose clients have closed too, or have had the time."""
-        for connection in [each for each in self.half_closed if each.may_close(now_ms)]:
+        """Close the half-closed connections whose clients have closed too, or whose timeout is over."""
+        for connection in [candidate for candidate in self.half_closed if candidate.may_close(now_ms)]:
             self.remove(connection)
             connection.force_close()
--- a/shaletiller/net/discovery.py
+++ b/shaletiller/net/discovery.py
@@ -1,4 +1,4 @@
-"""The client of discovery: watches the endpoint list, at an address that may change meanwhile."""
+"""Discovery client: watches the endpoint list of a discovery agent, whose address may change."""
 
 from __future__ import annotations
 
@@ -24,38 +24,40 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a watch waits for changes.  Until it is over, an agent that hangs and one without changes look
-# alike: the list is out of date for as long, and a change counts as announced when the watch began.  Longer
-# saves calls, shorter finds a silent agent sooner.
+# Time for which the agent holds a watch call if there are no changes.  Until it is over, an unresponsive
+# agent cannot be distinguished from one without changes: the list may be out of date by this time, and a
+# change counts as announced when the call started.  A larger value saves calls; a smaller value detects an
+# unresponsive agent sooner.
 WATCH_WAIT_MS = 1_000
-WATCH_GRACE_MS = 400.0  # past the watch's own wait the agent counts as silent
-# The bound of the backoff after the first failure.  A watch goes on without a gap while the next call follows
-# within 200 ms.
+WATCH_GRACE_MS = 400.0  # time after `WATCH_WAIT_MS` at which a call to the agent times out
+# Upper bound of the backoff after the first failure.  A watch counts as uninterrupted if the next call
+# follows within 200 ms.
 INITIAL_BACKOFF_MS = 50.0
-# The bound of the backoff at most.  Without backoff, the gateways of a site that each called again 50 ms
-# after a 503 would keep an overloaded discovery overloaded.  Longer spares discovery, shorter finds it back
-# sooner.
+# Maximum of the upper bound of the backoff.  If all gateways of a site retried 50 ms after a 503, an
+# overloaded discovery service would stay overloaded.  A larger value reduces its load; a smaller value
+# reconnects sooner after it has recovered.
 MAX_BACKOFF_MS = 2_000.0
-# Where lists are pushed, the agent runs on this machine, and what it has announced counts as known.  Where it
-# is silent or its connections break, no call costs anyone anything, and a gateway that waited longer than
-# this part of the drain's grace period could send requests to a node that drains.
+# Maximum of the upper bound of the backoff if lists are pushed, as a fraction of the grace period of a drain.
+# The agent then runs on the same machine, and its announcements count as known.  Retries to a silent agent
+# cost little, and a gateway with a longer backoff could send requests to a draining node.
 PUSHED_BACKOFF_PART = 0.125
 MAX_LIST_BYTES = 4 * 1024 * 1024
 WATCH_TIMEOUT = aiohttp.ClientTimeout(total=(WATCH_WAIT_MS + WATCH_GRACE_MS) / 1000, sock_connect=1.0)
-FULL_LIST_TIMEOUT = aiohttp.ClientTimeout(total=WATCH_WAIT_MS / 1000)  # answered without waiting for changes
+FULL_LIST_TIMEOUT = aiohttp.ClientTimeout(total=WATCH_WAIT_MS / 1000)  # the agent does not wait
 STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
 LEFT = "left"
 
-# Called with an update's kind, list version, endpoints, and how long ago (ms) it may have been announced.
+# Called with the kind of an update, its list version, its endpoints, and its maximum age (ms).
 UpdateListener = Callable[[UpdateKind, int, tuple[Endpoint, ...], float], None]
-# Called with the version and the complete list, by node, after each change.
+# Called with the list version and the complete list, by node, after each change.
 ListListener = Callable[[int, Mapping[str, ServerRow]], None]
 
 
 def parse_row(row: ServerRow, upstream_of: Callable[[str], UpstreamClient]) -> Endpoint:
-    """Read a row of discovery's list.
+    """Convert a row of the endpoint list into an endpoint.
 
-    :raises EndpointListError: its state is unknown, or its address malformed.
+    :param upstream_of: returns the client for a node.
+    :raises EndpointListError: the state is unknown, or the address is malformed.
     """
     state = STATES.get(row.state)
     if state is None:
@@ -78,44 +80,48 @@
 
 
 class WatchFreshness:
-    """How long ago a change that arrives may have been announced.
+    """Estimates the maximum age of a received change.
 
-    While a watch goes on without a gap, a change arrives as it is announced.  After a gap it may have been
-    announced at any time since the agent last reported everything it had.
+    While the watch is uninterrupted, a change is received as soon as it is announced.  After an interruption,
+    it may have been announced at any time since the last complete response of the agent.
     """
 
     def __init__(self) -> None:
-        """Begin without a watch."""
-        # All that was announced by then has arrived.  The first list of a process may have been announced
-        # long ago, to the process before it.
+        """Start without a watch."""
+        # Time up to which all announced changes have been received.  The first list of a process may have
+        # been announced long ago, to its predecessor.
         self._complete_until_ms = -math.inf
-        self._agent_responded = False  # whether the present agent ever has
-        self._is_continuous = False  # whether the present call continues a watch
+        self._agent_responded = False  # whether the current agent has ever responded
+        self._is_continuous = False  # whether the current call continues an uninterrupted watch
 
     def on_response(self, now_ms: float) -> None:
-        """Note that a call of the watch was answered and applied."""
+        """Handle a watch response that was applied."""
         self._complete_until_ms, self._is_continuous, self._agent_responded = now_ms, True, True
 
     def on_failure(self, started_ms: float, timed_out: bool) -> None:
-        """Note that a call of the watch, begun at `started_ms`, has failed."""
+        """Handle the failure of a watch call.
+
+        :param started_ms: time at which the call was started.
+        :param timed_out: whether the call failed by a timeout.
+        """
         self._is_continuous = False
         if timed_out and self._agent_responded:
-            # What the agent had as the call began it would have sent right away.
+            # The agent would have sent changes known at the start of the call immediately.
             self._complete_until_ms = max(self._complete_until_ms, started_ms)
 
     def on_agent_changed(self, now_ms: float) -> None:
-        """Begin with another agent; what it announces counts from now on at the earliest."""
+        """Handle a change of agent; changes of the new one count as announced now at the earliest."""
         if self._agent_responded:
             self._complete_until_ms = now_ms
         self._is_continuous = self._agent_responded = False
 
     def max_age_ms(self, now_ms: float) -> float:
-        """How long ago a change that arrives now may have been announced at most."""
+        """Return the maximum time since the announcement of a change that is received now."""
         return 0.0 if self._is_continuous else now_ms - self._complete_until_ms
 
 
 class DiscoveryClient:
-    """Keeps the endpoint registry up to date with discovery, and notifies of what changes."""
+    """Keeps the endpoint registry up to date with discovery, and reports changes."""
 
     def __init__(
         self,
@@ -128,12 +134,16 @@
         registry: EndpointRegistry | None = None,
         on_list_changed: ListListener | None = None,
     ) -> None:
-        """Make a client that calls nobody yet.
-
-        :param address: of the agent.
-        :param known: the list to start from.
-        :param upstream_of: the client for a node.
-        :param seed: of the backoff's jitter.
+        """Create a client; `run` starts to watch.
+
+        :param address: address of the agent.
+        :param known: endpoint list to start with.
+        :param upstream_of: returns the client for a node.
+        :param on_update: receives each update of the list.
+        :param seed: seed of the backoff's jitter.
+        :param now_ms: returns the current time; by default that of a new `Clock`.
+        :param registry: registry to update; by default a new one.
+        :param on_list_changed: receives the complete list after each change.
         """
         self._upstream_of = upstream_of
         self.backoff = FullJitterBackoff(INITIAL_BACKOFF_MS, seed)
@@ -141,16 +151,16 @@
         self._known = known
         self._now_ms = now_ms or Clock().now_ms
         self.registry = registry if registry is not None else EndpointRegistry()
-        self.ready = False  # whether some list has named a node that is ready: this gateway can serve
+        self.ready = False  # whether any list has contained a ready node, so that this gateway can serve
         self._max_backoff_ms = MAX_BACKOFF_MS
         self._freshness = WatchFreshness()
         self._is_pushed = False
-        self.rows: dict[str, ServerRow] = {}  # the list as discovery sent it, by node
+        self.rows: dict[str, ServerRow] = {}  # list as received from discovery, by node
         self._on_list_changed = on_list_changed
         self.set_address(address)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings: where lists are pushed, the backoff is shorter."""
+        """Apply new settings; the backoff is shorter if lists are pushed."""
         self._is_pushed = not settings.subscribed
         self._max_backoff_ms = MAX_BACKOFF_MS
         if self._is_pushed:
@@ -158,25 +168,23 @@
             self._max_backoff_ms = min(MAX_BACKOFF_MS, pushed_ms)
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Move to another agent, beginning with its full list: its versions may be others."""
+        """Change to another agent and request its full list, because its list versions may differ."""
         self._url = f"http://{address[0]}:{address[1]}/discovery/hosts"
         self._version: int | None = None
         self._freshness.on_agent_changed(self._now_ms())
         self.registry.reset_versions()
 
-    # ---- lists
-
     def load_known_list(self, source: Source = Source.CONFIGURED) -> None:
-        """Start from the list that this gateway had last; it may be out of date."""
+        """Apply the list known from configuration or storage, which may be out of date."""
         try:
             self._apply(self._known, UpdateKind.CACHED, source)
         except EndpointListError as error:
-            logger.warning("known endpoint list ignored, waiting for discovery's: %s", error)
+            logger.warning("known endpoint list ignored, waiting for one from discovery: %s", error)
 
     def load_stored_list(self, stored: ServerList) -> bool:
-        """Start from a list that this gateway has stored.
+        """Apply a list that this gateway has stored.
 
-        :returns: False if the list in use is no older.
+        :returns: False if the current list is at least as new.
         """
         if (self._version or 0) >= stored.version and self.ready:
             return False
@@ -185,26 +193,26 @@
         return True
 
     def apply_peer_report(self, node: str, incarnation: int, version: int, state: EndpointState) -> None:
-        """Apply what another gateway's list reports of a node that this gateway's list has named."""
+        """Apply the state of a node as another gateway's list reports it."""
         change = self.registry.apply_peer_report(node, incarnation, version, state, self._now_ms())
         if change.endpoints:
             self._on_update(UpdateKind.CHANGES, version, change.endpoints, 0.0)
 
     def _apply(self, received: ServerList, kind: UpdateKind, source: Source = Source.DISCOVERY) -> None:
-        """Apply a list or changes to one, and notify of what changed.
+        """Apply a full list or changes, and report what has changed.
 
-        :raises EndpointListError: it is malformed, or removes too many nodes to be applied at the first time.
+        :raises EndpointListError: the list is malformed, or removes too many nodes to be applied unconfirmed.
         """
         endpoints = tuple(parse_row(row, self._upstream_of) for row in received.servers)
         full = kind is not UpdateKind.CHANGES
         change = self.registry.apply_list(endpoints, received.version, full, source, self._now_ms())
         if change.held_back:
-            self._version = None  # request the full list again: what a second one confirms is applied
+            self._version = None  # request the full list again; a removal that it confirms is applied
             raise EndpointListError(
-                f"the list of version {received.version} removes too many nodes: requested again"
+                f"list version {received.version} removes too many nodes, requesting the full list again"
             )
         self._version = received.version
-        # A gateway whose list names only nodes that drain or have left cannot serve.
+        # A gateway cannot serve if its list contains only draining or removed nodes.
         self.ready = self.ready or any(
             endpoint.entry.state is EndpointState.READY for endpoint in change.endpoints
         )
@@ -223,26 +231,24 @@
             else:
                 self.rows[row.id] = row
 
-    # ---- calls
-
     @staticmethod
     def _session(timeout: aiohttp.ClientTimeout) -> aiohttp.ClientSession:
-        # Without `never_resend`, aiohttp would silently resend a call whose connection failed: the gap would
-        # pass for a watch that goes on, and a drain would count as announced later than it was.
+        # Without `never_resend`, aiohttp would silently resend a call whose connection failed: the watch
+        # would appear uninterrupted, and a drain would count as announced later than it was.
         return aiohttp.ClientSession(timeout=timeout, middlewares=(never_resend,), trust_env=False)
 
     async def fetch(self) -> None:
-        """Request the full list once, as the scheduler demanded; the watch goes on beside it."""
+        """Request the full list once, on behalf of the scheduler; the watch continues concurrently."""
         try:
             async with self._session(FULL_LIST_TIMEOUT) as session:
                 await self._call(session)
         except Exception:
-            # Any type: whatever the agent sends, the scheduler has to be notified that there is no list.
-            logger.warning("discovery: full list failed, the list in use stays", exc_info=True)
+            # Catches every type: whatever the agent sends, the scheduler must be notified of the failure.
+            logger.warning("discovery: full list request failed, keeping the current list", exc_info=True)
             self._on_update(UpdateKind.FAILED, 0, (), 0.0)
 
     async def run(self) -> None:
-        """Watch the list forever; a call that fails is repeated after a backoff."""
+        """Watch the list until cancelled; a failed call is retried after a backoff."""
         failures = 0
         async with self._session(WATCH_TIMEOUT) as session:
             while True:
@@ -251,8 +257,8 @@
                     await self._call(session, self._version, watch=True)
                     failures = 0
                 except Exception as error:
-                    # Any type: whatever an agent sends, the watch goes on.
-                    logger.warning("discovery: watch failed, the list in use stays", exc_info=True)
+                    # Catches every type: whatever the agent sends, the watch must continue.
+                    logger.warning("discovery: watch call failed, keeping the current list", exc_info=True)
                     await self._back_off(error, started_ms, failures)
                     failures += 1
 
@@ -260,7 +266,7 @@
         timed_out = isinstance(error, TimeoutError)
         self._freshness.on_failure(started_ms, timed_out)
         if timed_out and self._is_pushed:
-            return  # the call has waited long enough: a backoff on top would only make the list older
+            return  # the call has already waited; an additional backoff would only make the list older
         overloaded = isinstance(error, DiscoveryOverloadedError)
         max_ms = MAX_BACKOFF_MS if overloaded else self._max_backoff_ms
         await asyncio.sleep(self.backoff.delay_ms(failures, max_ms) / 1000)
@@ -273,6 +279,8 @@
     ) -> None:
         """Request the full list, or the changes after a version, and apply them.
 
+        :param since: version after which changes are requested; None requests the full list.
+        :param watch: whether the call belongs to the watch.
         :raises DiscoveryOverloadedError: the call was rejected.
         :raises EndpointListError: the list is malformed.
         """
@@ -284,7 +292,7 @@
             if response.status != 200 or raw is None:
                 raise DiscoveryOverloadedError(f"status {response.status}, or too long")
         if url != self._url:
-            return  # from the agent before: it may be older than what the new one has sent
+            return  # response of the previous agent; it may be older than the list of the current one
         received = msgspec.json.decode(raw, type=ServerList)
         self._apply(received, UpdateKind.FULL if received.full else UpdateKind.CHANGES)
         if watch:
--- a/shaletiller/net/errors.py
+++ b/shaletiller/net/errors.py
@@ -4,33 +4,37 @@
 
 
 class RequestExpiredError(Exception):
-    """A client's request whose timeout had passed before its turn came; no node has seen it."""
+    """The timeout of a client's request expired before it was sent to any node."""
 
 
 class ConnectionBrokenError(Exception):
-    """The connection to a node failed under a request.
+    """The connection to a node failed during a request.
 
-    On purpose neither an `OSError` nor an `aiohttp.ClientError`; see `http_upstream.never_resend`.
+    Deliberately neither an `OSError` nor an `aiohttp.ClientError`; see `http_upstream.never_resend`.
     """
 
 
 class EndpointListError(Exception):
-    """An endpoint list that discovery must not send; the list in use stays."""
+    """An endpoint list from discovery is invalid; the current list stays in use."""
 
 
 class DiscoveryOverloadedError(EndpointListError):
-    """Discovery is reachable and rejects the call."""
+    """Discovery is reachable but rejects the call."""
 
 
 class AdminCommandError(Exception):
-    """An operator's command that is rejected; its message follows `error` on the response line."""
+    """An operator's command is rejected; the message follows `error` on the response line."""
 
 
 class RequestRejectedError(Exception):
-    """A client's request that is answered with an HTTP error; no node has seen it."""
+    """A client's request is rejected with an HTTP error; it was not sent to any node."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """Name the response's status and, as its body, the reason."""
+        """Create an error.
+
+        :param status: status of the HTTP response.
+        :param reason: body of the HTTP response.
+        """
         super().__init__(reason)
         self.status = status
         self.reason = reason
--- a/shaletiller/net/http_request.py
+++ b/shaletiller/net/http_request.py
@@ -1,8 +1,8 @@
-"""Parsing a client's request head into a call.
+"""Parser for the request head of a client.
 
-Every field is matched in full against what the protocol allows: two readers of an ambiguous head (a header
-twice, a number with an exponent) could take it for two different requests.  The texts of `BadRequestError`
-are sent to the client.
+Each field must match the format of the protocol completely: the gateway and a node could interpret an
+ambiguous head (a duplicate header, a number with an exponent) as two different requests.  The texts of
+`BadRequestError` are sent to the client.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 VOLUME_PATTERN = re.compile(r"[0-9a-f]{16}", re.IGNORECASE | re.ASCII)
 REQUEST_ID_PATTERN = re.compile(r"[!-~]{1,128}", re.ASCII)
-# Visible characters; blanks only within, for the key may be a quoted string.
+# Visible characters; spaces only between them, because the key may be a quoted string.
 IDEMPOTENCY_KEY_PATTERN = re.compile(r"[!-~](?:[ -~]{0,254}[!-~])?", re.ASCII)
 TARGET_PATTERN = re.compile(r"/api\?(?:[!-~]*&)?key=([0-9a-f]{16})(?:&[!-~]*)?", re.IGNORECASE | re.ASCII)
 KEY_PARAMETER_PATTERN = re.compile(r"[?&]key=", re.ASCII)
@@ -40,7 +40,7 @@
 
 
 def _single_header(head: RawRequestMessage, name: str) -> str:
-    """Return a header that must occur exactly once: of two, another reader might take the other."""
+    """Return a header that must occur exactly once: another parser might select the other duplicate."""
     values = head.headers.getall(name, ())
     if len(values) != 1:
         raise BadRequestError(f"{name}: wanted once, found {len(values)} times")
@@ -48,7 +48,7 @@
 
 
 def _idempotency_key(head: RawRequestMessage) -> str:
-    """Return the key, whether or not the class requires one: the node is to see what the client sent."""
+    """Return the key; it is forwarded to the node even if the request class does not require one."""
     if "Idempotency-Key" not in head.headers:
         return ""
     key = _single_header(head, "Idempotency-Key")
@@ -63,12 +63,12 @@
     queued_ms: float = 0.0,
     max_timeout_ms: float = math.inf,
 ) -> ClientCall:
-    """Read the call from a request's head.
+    """Parse the head of a request into a call.
 
-    :param queued_ms: how long the request has waited behind others; its timeout is shorter by that.
-    :param max_timeout_ms: bound of the call's timeout.
-    :raises BadRequestError: names what is missing or malformed.
-    :raises RequestExpiredError: the request's timeout has passed while it waited.
+    :param queued_ms: time for which the request has waited behind others; it is subtracted from its timeout.
+    :param max_timeout_ms: upper limit of the call's timeout.
+    :raises BadRequestError: a field is missing or malformed; the text names it.
+    :raises RequestExpiredError: the request's timeout expired while it waited.
     """
     target = TARGET_PATTERN.fullmatch(head.path)
     if target is None or "#" in head.path or len(KEY_PARAMETER_PATTERN.findall(head.path)) != 1:
@@ -104,6 +104,6 @@
 
 
 def find_request_class(head: bytes) -> str:
-    """Find the class that an unparsed request names; empty if its first bytes name none."""
+    """Return the request class from the first bytes of an unparsed request; empty if they contain none."""
     found = REQUEST_CLASS_LINE.search(head)
     return found[1].decode() if found else ""
--- a/shaletiller/net/http_server.py
+++ b/shaletiller/net/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server for clients: requests in, final responses out."""
+"""HTTP server for clients: passes requests to the engine and sends its final responses."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 logger = logging.getLogger(__name__)
 
-# A request that arrives so shortly before the process ends, and whose own timeout lies beyond that, is
-# rejected: the next process may have time for it.  Empirical: longer rejects what could still be served,
-# shorter lets a request fail at the end.
+# A request is rejected if less than this time remains before the process ends and its own timeout is no
+# shorter: the next process may have enough time.  A larger value rejects requests that could still be served;
+# a smaller value lets requests fail when the process ends.
 MIN_SHUTDOWN_BUDGET_MS = 300.0
-MAX_LOGGED_ID = 64  # characters of a request's id in a log line
+MAX_LOGGED_ID = 64  # maximum characters of a request id in a log line
 
 
 class BodyTimer:
-    """Ends the wait for a body, unless a part of it is still unread.
+    """Timeout for receiving a body, extended while the connection has unread input.
 
-    After a stall of this process the rest may lie in the kernel.  A body's size is bounded, so a client
-    cannot stay by sending on.
+    After this process has stalled, the rest of the body may be in the kernel's buffer.  A client cannot
+    extend its time indefinitely by sending more, because the size of a body is limited.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
     ) -> None:
         """Start the timer.
 
-        :param timeout: expires with it.
+        :param timeout: timeout that expires when the timer does.
         """
         self._clock = clock
         self._connection = connection
@@ -62,12 +62,12 @@
             self._timeout.reschedule(asyncio.get_running_loop().time())
 
     def cancel(self) -> None:
-        """Stop the timer; without effect once it has expired."""
+        """Stop the timer; has no effect once it has expired."""
         self._timer.cancel()
 
 
 class HttpServer:
-    """Listens for clients; each request waits for the engine's one final response."""
+    """Serves clients; each request waits for its one final response from the engine."""
 
     def __init__(
         self,
@@ -76,9 +76,9 @@
         is_ready: Callable[[], bool],
         clock: Clock,
     ) -> None:
-        """Make a server that does not listen yet.
+        """Create a server that does not listen yet.
 
-        :param is_ready: whether this gateway can serve, for `GET /up`.
+        :param is_ready: returns whether this gateway can serve requests, for `GET /up`.
         """
         self._engine = engine
         self._is_ready = is_ready
@@ -91,14 +91,12 @@
             OverloadControl(clock, lambda: engine.settings.retry_after_allowed, self._count_unread_rejection),
         )
         self._closing = False
-        self.shutdown_deadline_ms = math.inf  # by then this process has answered everything it took
+        self.shutdown_deadline_ms = math.inf  # time by which all requests have a response
         self.address: tuple[str, int] = ("", 0)
 
-    # ---- start and shutdown
-
     @property
     def connections(self) -> int:
-        """How many client connections there are, in any state."""
+        """Number of client connections, in any state."""
         return self._listener.connections
 
     def start(self, host: str, port: int) -> None:
@@ -114,21 +112,21 @@
     def set_draining(self, draining: bool) -> None:
         """Start or end draining.
 
-        While draining, `GET /up` is 503, responses close their connections, and idle ones end.
-        New connections are still accepted: the load balancer in front stops sending only after a while.
+        While draining, `GET /up` returns 503, responses close their connections, and idle connections are
+        closed.  New connections are still accepted, because the load balancer stops sending with a delay.
         """
         self._listener.draining = draining
 
     def stop_accepting(self) -> None:
-        """Accept no further connections; those that there are may still send requests."""
+        """Stop accepting connections; open connections may still send requests."""
         self._listener.stop_accepting()
 
     def close_after_responses(self) -> None:
-        """Close each connection with its next response from now on."""
+        """Close each connection with its next response."""
         self._closing = True
 
     async def stop(self, grace_s: float) -> None:
-        """Close every connection: pending responses are sent first, for `grace_s` at most."""
+        """Close every connection, after waiting up to `grace_s` for pending responses."""
         self._closing = True
         await self._listener.stop(grace_s)
 
@@ -139,15 +137,13 @@
 
     @staticmethod
     def _ends_too_soon(call: ClientCall, remaining_ms: float) -> bool:
-        """Whether the process ends before the call's own timeout, and too soon to begin it."""
+        """Whether the process ends too soon to start the call, and no later than the call's timeout."""
         return remaining_ms < MIN_SHUTDOWN_BUDGET_MS and call.timeout_ms >= remaining_ms
 
-    # ---- fast path
-
     def _serve_fast_path(self, connection: ClientConnection, head: RawRequestMessage, body: bytes) -> bool:
         """Serve a complete request without aiohttp's task.
 
-        :returns: False for everything unusual, errors included; `_handle` serves that.
+        :returns: False for unusual requests, including erroneous ones; `_handle` serves these.
         """
         remaining_ms = self.shutdown_deadline_ms - self._clock.now_ms()
         if remaining_ms <= 0 or not head.path.startswith("/api?"):
@@ -178,10 +174,8 @@
             lines += "Connection: close\r\n"
         return f"{lines}\r\n".encode() + response.body
 
-    # ---- aiohttp's handler
-
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve what the fast path declined; client errors end the connection."""
+        """Serve a request that the fast path declined; client errors close the connection."""
         connection = request.protocol
         assert isinstance(connection, ClientConnection)
         try:
@@ -190,7 +184,7 @@
             self._check_head(request)
             complete = request.content.is_eof()
             body = await self._receive_body(request, connection)
-            # A request that was pipelined behind another has waited here since it arrived.
+            # A request that was pipelined behind another one has waited since it was received.
             queued_ms = 0.0
             if complete and connection.arrivals_ms:
                 queued_ms = self._clock.now_ms() - connection.arrivals_ms[0]
@@ -216,7 +210,7 @@
     async def _receive_body(self, request: web.BaseRequest, connection: ClientConnection) -> bytes:
         """Receive the body.
 
-        :raises RequestRejectedError: it is too large, malformed, or too slow.
+        :raises RequestRejectedError: the body is too large, malformed, or not received in time.
         """
         try:
             body = await self._read_body(request, connection)
@@ -231,7 +225,7 @@
     async def _read_body(self, request: web.BaseRequest, connection: ClientConnection) -> bytes | None:
         """Read the body; None if it is too large.
 
-        :raises TimeoutError: it is not complete in time.
+        :raises TimeoutError: the body is not complete in time.
         """
         if connection.prefetched_body is not None:
             body, connection.prefetched_body = connection.prefetched_body, None
@@ -240,7 +234,7 @@
             return b""
         if (request.content_length or 0) > MAX_BODY_BYTES:
             return None
-        if request.content.is_eof():  # it is complete
+        if request.content.is_eof():  # the body is complete
             return await read_bounded(request.content)
         remaining_ms = connection.state_since_ms + limits.REQUEST_TIMEOUT_MS - self._clock.now_ms()
         async with asyncio.timeout(None) as timeout:
@@ -251,12 +245,12 @@
                 timer.cancel()
 
     async def _call_engine(self, head: RawRequestMessage, body: bytes, queued_ms: float) -> FinalResponse:
-        """Have the engine serve a request.
+        """Submit a request to the engine and wait for its final response.
 
-        If the client leaves, aiohttp cancels this, and the engine is notified.
+        If the client disconnects, aiohttp cancels this coroutine, and the engine is notified.
 
         :raises RequestRejectedError: the request is malformed.
-        :raises RequestExpiredError: there is no time left for it.
+        :raises RequestExpiredError: no time is left to serve the request.
         """
         remaining_ms = self.shutdown_deadline_ms - self._clock.now_ms()
         pending: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
@@ -275,12 +269,10 @@
         try:
             return await pending
         finally:
-            self._engine.client_disconnected(exchange)  # does nothing if the exchange is over
-
-    # ---- responses
+            self._engine.client_disconnected(exchange)  # has no effect if the exchange has ended
 
     def _status(self, response: FinalResponse) -> tuple[int, str]:
-        """Return a response's status, and its Retry-After, empty for none."""
+        """Return the status of a response, and its Retry-After value or an empty string."""
         if response.result is FinalResult.SERVED:
             return 200, ""
         if response.result is FinalResult.FAILED:
@@ -296,23 +288,24 @@
         )
 
     def _close_if_leaving(self, response: web.Response, connection: ClientConnection) -> web.Response:
-        """Close the connection with its response, if the server drains, ends, or is crowded.
+        """Close the connection with this response if the server is draining, stopping or near its limit.
 
-        In a crowd, clients that send one request and keep their connections would hold every place until
-        they may be evicted, and no one else would be accepted.  What was pipelined is owed a response first.
+        Near the connection limit, clients that send one request and keep their connections open would
+        otherwise use up the limit until they may be evicted, and no new clients would be accepted.  A
+        connection with a pipelined request stays open for the response to that request.
         """
         if self._closes_connections and not connection.has_pipelined_request:
             response.force_close()
         return response
 
     def _reject_expired(self, request: web.BaseRequest) -> FinalResponse:
-        """Reject a request that has no time left here; the next process may have some."""
+        """Reject a request for which no time is left; the next process may have enough."""
         self._engine.count_result(request.headers.get("Request-Class", ""), FinalResult.REJECTED)
         self._engine.counters.count_reason(FinalResult.REJECTED, GuardReason.SHUTDOWN)
         return FinalResponse(FinalResult.REJECTED, retry_after_ms=MIN_SHUTDOWN_BUDGET_MS)
 
     def _error_response(self, request: web.BaseRequest, error: RequestRejectedError) -> web.Response:
-        """Make an error that ends the connection, counted as failed for the class that the request named."""
+        """Create an error response that closes the connection; count a failure for the request's class."""
         self._engine.count_result(request.headers.get("Request-Class", ""), FinalResult.FAILED)
         request_id = request.headers.get("Request-Id", "")[:MAX_LOGGED_ID]
         logger.info(
--- a/shaletiller/net/http_upstream.py
+++ b/shaletiller/net/http_upstream.py
@@ -1,4 +1,4 @@
-"""The HTTP client for storage nodes: one attempt is one request on one connection, never sent twice."""
+"""HTTP client for storage nodes: an attempt sends one request on one connection and is never resent."""
 
 from __future__ import annotations
 
@@ -26,54 +26,55 @@
 
 logger = logging.getLogger(__name__)
 
-# Up to this size a body is handed to the socket in one piece.  Empirical: well below a socket's send buffer,
-# and above most bodies.
+# Maximum body size for which a request is written to the socket in one piece.  It must be well below the size
+# of a socket's send buffer; a larger value lets more requests take the fast path.
 MAX_SINGLE_WRITE_BYTES = 16 * 1024
-# Part of the node's idle timeout after which this side stops using a connection.  aiohttp sweeps its pool
-# once in each such time, so a connection closes after twice this part at the latest, before the node's own
-# close.
+# Fraction of the node's idle timeout after which an idle connection is not reused.  aiohttp sweeps its pool
+# once per such interval, so an idle connection is closed after at most twice this fraction, before the node
+# closes it.
 IDLE_TIMEOUT_PART = 0.4
-# Nodes write a response in one go: one that stops half way will not go on, and is retried while there is
-# time.  Empirical: longer than a retransmission on the site's network takes.
+# Time for receiving the rest of a response after its head.  Nodes write a response at once: one that stops
+# midway will not continue, and the attempt can be retried.  The value must exceed a retransmission on the
+# site's network; a larger value leaves less time for the retry.
 BODY_TIMEOUT_S = 0.1
-# The bounds of a node's response: what one connection can hold of the memory.
+# Limits of a node's response; they limit the memory of one connection.
 RESPONSE_LIMITS: Any = {
     "read_bufsize": MAX_BODY_BYTES,
     "max_line_size": 4096,
     "max_field_size": 4096,
     "max_headers": 64,
 }
-MAX_REPORT_VALUE = 1e9  # a load report's larger values are malformed
+MAX_REPORT_VALUE = 1e9  # larger values of a load report are malformed
 INTEGER_PATTERN = re.compile(r"\d{1,9}", re.ASCII)
 REPORT_DECODER = msgspec.json.Decoder(dict[str, float])
 
 
 async def never_resend(request: ClientRequest, handler: ClientHandlerType) -> ClientResponse:
-    """Client middleware that keeps aiohttp from resending a request on its own.
+    """Client middleware that prevents aiohttp from resending a request.
 
-    If an idle connection breaks under a request, aiohttp silently resends idempotent methods, PUT among them:
-    a node would run a non-idempotent write twice, and no counter would show it.  aiohttp does so only on the
-    two exceptions below; raised as another type, that is no subclass of theirs, they end the attempt.
+    If a reused connection breaks during a request, aiohttp silently resends requests with idempotent methods,
+    including PUT: a node would run a non-idempotent write twice, and no counter would show it.  aiohttp
+    resends only on the two exceptions below; converted to an unrelated type, they end the attempt.
     """
     try:
         return await handler(request)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-        raise  # never connected; aiohttp does not resend after these
+        raise  # not connected; aiohttp does not resend after these
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
         raise ConnectionBrokenError(str(error)) from error
 
 
 @dataclass(slots=True)
 class UploadProgress:
-    """Whether the last byte of a request was handed to its connection."""
+    """Progress of sending a request: whether its last byte was passed to the connection."""
 
     last_byte_written: bool = False
 
 
 async def split_last_byte(body: bytes, progress: UploadProgress) -> AsyncIterator[bytes]:
-    """Yield a large body, its last byte apart: a connection that breaks before that byte ran nothing.
+    """Yield a large body, and its last byte separately: without that byte, a node cannot run the request.
 
-    The mark is set before the byte is yielded: written or not, from then on the request may have run.
+    `last_byte_written` is set before the last byte is yielded, because the request may run from then on.
     """
     yield body[:-1]
     progress.last_byte_written = True
@@ -81,13 +82,13 @@
 
 
 def is_upload_complete(tracker: aiohttp.UploadTracker) -> bool:
-    """Whether the complete request was handed to its connection."""
+    """Whether the complete request was passed to the connection."""
     upload = tracker.upload_complete
     return upload.done() and not upload.cancelled() and upload.exception() is None
 
 
 def parse_load_report(text: str, columns: tuple[str, ...]) -> tuple[tuple[str, float], ...]:
-    """Parse the known columns of a load report; a malformed report counts as none."""
+    """Parse the configured columns of a load report; returns none for a malformed report."""
     try:
         report = REPORT_DECODER.decode(text)
     except (msgspec.MsgspecError, RecursionError):
@@ -96,7 +97,7 @@
 
 
 def parse_integer_header(text: str | None) -> float | None:
-    """Parse a header's number; None if it is absent or malformed."""
+    """Parse an integer header; None if it is absent or malformed."""
     return float(text) if text and INTEGER_PATTERN.fullmatch(text) else None
 
 
@@ -104,7 +105,7 @@
     """The `UpstreamClient` for HTTP: one client session for all nodes."""
 
     def __init__(self, settings: Settings, max_connections: int, clock: Clock) -> None:
-        """Make a client that connects at the first attempt."""
+        """Create a client that connects at the first attempt."""
         self._settings = settings
         self._max_connections = max_connections
         self._clock = clock
@@ -112,11 +113,11 @@
 
     @property
     def max_per_node(self) -> int:
-        """How many connections there may be to one node: a third, so that no one node takes them all."""
+        """Maximum connections to one node: a third of all, so that one node cannot use up the limit."""
         return max(4, self._max_connections // 3)
 
     def _session(self) -> aiohttp.ClientSession:
-        if self._open_session is None:  # made late, for it needs the running loop
+        if self._open_session is None:  # created here, because it needs the running event loop
             self._open_session = aiohttp.ClientSession(
                 connector=UpstreamConnector(
                     self._max_connections, self.max_per_node, self._idle_timeout_s, self._clock
@@ -131,7 +132,7 @@
         return self._open_session
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings to what begins from now on: timeouts, and what is read of responses."""
+        """Apply new settings to further attempts: timeouts, and the columns of load reports."""
         self._settings = settings
         if self._open_session is not None and isinstance(self._open_session.connector, UpstreamConnector):
             self._open_session.connector.set_idle_timeout(self._idle_timeout_s)
@@ -140,8 +141,6 @@
     def _idle_timeout_s(self) -> float:
         return self._settings.connection_idle_ms / 1000 * IDLE_TIMEOUT_PART
 
-    # ---- attempts
-
     async def attempt(
         self,
         address: str,
@@ -151,8 +150,8 @@
     ) -> AttemptResult:
         """Send a call to a node once.
 
-        :param timeout_ms: sent along; the engine cancels the attempt by then.
-        :param start_within_ms: if no connection is up by then, nothing is sent.
+        :param timeout_ms: sent to the node; the engine cancels the attempt after this time.
+        :param start_within_ms: time limit for connecting; after it, nothing is sent.
         """
         headers = {"Request-Id": call.id, "Request-Timeout-Ms": str(max(1, round(timeout_ms)))}
         if call.idempotency_key:
@@ -175,11 +174,11 @@
         call: ClientCall,
         headers: dict[str, str],
     ) -> AttemptResult:
-        """Write a request to an idle connection in one piece (the fast path).
+        """Write a request to an idle connection in one piece (fast path).
 
-        aiohttp's session would make a request, a writer and a response, which costs more than all the rest.
-        Whatever fails here fails after the last byte was written, so the outcome is RESET: the request may
-        have run, and a non-idempotent one must not be retried.
+        aiohttp's session would create a request, a writer and a response, which costs more than the rest of
+        the attempt.  Any failure is treated as one after the last byte was written, with the outcome RESET:
+        the request may have run, and a non-idempotent one must not be retried.
         """
         reusable = False
         try:
@@ -196,10 +195,10 @@
             reusable = body is not None and message.code != 101
             return self._result(message.code, message.headers, body, self._node_latency_ms(protocol))
         except Exception:
-            # Any type: a corrupt response may fail the parser in ways that it does not document, and each of
-            # them is the same outcome.
+            # Catches every type: a corrupt response may cause undocumented exceptions in the parser, and the
+            # outcome is the same for each.
             logger.warning(
-                "node %s: request %s failed after its last byte was written, it may have run",
+                "node %s: request %s failed after its last byte was written, so it may have run",
                 address,
                 call.id,
                 exc_info=True,
@@ -215,13 +214,13 @@
         headers: dict[str, str],
         start_within_ms: float,
     ) -> AttemptResult:
-        """Send a request on a new connection, or with a large body (the slow path).
+        """Send a request on a new connection, or with a large body (slow path).
 
         A failure before the last byte was written is CONNECT_FAILED: the node cannot have run an incomplete
-        request, so any request may be retried.  After it, the outcome is RESET: it may have run.  Taking a
-        RESET for a CONNECT_FAILED would run a non-idempotent write twice.
+        request, so any request may be retried.  A failure after it is RESET: the request may have run.
+        Reporting CONNECT_FAILED instead of RESET could run a non-idempotent write twice.
         """
-        # The deadline is the engine's; only connecting has a timeout of its own.
+        # The engine enforces the deadline; only connecting has a separate timeout.
         connect_ms = min(self._settings.connect_timeout_ms, max(1.0, start_within_ms))
         timeout = aiohttp.ClientTimeout(total=None, sock_read=None, connect=connect_ms / 1000)
         progress = UploadProgress()
@@ -243,38 +242,38 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return AttemptResult(Outcome.CONNECT_FAILED)
         except Exception:
-            # Any type: a corrupt response may fail aiohttp in ways that it does not document, and what counts
-            # is only whether the last byte was written.
+            # Catches every type: a corrupt response may cause undocumented exceptions in aiohttp, and the
+            # outcome depends only on whether the last byte was written.
             may_have_run = progress.last_byte_written or is_upload_complete(tracker)
             logger.warning(
                 "node %s: request %s failed %s",
                 address,
                 call.id,
-                "after its last byte was written, it may have run"
+                "after its last byte was written, so it may have run"
                 if may_have_run
-                else "before its last byte was written, it has not run",
+                else "before its last byte was written, so it has not run",
                 exc_info=True,
             )
             return AttemptResult(Outcome.RESET if may_have_run else Outcome.CONNECT_FAILED)
         finally:
-            is_upload_complete(tracker)  # retrieves its exception, which asyncio would log as never retrieved
+            is_upload_complete(tracker)  # retrieves an exception that asyncio would log as never retrieved
 
     async def _receive(self, address: str, response: ClientResponse) -> AttemptResult:
-        """Read a response of the session, and keep its connection from reuse if it is in doubt."""
+        """Read a response of the session; prevent reuse of its connection if the response is not clean."""
         body = await self._read_body(response.headers, response.content)
         if body is None:
-            response.close()  # the rest of it must not precede another request's response
+            response.close()  # the rest must not be taken for the response to another request
         if response.status == 101:
-            self.close_idle(address)  # aiohttp has put a connection that speaks another protocol there
+            self.close_idle(address)  # aiohttp has returned a connection with another protocol to the pool
         latency_ms = self._node_latency_ms(response._protocol)
         return self._result(response.status, response.headers, body, latency_ms)
 
     @staticmethod
     async def _read_body(headers: Mapping[str, str], content: aiohttp.StreamReader) -> bytes | None:
-        """Read a response's body.
+        """Read the body of a response.
 
-        :returns: None if the body is too large, has no defined end or stops half way; the connection must
-            then not be used again.
+        :returns: None if the body is too large, has no defined end or is incomplete after `BODY_TIMEOUT_S`;
+            the connection must then not be reused.
         """
         length = headers.get("Content-Length")
         has_defined_end = (length is None) != (headers.get("Transfer-Encoding") is None)
@@ -291,11 +290,11 @@
     def _node_latency_ms(protocol: Any) -> float | None:
         """Return the time from writing the request to reading the end of the response.
 
-        It excludes the time until this process came to write the one and process the other.  Counted as the
-        node's, a gateway short of CPU would take its nodes for slow and shed load, and its retries would
-        leave it shorter still.
+        It excludes the time for which this process delays writing the request and processing the response.
+        If that time were included, a gateway short of CPU would consider its nodes slow, shed load and retry,
+        and its retries would make the shortage worse.
 
-        :returns: None where it was not measured.
+        :returns: None if it was not measured.
         """
         if (
             not isinstance(protocol, UpstreamProtocol)
@@ -311,10 +310,11 @@
         body: bytes | None,
         latency_ms: float | None,
     ) -> AttemptResult:
-        """Make an attempt's result from its response.
+        """Create the result of an attempt from its response.
 
-        Only `Not-Started: 1` on a 503 or 504 proves that the request has not run (FULL).  Any other error, a
-        429 or a bare 503 too, proves nothing: retried as FULL, a non-idempotent write could run twice.
+        Only `Not-Started: 1` on a 503 or 504 proves that the request has not run (FULL).  Any other error,
+        including a 429 or a 503 without this header, proves nothing: treated as FULL, a non-idempotent write
+        could run twice.
         """
         if status == 200 and body is not None:
             outcome = Outcome.OK
@@ -333,10 +333,8 @@
             latency_ms=latency_ms,
         )
 
-    # ---- health checks
-
     async def probe(self, address: str) -> AttemptResult:
-        """Check a node's health, and read its load report where the settings name one."""
+        """Check a node's health, and read its load report if the settings configure one."""
         path = "/metrics/load" if self._settings.load_report_fields else "/alive"
         started_ms = self._clock.now_ms()
         try:
@@ -352,19 +350,17 @@
         except TimeoutError:
             return AttemptResult(Outcome.TIMEOUT)
         except Exception:
-            # Any type: whatever a node sends, its health check has failed, and the checks go on.
+            # Catches every type: whatever the node sends, the health check has failed, and checks continue.
             elapsed_ms = self._clock.now_ms() - started_ms
             logger.warning("node %s: health check failed after %.0f ms", address, elapsed_ms, exc_info=True)
             return AttemptResult(Outcome.CONNECT_FAILED)
 
-    # ---- closing
-
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to a node."""
+        """Close all idle connections to a node."""
         if self._open_session is not None and isinstance(self._open_session.connector, UpstreamConnector):
             self._open_session.connector.close_idle(address)
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         if self._open_session is not None:
             await self._open_session.close()
--- a/shaletiller/net/links.py
+++ b/shaletiller/net/links.py
@@ -1,7 +1,8 @@
 """TCP links between gateways: one connection in each direction, with length-prefixed frames.
 
-A link may lose messages, as datagrams may.  While it is down or congested it queues the newest messages and
-drops the oldest, since newer ones supersede them.  What a connection had buffered when it broke is lost.
+A link may lose messages, like datagrams.  While it is disconnected or congested, it queues the newest
+messages and drops the oldest, because newer messages supersede them.  Data buffered by a broken connection is
+lost.
 """
 
 from __future__ import annotations
@@ -17,36 +18,36 @@
 
 logger = logging.getLogger(__name__)
 
-FRAME_HEADER = struct.Struct(">I")  # length of the frame that follows, in bytes
+FRAME_HEADER = struct.Struct(">I")  # length of the following frame in bytes
 MAX_FRAME_BYTES = 160 * 1024  # a replicated response body of 64 KiB, its key and its envelope, with headroom
-# Empirical: messages queued for one link.  A longer queue delivers outdated messages after an outage, a
-# shorter one drops messages in a burst.
+# Maximum messages queued for one link.  A larger value delivers outdated messages after an outage; a smaller
+# value drops messages in a burst.
 MAX_QUEUED_MESSAGES = 1024
-# Empirical: bytes passed to the kernel and not yet taken by it, above which messages stay in the queue, where
-# the oldest can still be dropped.
+# Size of the transport's write buffer from which messages stay in the queue, where the oldest can still be
+# dropped.
 MAX_BUFFERED_BYTES = 64 * 1024
-# Backoff between attempts to connect: full jitter below a bound that doubles with each failure.  Empirical: a
-# shorter one loads a gateway that restarts, a longer one delays its return to the fleet.
+# Backoff between attempts to connect: full jitter with an upper bound that doubles with each failure, from
+# the first value to the second.  Smaller values increase the load on a restarting gateway; larger values
+# delay its return to the fleet.
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 2.0
-MAX_BACKOFF_DOUBLINGS = 16  # keeps the power of two small; the bound is reached long before
+MAX_BACKOFF_DOUBLINGS = 16  # keeps the power of two small; `MAX_BACKOFF_S` applies long before
 CONNECT_TIMEOUT_S = (
-    1.0  # gateways of a fleet are on one network: a slower answer means that it is partitioned
+    1.0  # gateways of a fleet share one network; a slower connect indicates a partition
 )
-# A connection whose peer acknowledges nothing for so long is closed, and what the kernel buffered is
-# discarded.  After a partition heals, the connection would otherwise first deliver messages that are long out
-# of date.
+# Time without acknowledgements from the peer after which a connection is closed and the kernel's buffer
+# discarded.  Otherwise, after a partition heals, the connection would first deliver outdated messages.
 TCP_USER_TIMEOUT_MS = 1_500
 
 
 class Link:
-    """Outgoing link to one other gateway."""
+    """Outgoing link to another gateway."""
 
     def __init__(self, address: tuple[str, int], jitter: random.Random) -> None:
         """Create a link that is not connected; `run` connects it.
 
-        :param address: of that gateway.
-        :param jitter: source of the backoff's jitter.
+        :param address: address of the other gateway.
+        :param jitter: random number generator for the backoff's jitter.
         """
         self._address = address
         self._random = jitter
@@ -56,7 +57,7 @@
         self.connects = 0
 
     def send(self, data: bytes) -> None:
-        """Queue a message; a full queue drops its oldest."""
+        """Queue a message; if the queue is full, its oldest message is dropped."""
         if len(self._queue) == MAX_QUEUED_MESSAGES:
             self.dropped += 1
         self._queue.append(data)
@@ -79,8 +80,8 @@
             try:
                 await self._serve(reader, writer)
             except Exception:
-                # Not OSError alone: uvloop answers a call on a connection that was just reset with a
-                # RuntimeError.  It ended this task, and the link stayed down until the process restarted.
+                # Not only OSError: uvloop raises RuntimeError for a call on a connection that was just reset.
+                # Uncaught, it would end this task and keep the link down until the process restarts.
                 host, port = self._address
                 logger.warning("fleet link to %s:%d lost, reconnecting", host, port, exc_info=True)
             finally:
@@ -93,7 +94,8 @@
         if sock is not None:
             with contextlib.suppress(OSError, AttributeError):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
-        closed = asyncio.ensure_future(reader.read(1))  # the peer sends nothing here: a result is the end
+        # The peer sends no data on this connection, so a result means that it has closed it.
+        closed = asyncio.ensure_future(reader.read(1))
         try:
             while not closed.done():
                 await self._wait_for_message(closed)
@@ -105,7 +107,7 @@
                 await closed
 
     async def _wait_for_message(self, closed: asyncio.Future[bytes]) -> None:
-        """Return when a message is queued or the connection is closed."""
+        """Wait until a message is queued or the connection is closed."""
         queued = asyncio.ensure_future(self._is_queued.wait())
         try:
             await asyncio.wait((queued, closed), return_when=asyncio.FIRST_COMPLETED)
@@ -121,7 +123,7 @@
 
 
 class Links:
-    """All links of a gateway: outgoing to each other gateway, and the listener for theirs."""
+    """All links of a gateway: an outgoing link to each other gateway, and a listener for incoming ones."""
 
     def __init__(
         self,
@@ -133,9 +135,9 @@
         """Create the links; `start` connects them.
 
         :param me: number of this gateway.
-        :param addresses: of all gateways, by number.
+        :param addresses: addresses of all gateways, by number.
         :param on_message: receives each message of another gateway.
-        :param seed: of the backoff's jitter.
+        :param seed: seed of the backoff's jitter.
         """
         jitter = random.Random(seed)
         self._listen_address = addresses[me]
@@ -148,31 +150,31 @@
 
     @property
     def dropped(self) -> int:
-        """Messages dropped from full queues."""
+        """Number of messages dropped from full queues."""
         return sum(link.dropped for link in self._links.values())
 
     async def start(self) -> None:
         """Listen, and connect to the other gateways.
 
-        During a rolling restart the old process still listens on the address: without SO_REUSEPORT the new
+        During a rolling restart the old process still listens on the address; without SO_REUSEPORT the new
         process would fail to start.
         """
         self._server = await asyncio.start_server(self._receive, *self._listen_address, reuse_port=True)
         self._tasks = [asyncio.ensure_future(link.run()) for link in self._links.values()]
 
     def send(self, member: int, data: bytes) -> None:
-        """Queue a message to a gateway; it may be lost."""
+        """Queue a message for another gateway; it may be lost."""
         self._links[member].send(data)
 
     async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Read frames of one connection until it ends."""
+        """Read frames from an incoming connection until it ends."""
         self._accepted.add(writer)
         try:
             while True:
                 (length,) = FRAME_HEADER.unpack(await reader.readexactly(FRAME_HEADER.size))
                 if not 0 < length <= MAX_FRAME_BYTES:
                     logger.warning(
-                        "fleet link from %s closed: frame of %d bytes, the limit is %d",
+                        "fleet link from %s: frame length is %d bytes, expected 1 to %d, connection closed",
                         writer.get_extra_info("peername"),
                         length,
                         MAX_FRAME_BYTES,
--- a/shaletiller/net/listener.py
+++ b/shaletiller/net/listener.py
@@ -1,7 +1,7 @@
-"""The listener for clients: accepts connections, starts them, times them out, and drains at shutdown.
+"""Listener for client connections: accepts, starts and times out connections, and drains at shutdown.
 
-What one connection does is in `client_connection`; which one has to end, in `connection_table`; which one is
-rejected before it is started, in `overload_control`.
+`client_connection` handles one connection, `connection_table` chooses connections to end, and
+`overload_control` rejects connections before they are started.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 
 class _Server(web.Server):
-    """aiohttp's server, which makes this package's connections."""
+    """aiohttp server that creates a `ClientConnection` for each connection."""
 
     def __init__(self, listener: Listener, handler: Handler) -> None:
-        # handler_cancellation: a client that closes its connection cancels its handler at once, and with it
-        # the attempts made for it.
+        # handler_cancellation: when a client closes its connection, its handler is cancelled at once,
+        # together with its attempts.
         super().__init__(handler, handler_cancellation=True)
         self._listener = listener
 
     def __call__(self) -> ClientConnection:
-        """Make a connection that takes its place in the listener's table right away."""
+        """Create a connection and add it to the listener's table at once."""
         connection = ClientConnection(
             self._listener,
             self,
@@ -50,7 +50,7 @@
 
 
 class Listener:
-    """Accepts as many connections as its limit allows; beyond it, new ones wait in the kernel's queue."""
+    """Accepts connections up to a limit; further connections wait in the kernel's accept queue."""
 
     def __init__(
         self,
@@ -60,10 +60,10 @@
         fast_path: FastPath,
         overload: OverloadControl,
     ) -> None:
-        """Make a listener that does not listen yet.
+        """Create a listener that does not listen yet.
 
         :param handler: serves the requests that the fast path declines.
-        :param fast_path: is offered each complete request first.
+        :param fast_path: called first with each complete request.
         """
         self.clock = clock
         self.fast_path = fast_path
@@ -71,19 +71,19 @@
         self.accept_queue = AcceptQueue()
         self.overload = overload
         self.address: tuple[str, int] = ("", 0)
-        self.draining = False  # responses close their connections, and idle connections end without delay
+        self.draining = False  # while draining, responses close their connections and idle connections end
         self._server = _Server(self, handler)
         self._start_scheduled = False
-        self._tasks: set[asyncio.Task[None]] = set()  # that start a connection, or linger on one
+        self._tasks: set[asyncio.Task[None]] = set()  # tasks that start a connection or linger on one
         self._socket: socket.socket | None = None
         self._accept_paused = False
         self._sweep_timer: Timer | None = None
 
     def listen(self, host: str, port: int) -> None:
-        """Listen at an address; port 0 takes a free one."""
+        """Listen on an address; port 0 selects a free port."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        # SO_REUSEPORT: during an upgrade a second process of the gateway listens beside this one.  Without it
-        # the bind of the new process fails with EADDRINUSE, and it ends before it has served a request.
+        # SO_REUSEPORT: during an upgrade, the old and the new process of the gateway listen at the same time.
+        # Without it, the new process would fail to bind (EADDRINUSE) and exit.
         self._socket = socket.create_server(
             (host, port), family=family, backlog=limits.LISTEN_BACKLOG, reuse_port=True
         )
@@ -94,28 +94,26 @@
 
     @property
     def connections(self) -> int:
-        """How many connections there are, in any state; they count against the limit."""
-        # A connection that is being started is in the table already.
+        """Number of connections in any state; all of them count against the limit."""
+        # The table includes connections that are being started.
         return len(self.table) + len(self.accept_queue) + len(self.overload)
 
     @property
     def is_crowded(self) -> bool:
-        """Whether so many connections are open that responses have to close theirs."""
+        """Whether so many connections are open that each response has to close its connection."""
         return self.table.is_crowded(len(self.accept_queue))
 
-    # ---- ConnectionOwner
-
     def connection_half_closed(self, connection: ClientConnection) -> None:
-        """Wait for the client's own close."""
+        """Wait for the client to close its side."""
         self.table.half_close(connection)
 
     def connection_lost(self, connection: ClientConnection) -> None:
-        """Free the connection's place."""
+        """Remove the connection from the table."""
         self.table.remove(connection)
 
     def start_linger(self, linger: Coroutine[Any, Any, None], connection: ClientConnection) -> None:
-        """Let an error reach a client that is still sending, then end its connection."""
-        self.table.add(connection)  # it holds its place meanwhile
+        """Wait until a client that is still sending has received an error, then close its connection."""
+        self.table.add(connection)  # it counts against the limit until it is closed
         task = asyncio.get_running_loop().create_task(linger)
         self._tasks.add(task)
 
@@ -126,10 +124,8 @@
 
         task.add_done_callback(end_connection)
 
-    # ---- accepting
-
     def _accept(self) -> None:
-        """Accept what the kernel has queued, up to the connection limit."""
+        """Accept connections that the kernel has queued, up to the connection limit."""
         assert self._socket is not None
         for _ in range(limits.ACCEPTS_PER_WAKEUP):
             if self.connections >= self.table.max_connections:
@@ -144,7 +140,7 @@
                 break
             except OSError as error:
                 logger.warning(
-                    "no connection accepted, trying again in %.0f ms: %s", limits.SWEEP_INTERVAL_MS, error
+                    "accepting a connection failed, retrying in %.0f ms: %s", limits.SWEEP_INTERVAL_MS, error
                 )
                 self._pause_accepting()
                 break
@@ -168,11 +164,11 @@
             asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
     def _free_place(self) -> bool:
-        """Close the connection of least use; False if every connection is in use."""
+        """Close one connection that may be evicted; False if there is none."""
         return self.overload.evict() or self.table.evict(self.clock.now_ms())
 
     def _start_connections(self) -> None:
-        """Start a few accepted connections, reject those that are too old, and schedule the next batch."""
+        """Start a batch of accepted connections, reject stale ones, and schedule the next batch."""
         now_ms = self.clock.now_ms()
         overloaded = self.accept_queue.is_overloaded(now_ms)
         for accepted in self.accept_queue.take_batch(overloaded):
@@ -193,18 +189,16 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _connect(self, connection: ClientConnection, sock: socket.socket) -> None:
-        """Give an accepted socket its transport and protocol."""
+        """Attach a transport and the connection to an accepted socket."""
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: connection, sock)
         except OSError as error:
-            logger.warning("accepted connection dropped, its client has to connect again: %s", error)
+            logger.warning("starting an accepted connection failed, connection closed: %s", error)
             self.table.remove(connection)
             sock.close()
 
-    # ---- timeouts
-
     def _sweep(self) -> None:
-        """Time out connections, and resume accepting: there may be places now."""
+        """Time out connections, and resume accepting, since the limit may not be reached any more."""
         now_ms = self.clock.now_ms()
         self.table.time_out(now_ms, self.draining)
         self._close_half_closed()
@@ -216,13 +210,11 @@
         self.overload.close_half_closed(now_ms)
         self.table.close_half_closed(now_ms)
 
-    # ---- shutdown
-
     def stop_accepting(self) -> None:
-        """Close the listening socket; the connections that the kernel has queued for it are accepted first.
+        """Accept the connections that the kernel has queued, then close the listening socket.
 
-        Closing it resets what waits in its queue, although the gateway's other process would have accepted
-        those clients: they would see a failed connect in the middle of an upgrade.
+        Closing the socket resets the connections in its queue, although another process of the gateway
+        listens on the same address: during an upgrade, these clients would see their connections fail.
         """
         if self._socket is None:
             return
@@ -231,7 +223,7 @@
             try:
                 sock, _ = self._socket.accept()
             except OSError:
-                break  # the client has left
+                break  # the client has closed the connection
             self._enqueue(sock)
         if self.accept_queue and not self._start_scheduled:
             self._start_connections()
@@ -239,7 +231,7 @@
         self._socket = None
 
     async def stop(self, grace_s: float) -> None:
-        """Close every connection: pending responses are sent first, for `grace_s` at most."""
+        """Close every connection, after waiting up to `grace_s` for pending responses."""
         self.stop_accepting()
         while self.accept_queue:
             self.overload.reject_or_close(self.accept_queue.pop())
@@ -260,7 +252,7 @@
             self._sweep_timer.cancel()
 
     async def _wait_for_transports(self, deadline_ms: float) -> None:
-        """Wait for connections that are being started: without a transport none can be half-closed."""
+        """Wait for connections that are being started; they cannot be half-closed without a transport."""
         while any(connection.transport is None for connection in self.table.open):
             if self.clock.now_ms() >= deadline_ms:
                 break
--- a/shaletiller/net/overload_control.py
+++ b/shaletiller/net/overload_control.py
@@ -1,8 +1,8 @@
-"""Overload control for new connections: a bounded-age accept queue, and cheap rejections.
+"""Overload control for new connections: an accept queue with a maximum age, and cheap rejections.
 
-A connection that was accepted waits here, as a bare socket, until it is started.  If the queue stands for too
-long, connections that are too old are rejected without their requests being parsed: a 503 for about a tenth
-of what starting a connection costs.
+An accepted connection waits in the queue, as a plain socket, until it is started.  If the queue stays
+nonempty for too long, connections that are too old are rejected with a 503 without parsing their requests.
+Such a rejection costs about a tenth of starting a connection.
 """
 
 from __future__ import annotations
@@ -24,27 +24,27 @@
 
 
 class AcceptedSocket(NamedTuple):
-    """A connection without a protocol, and since when (ms): accepted, or half-closed by a rejection."""
+    """Socket that has no protocol yet, and the time (ms) at which it was accepted, or half-closed."""
 
     since_ms: float
     sock: socket.socket
 
 
 class AcceptQueue:
-    """Accepted connections that were not started yet.
+    """Accepted connections that are not started yet.
 
-    The newest and the oldest are started in turn.  In order of arrival alone, when clients come back faster
-    than they can be started, each of them would have given up, or be about to, when its turn comes: all the
-    work would be lost, and they would come back the more (compare adaptive LIFO).
+    The newest and the oldest connections are started alternately.  If clients connect faster than connections
+    can be started, strict FIFO order would start each connection only when its client has timed out or is
+    about to: the work would be wasted, and retries would add to the load (compare adaptive LIFO).
     """
 
     def __init__(self) -> None:
-        """Make an empty queue."""
-        self._sockets: collections.deque[AcceptedSocket] = collections.deque()  # the oldest first
+        """Create an empty queue."""
+        self._sockets: collections.deque[AcceptedSocket] = collections.deque()  # in order of arrival
         self._nonempty_since_ms = math.inf
 
     def __len__(self) -> int:
-        """How many connections wait."""
+        """Return the number of queued connections."""
         return len(self._sockets)
 
     def push(self, accepted: AcceptedSocket) -> None:
@@ -56,17 +56,17 @@
         return self._sockets.pop()
 
     def is_overloaded(self, now_ms: float) -> bool:
-        """Whether the queue has not been empty for `OVERLOAD_AFTER_MS`."""
+        """Whether the queue has been nonempty for `OVERLOAD_AFTER_MS` without interruption."""
         return now_ms - self._nonempty_since_ms >= limits.OVERLOAD_AFTER_MS
 
     def update_backlog(self, now_ms: float) -> None:
-        """Note whether the queue is empty, after each batch that was started."""
+        """Record whether the queue is empty; called after each batch."""
         self._nonempty_since_ms = min(self._nonempty_since_ms, now_ms) if self._sockets else math.inf
 
     def take_batch(self, overloaded: bool) -> Iterator[AcceptedSocket]:
-        """Take the few connections to start now; those whose client has left are closed.
+        """Take the next batch of connections to start, and close those whose client has disconnected.
 
-        :param overloaded: take the newest only; the old ones are rejected.
+        :param overloaded: take only the newest connections; old ones are rejected.
         """
         count = 0
         while self._sockets and count < limits.STARTS_PER_TURN:
@@ -79,21 +79,24 @@
             yield accepted
 
     def take_stale(self, now_ms: float) -> Iterator[AcceptedSocket]:
-        """Take the connections that have waited for `MAX_QUEUE_AGE_MS`, the oldest first."""
+        """Take the connections that have been queued for `MAX_QUEUE_AGE_MS`, oldest first."""
         while self._sockets and now_ms - self._sockets[0].since_ms >= limits.MAX_QUEUE_AGE_MS:
             yield self._sockets.popleft()
 
     def put_back(self, accepted: list[AcceptedSocket]) -> None:
-        """Return the oldest connections, the oldest first."""
+        """Return connections to the head of the queue.
+
+        :param accepted: connections in order of arrival, each older than all queued ones.
+        """
         self._sockets.extendleft(reversed(accepted))
 
 
 def _ignore_rejection(head: bytes) -> None:
-    """Count no rejection."""
+    """Ignore a rejected request."""
 
 
 class OverloadControl:
-    """Rejects connections that are too old to be answered in time, without parsing their requests."""
+    """Rejects connections that have been queued for too long, without parsing their requests."""
 
     def __init__(
         self,
@@ -101,24 +104,24 @@
         retry_after_allowed: Callable[[], bool],
         on_rejected: Callable[[bytes], None] = _ignore_rejection,
     ) -> None:
-        """Make a control that has rejected nothing.
+        """Create an overload control without rejected connections.
 
-        :param retry_after_allowed: whether rejections may carry a Retry-After, by the settings of the moment.
+        :param retry_after_allowed: returns whether the current settings allow a Retry-After in rejections.
         :param on_rejected: called with the first bytes of each rejected request.
         """
         self._clock = clock
         self._retry_after_allowed = retry_after_allowed
         self._on_rejected = on_rejected
-        self._half_closed: collections.deque[AcceptedSocket] = collections.deque()  # the oldest first
+        self._half_closed: collections.deque[AcceptedSocket] = collections.deque()  # in order of rejection
 
     def __len__(self) -> int:
-        """How many rejected connections are still half-closed."""
+        """Return the number of rejected connections that are still half-closed."""
         return len(self._half_closed)
 
     def reject_stale(self, queue: AcceptQueue, now_ms: float) -> Iterator[AcceptedSocket]:
-        """Reject the connections that have waited for too long.
+        """Reject the connections that have been queued for too long.
 
-        :returns: those that are to be started all the same: health checks, for the process is alive.
+        :returns: the connections to start nevertheless: health checks, because the process is alive.
         """
         silent = []
         for accepted in queue.take_stale(now_ms):
@@ -130,7 +133,7 @@
                 else:
                     accepted.sock.close()
                 continue
-            except OSError:  # its client has reset it
+            except OSError:  # the client has reset the connection
                 head = b""
             if head.startswith(HEALTH_CHECK_HEAD):
                 yield accepted
@@ -141,7 +144,7 @@
         queue.put_back(silent)
 
     def reject_or_close(self, accepted: AcceptedSocket) -> None:
-        """End a connection that will never be started: a request is rejected, a silent client just closed."""
+        """End a connection that will not be started: reject its request, or close it if it has sent none."""
         try:
             head = accepted.sock.recv(limits.READ_SIZE, socket.MSG_PEEK)
         except OSError:
@@ -152,12 +155,12 @@
             accepted.sock.close()
 
     def reject(self, sock: socket.socket, head: bytes) -> None:
-        """Send a 503 and half-close.
+        """Send a 503 and half-close the connection.
 
-        Closed right away, a socket with unread bytes behind the request would be reset, and its client would
-        not see the response.
+        Closing a socket that has unread input resets the connection, and the client would not see the
+        response.
 
-        :param head: the first bytes of the request, still unread.
+        :param head: first bytes of the request, which are still unread.
         """
         self._on_rejected(head)
         try:
@@ -168,20 +171,20 @@
                 retry_after = b"Retry-After: %.3f\r\n" % (limits.REJECT_RETRY_AFTER_MS / 1000)
             sock.send(REJECT_RESPONSE % retry_after)
             sock.shutdown(socket.SHUT_WR)
-        except OSError:  # its client has left
+        except OSError:  # the client has closed the connection
             sock.close()
             return
         self._half_closed.append(AcceptedSocket(self._clock.now_ms(), sock))
 
     def evict(self) -> bool:
-        """Close the rejected connection that has been half-closed for the longest; False if there is none."""
+        """Close the oldest rejected connection that is still half-closed; False if there is none."""
         if not self._half_closed:
             return False
         self._half_closed.popleft().sock.close()
         return True
 
     def close_half_closed(self, now_ms: float) -> None:
-        """Close the rejected connections whose clients have closed too, or have had the time."""
+        """Close the rejected connections whose clients have closed too, or whose timeout is over."""
         for rejected in list(self._half_closed):
             if self._has_ended(rejected, now_ms):
                 self._half_closed.remove(rejected)
@@ -199,6 +202,6 @@
             return True
 
     def close(self) -> None:
-        """Close every rejected connection."""
+        """Close all rejected connections."""
         while self._half_closed:
             self._half_closed.pop().sock.close()
--- a/shaletiller/net/peers.py
+++ b/shaletiller/net/peers.py
@@ -8,13 +8,13 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_DATAGRAM_BYTES = 256  # the platform's limit on a datagram between gateways
-# First byte of an envelope of the fleet, a MessagePack array of seven.  No UTF-8 text begins with it.
+MAX_DATAGRAM_BYTES = 256  # platform limit for a datagram between gateways
+# First byte of a fleet envelope, a MessagePack array of seven elements.  No UTF-8 text starts with this byte.
 FLEET_ENVELOPE_MARK = b"\x97"
 
 
 class PeerEndpoint(asyncio.DatagramProtocol):
-    """Sends datagrams to the other gateways, and dispatches those that arrive from them."""
+    """Sends datagrams to other gateways, and dispatches received ones."""
 
     def __init__(
         self,
@@ -25,10 +25,10 @@
     ) -> None:
         """Create an endpoint without a socket; `start` binds it.
 
-        :param peers: addresses of all gateways; their order numbers them.
-        :param broadcast_address: reaches all gateways; `None` where the platform has none.
-        :param on_text: receives a text message and the number of its sender.
-        :param on_fleet_envelope: receives an envelope of the fleet; without it envelopes count as text.
+        :param peers: addresses of all gateways; the index is the number of the gateway.
+        :param broadcast_address: address that reaches all gateways; `None` if the platform has none.
+        :param on_text: receives the number of the sender and a text message.
+        :param on_fleet_envelope: receives a fleet envelope; without it, envelopes are handled as text.
         """
         self._peers = peers
         self._broadcast_address = broadcast_address
@@ -40,8 +40,8 @@
     async def start(self, address: tuple[str, int]) -> None:
         """Bind the address.
 
-        During a rolling restart the old process is still bound to it: without SO_REUSEPORT the new process
-        would fail to start.
+        During a rolling restart the old process is still bound to the address; without SO_REUSEPORT the new
+        process would fail to start.
         """
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
@@ -49,13 +49,13 @@
         )
 
     def send_text(self, peer: int | None, text: str) -> None:
-        """Send a text message, see `send`."""
+        """Send a text message; see `send`."""
         self.send(peer, text.encode())
 
     def send(self, peer: int | None, data: bytes) -> None:
         """Send a datagram.
 
-        :param peer: number of a gateway; `None` sends to all.  Unknown numbers are ignored.
+        :param peer: number of a gateway, or `None` for all.  Unknown numbers are ignored.
         """
         if len(data) > MAX_DATAGRAM_BYTES:
             logger.warning(
@@ -72,7 +72,7 @@
         return self._peers[peer] if 0 <= peer < len(self._peers) else None
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Dispatch a datagram; one from an unknown address or above the limit is ignored."""
+        """Dispatch a datagram; it is ignored if its sender is unknown or it is too large."""
         peer = self._numbers.get(addr[:2])
         if peer is None or len(data) > MAX_DATAGRAM_BYTES:
             return
@@ -85,7 +85,7 @@
             logger.warning("message from peer %d dropped: not valid UTF-8", peer)
 
     def error_received(self, exc: Exception) -> None:
-        """Log an error that the kernel reports for an earlier datagram; that datagram is lost."""
+        """Log an error that the kernel reports for an earlier datagram, which is lost."""
         logger.warning("datagram to a peer lost: %s", exc)
 
     def close(self) -> None:
--- a/shaletiller/net/pool.py
+++ b/shaletiller/net/pool.py
@@ -1,9 +1,9 @@
-"""Pool of connections to nodes: a node's bytes belong to the request in progress, and to no later one.
+"""Pool of connections to nodes; it ensures that no data is taken for the response to a later request.
 
 A connection is in use, settling, idle or closed:
 
     in use --response complete--> settling --SETTLE_S--> idle --next request--> in use
-    in use --failed, or cut off--> closed     idle --expired, or not clean--> closed
+    in use --failed or aborted--> closed      idle --expired or not clean--> closed
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from shaletiller.clock import Clock
 from shaletiller.net.sockets import has_unread_input
 
-# A connection is not used again for this long after its response: whatever a faulty node sends behind the
-# response, a second copy of it above all, arrives meanwhile and shows.  Empirical: longer catches later
-# copies and costs new connections, shorter the reverse.
+# Time after a response during which its connection is not reused, so that data which a faulty node sends
+# after the response, such as a second copy of it, is detected.  A larger value detects later data; a smaller
+# value opens fewer new connections.
 SETTLE_S = 0.01
 
 RESPONSE_HEAD = re.compile(rb"HTTP/1\.[01] (\d)\d\d[^\r\n]*\r\n((?:[^\r\n]+\r\n)*)\r\n")
@@ -33,10 +33,11 @@
 
 
 def strip_trailing_noise(data: bytes) -> bytes:
-    """Cut what follows a response received in one piece, if that is certainly no part of it.
+    """Remove data after a response received in one piece, if it is certainly not part of the response.
 
-    That is certain if the body is text and the rest is not.  Text behind text may be the end of the body, and
-    the Content-Length wrong: then the response is corrupt, and the parser is left to fail on it.
+    This is certain if the body is text, and the trailing data is neither text nor another response.  Trailing
+    text after a text body may belong to the body, with a wrong Content-Length: the response is then corrupt,
+    and the parser fails on it.
     """
     position = 0
     while (head := RESPONSE_HEAD.match(data, position)) is not None:
@@ -52,25 +53,26 @@
 
 
 class UpstreamProtocol(ResponseHandler):
-    """aiohttp's client protocol, tolerant of noise behind a response, and with times.
+    """aiohttp client protocol that tolerates trailing garbage after a response, and records times.
 
-    aiohttp's parser fails a response, and wastes the node's work, for what stands behind it.  The times
-    between which the node had the request exclude this process's own delays.
+    aiohttp's parser rejects a complete response because of trailing garbage, which wastes the node's work.
+    The recorded times delimit the time for which the node had the request, without the delays of this
+    process.
     """
 
-    request_written_ms = response_read_ms = 0.0  # read: the last bytes so far
+    request_written_ms = response_read_ms = 0.0  # `response_read_ms`: time of the last read so far
     connection_key: ConnectionKey | None = None
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
-        """Make a protocol that is not connected yet."""
+        """Create a protocol that is not connected yet."""
         super().__init__(loop=loop)
         self._now_ms = clock.now_ms
 
     def close(self) -> None:
-        """Close the connection, and stop sending.
+        """Close the connection, and discard unsent data.
 
-        A transport that is closed still sends what its socket buffer could not take.  A node that was slow to
-        read would receive the last byte of a request that was given up, and run it.
+        A closing transport still sends its buffered data.  A node that reads slowly would receive the last
+        byte of an abandoned request, and run it.
         """
         if self.transport is not None and self.transport.get_write_buffer_size():
             self.abort()
@@ -78,25 +80,25 @@
             super().close()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was received, without trailing noise."""
+        """Parse received data, without trailing garbage."""
         self.response_read_ms = self._now_ms()
         response = strip_trailing_noise(data) if len(data) > 1 else data
         super().data_received(response)
         if len(response) < len(data):
-            self.force_close()  # once its response is read, it takes no further request
+            self.force_close()  # it is not reused after this response
 
 
 class UpstreamConnector(aiohttp.TCPConnector):
-    """aiohttp's connection pool, checked before each reuse and bounded in total.
+    """aiohttp connection pool that checks each connection before reuse and limits their total number.
 
-    aiohttp's own pool hands out a connection on which something arrived while it was idle: a second copy of a
-    response would then be taken for the response to the next request.
+    aiohttp's pool reuses a connection that has received data while idle: a second copy of a response would
+    then be taken for the response to the next request.
     """
 
     def __init__(self, max_connections: int, max_per_node: int, idle_timeout_s: float, clock: Clock) -> None:
-        """Make an empty pool.
+        """Create an empty pool.
 
-        :param idle_timeout_s: an idle connection is not used after this.
+        :param idle_timeout_s: time after which an idle connection is not reused.
         """
         super().__init__(
             limit=max_connections,
@@ -109,19 +111,19 @@
         self._clock = clock
         self._max_connections = max_connections
         self._idle_timeout_s = idle_timeout_s
-        self._keys: dict[str, ConnectionKey] = {}  # by address, of nodes to which there has been a connection
+        self._keys: dict[str, ConnectionKey] = {}  # by address, of each node that has been connected
 
     def set_idle_timeout(self, idle_timeout_s: float) -> None:
-        """Change the idle timeout, of connections that are idle already too."""
+        """Change the idle timeout, also for connections that are idle already."""
         self._idle_timeout_s = self._keepalive_timeout = idle_timeout_s
 
     def acquire_idle(self, address: str) -> UpstreamProtocol | None:
-        """Take an idle connection to a node; None if there is none that may be used."""
+        """Take an idle connection to a node; None if there is none that may be reused."""
         key = self._keys.get(address)
         return self._acquire(key) if key is not None else None
 
     def release_used(self, address: str, protocol: UpstreamProtocol, reusable: bool) -> None:
-        """Return a connection after its use; it is closed if its node has left the list meanwhile."""
+        """Return a connection after use; it is closed if its node has been removed from the endpoint list."""
         assert protocol.connection_key is not None
         should_close = not reusable or address not in self._keys
         self._release(protocol.connection_key, protocol, should_close=should_close)
@@ -138,7 +140,7 @@
         while idle and acquired is None:
             protocol, released_s = idle[0]
             if now_s - released_s < SETTLE_S:
-                return None  # in the order of their release: the others are settling too
+                return None  # connections are ordered by release time, so the others are settling too
             idle.popleft()
             if now_s - released_s <= self._idle_timeout_s and self._is_clean(protocol):
                 acquired = protocol
@@ -154,13 +156,13 @@
 
     @staticmethod
     def _is_clean(protocol: ResponseHandler) -> bool:
-        """Whether an idle connection is up and nothing has arrived on it."""
+        """Whether an idle connection is connected and has received no data."""
         return (
             protocol.is_connected() and not protocol.should_close and not has_unread_input(protocol.transport)
         )
 
     async def _create_connection(self, *args: Any) -> ResponseHandler:
-        """Connect; at the pool's bound, close the connection that is idle the longest.  Called by aiohttp."""
+        """Connect; at the pool's limit, close the longest idle connection first.  Called by aiohttp."""
         oldest = [(idle[0][1], key) for key, idle in self._conns.items() if idle]
         if oldest and len(self._acquired) + sum(map(len, self._conns.values())) > self._max_connections:
             _, key = min(oldest, key=lambda released: released[0])
@@ -169,11 +171,11 @@
         assert isinstance(protocol, UpstreamProtocol)
         key = args[0].connection_key
         self._keys[f"{key.host}:{key.port}"] = key
-        protocol.request_written_ms = self._clock.now_ms()  # its request is written right away
+        protocol.request_written_ms = self._clock.now_ms()  # the request is written immediately
         return protocol
 
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to a node; those in use close after their responses."""
+        """Close the idle connections to a node; those in use are closed after their responses."""
         key = self._keys.pop(address, None)
         for protocol, _ in self._conns.pop(key, ()) if key is not None else ():
             protocol.close()
--- a/shaletiller/net/sockets.py
+++ b/shaletiller/net/sockets.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a connection, and an orderly close."""
+"""Socket state as reported by the kernel, and graceful close of a stream."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 import struct
 import termios
 
-DISCARD_SIZE = 64 * 1024  # bytes read at once of what is discarded
+DISCARD_SIZE = 64 * 1024  # maximum bytes per read of discarded input
 
 
 def has_input(sock: socket.socket | asyncio.trsock.TransportSocket) -> bool:
-    """Whether the kernel holds something unread: bytes, an end of stream, or a new connection."""
-    poll = select.poll()  # not select(): descriptors may exceed 1,023
+    """Whether a socket is readable: it has unread data, an end of stream, or a new connection."""
+    poll = select.poll()  # select() does not support file descriptors above 1,023
     poll.register(sock.fileno(), select.POLLIN)
     return bool(poll.poll(0))
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Whether the peer has closed the connection, even if what it sent before is still unread."""
+    """Whether the peer has closed the connection, even if earlier data is still unread."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def has_unread_input(transport: asyncio.BaseTransport | None) -> bool:
-    """`has_input` for a transport of the event loop; a closed one holds nothing."""
+    """Whether a transport's socket is readable; False for a closed transport."""
     sock = transport.get_extra_info("socket") if transport is not None else None
     return sock is not None and sock.fileno() >= 0 and has_input(sock)
 
 
 def unacknowledged_bytes(sock: socket.socket | asyncio.trsock.TransportSocket) -> int:
-    """Return how many sent bytes the peer has not acknowledged (SIOCOUTQ); 0 where the kernel cannot tell."""
+    """Return the number of sent bytes that the peer has not acknowledged (SIOCOUTQ); 0 if unknown."""
     try:
         count: int = struct.unpack("i", fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(4)))[0]
     except OSError:
@@ -47,10 +47,11 @@
     writer: asyncio.StreamWriter,
     timeout_s: float,
 ) -> None:
-    """End a connection so that what was written arrives, though the peer may still be sending.
+    """Close a connection so that all written data is delivered, even if the peer is still sending.
 
-    A socket closed over unread bytes is reset, and data in flight to the peer is lost.  So the write side
-    is closed first, and what the peer sends is discarded until it closes too or `timeout_s` is over.
+    Closing a socket that has unread input resets the connection, and data in flight to the peer is lost.
+    Therefore the write side is closed first, and input is discarded until the peer closes too or `timeout_s`
+    is over.
     """
     try:
         if not (writer.transport.is_closing() or reader.at_eof()):
@@ -59,6 +60,6 @@
                 while await reader.read(DISCARD_SIZE):
                     pass
     except (OSError, RuntimeError):
-        pass  # timed out, or reset: uvloop answers a call on a reset connection with a RuntimeError
+        pass  # timed out or reset; uvloop raises RuntimeError for a call on a reset connection
     finally:
         writer.close()
