--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -1,4 +1,4 @@
-"""The state machine of client connections."""
+"""Tests of the state machine of client connections."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def test_every_state_is_reachable_and_may_be_closed() -> None:
-    """A state that no event leads to, or that a close does not leave, would hold its place for good."""
+    """A connection in a state that a close does not leave would count against the limit indefinitely."""
     reachable = {ConnectionState.NEW} | {state for row in TRANSITIONS.values() for state in row.values()}
     assert set(TRANSITIONS) == reachable == set(ConnectionState)
     for state in set(ConnectionState) - {ConnectionState.HALF_CLOSED}:
@@ -14,5 +14,5 @@
 
 
 def test_nothing_leaves_the_half_closed_state() -> None:
-    """A request read after the write side is closed could neither be answered nor be retried."""
+    """A request that is read after the write side is closed could neither be answered nor retried."""
     assert not TRANSITIONS[ConnectionState.HALF_CLOSED]
--- a/tests/net/test_connection_table.py
+++ b/tests/net/test_connection_table.py
@@ -1,4 +1,4 @@
-"""Timeouts and evictions of client connections."""
+"""Tests of timeouts and evictions of client connections."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_only_states_without_a_pending_response_may_be_evicted() -> None:
-    """An eviction in another state would lose a response, or a request that is being received."""
+    """An eviction in another state would lose a response or a partially received request."""
     assert set(EVICTABLE_AFTER_MS) == {
         ConnectionState.NEW,
         ConnectionState.IDLE,
@@ -27,8 +27,8 @@
 def test_the_oldest_evictable_connection_gives_way_and_idle_ones_last() -> None:
     """The limit is reached by connections in several states.
 
-    A half-closed one must be evicted first, then silent and lingering ones, then idle ones, the oldest first;
-    one whose response is pending must stay.
+    Half-closed connections must be evicted first, then silent and lingering ones, then idle ones, each oldest
+    first; a connection with a pending response must stay.
     """
     table = ConnectionTable(8)
     active = connection(ConnectionState.ACTIVE, 0.0)
@@ -53,7 +53,7 @@
     ],
 )
 def test_a_connection_without_a_request_times_out(state: ConnectionState, timeout_ms: float) -> None:
-    """A client sends no request, or not all of it; its connection must end at the timeout, and no sooner."""
+    """A client sends no complete request; its connection must end at the timeout, and not earlier."""
     table, each = ConnectionTable(8), connection(state, 0.0)
     table.add(each)
     table.time_out(timeout_ms - 1.0, draining=False)
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("state", [ConnectionState.ACTIVE, ConnectionState.LINGERING])
 def test_a_connection_with_a_pending_response_never_times_out(state: ConnectionState) -> None:
-    """A response is pending, or an error is being delivered; the connection must stay, whatever its age."""
+    """A connection with a pending response or a lingering close must stay, whatever its age."""
     table, each = ConnectionTable(8), connection(state, 0.0)
     table.add(each)
     table.time_out(1e9, draining=True)
@@ -72,7 +72,7 @@
 
 
 def test_draining_ends_idle_connections_without_delay() -> None:
-    """A client might keep its idle connection to a draining gateway for any time."""
+    """A client might otherwise keep its idle connection to a draining gateway open indefinitely."""
     table, idle = ConnectionTable(8), connection(ConnectionState.IDLE, 0.0)
     table.add(idle)
     table.time_out(1.0, draining=True)
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -1,7 +1,7 @@
-"""Every way in which something ends, forced to cross what is still pending; see the table in docs/endings.md.
+"""Tests of races at the end of connections, requests and processes; see the table in docs/endings.md.
 
-A crossing is forced and not hoped for: a patch lets a byte, a close or an answer come in the very moment in
-which the gateway ends something, before or after that.
+Each race is forced: a patch delivers data, a close or a response immediately before or after the gateway ends
+something.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def encode_request(number: int, method: str = "GET", body: bytes = b"", **changes: str) -> bytes:
-    """Encode a client's request."""
+    """Encode the request of a client."""
     lines = {
         "Request-Id": f"{method}-{number}",
         "Request-Class": "write" if method == "PUT" else "read",
@@ -44,39 +44,39 @@
     return f"{method} /api?key={key(str(number))} HTTP/1.1\r\nHost: a\r\n{head}\r\n".encode() + body
 
 
-RESETS = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+RESETS = struct.pack("ii", 1, 0)  # SO_LINGER: enabled, with a timeout of 0
 
 
 def reset(sock: socket.socket) -> None:
-    """Close with a reset, whatever is still in flight."""
+    """Close a socket with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETS)
     sock.close()
 
 
 def reset_stream(writer: asyncio.StreamWriter) -> None:
-    """Close a stream of the event loop with a reset."""
+    """Close a stream with a reset."""
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETS)
     writer.transport.abort()
 
 
 def tcp(port: int, column: int) -> list[list[str]]:
-    """The kernel's rows of connections with that port: from it (1) or to it (2)."""
+    """Return the rows of /proc/net/tcp with a port as the local (column 1) or remote (column 2) port."""
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return [row for row in rows if int(row[column].split(":")[1], 16) == port]
 
 
 def connections_to(port: int) -> int:
-    """How many descriptors of this machine are connected to that port, or connecting."""
+    """Return the number of sockets of this machine that are connected or connecting to a port."""
     return len([row for row in tcp(port, 2) if row[9] != "0"])
 
 
 def connecting_to(port: int) -> int:
-    """How many of them are not up: their first SYN has been sent."""
+    """Return the number of sockets that are connecting to a port: their first SYN has been sent."""
     return len([row for row in tcp(port, 2) if row[3] == "02"])
 
 
 def queued_at(port: int) -> int:
-    """How many connections wait in that listener's queue."""
+    """Return the number of connections in the accept queue of a listening port."""
     return sum(int(row[4].split(":")[1], 16) for row in tcp(port, 1) if row[3] == "0A")
 
 
@@ -90,13 +90,13 @@
 
 
 class RawClient:
-    """A client that is a bare socket: what `send` sent is in the other side's kernel when it returns."""
+    """Client with a plain socket: when `send` returns, the data is in the kernel of the gateway."""
 
-    timeout_s = TIMEOUT_S  # a guard against a test that hangs
+    timeout_s = TIMEOUT_S  # prevents a test from hanging
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.got = sock, b""
-        self.head = b""  # of the last response
+        self.head = b""  # head of the last response
         sock.setblocking(False)
 
     @classmethod
@@ -110,15 +110,18 @@
         self.sock.sendall(raw)
 
     async def read(self) -> bytes:
-        """Read what has arrived, b"" at the end; a reset raises ConnectionResetError."""
+        """Read received data, b"" at the end of the stream; raises ConnectionResetError on a reset."""
         found = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 65536), self.timeout_s)
         self.got += found
         return found
 
     async def answer(self) -> tuple[int, bytes]:
-        """Read the next complete response: its status and body."""
+        """Read the next complete response.
+
+        :returns: status and body.
+        """
         while b"\r\n\r\n" not in self.got:
-            assert await self.read(), f"ended within {self.got!r}"
+            assert await self.read(), f"connection closed within a response: {self.got!r}"
         head, _, rest = self.got.partition(b"\r\n\r\n")
         length = int(
             next(
@@ -132,13 +135,13 @@
         )
         while len(rest) < length:
             found = await self.read()
-            assert found, f"ended within {self.got!r}"
+            assert found, f"connection closed within a response: {self.got!r}"
             rest += found
         self.got, self.head = rest[length:], head
         return int(head.split()[1]), rest[:length]
 
     async def end(self) -> None:
-        """Expect the end of the connection in order: no further byte and no reset."""
+        """Expect a graceful end of the connection: no further data and no reset."""
         assert await self.read() == b"", self.got
 
     def close(self) -> None:
@@ -146,7 +149,7 @@
 
 
 class RaceScenario(Scenario):
-    """What the tests below share.  They run on uvloop, as the program does: it closes differently."""
+    """Base class of the tests below.  It uses uvloop, like the gateway, because it closes differently."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -162,7 +165,7 @@
         self.crossings: list[list[Callable[[], object]]] = []
 
     async def asyncTearDown(self) -> None:
-        self.assertFalse(any(self.crossings), "a crossing was not met")
+        self.assertFalse(any(self.crossings), "a patched call was never made")
         for wire in self.wires:
             wire.close()
         await super().asyncTearDown()
@@ -179,9 +182,12 @@
         before: bool = True,
         which: Callable[..., bool] = lambda *values: True,
     ) -> None:
-        """Call `act` once, right before or after the next call of this method of the gateway.
+        """Call `act` once, immediately before or after the next matching call of a method of the gateway.
 
-        :param which: of its arguments: whether this is the call.
+        :param owner: object or class that has the method.
+        :param name: name of the method.
+        :param before: whether to call `act` before the method.
+        :param which: returns whether a call with the given arguments matches.
         """
         real, left = getattr(owner, name), [act]
         self.crossings.append(left)
@@ -198,7 +204,7 @@
         self.enterContext(PATCH.object(owner, name, crossed))
 
     def at_close(self, wire: RawClient, act: Callable[[], object], before: bool = True) -> None:
-        """Call `act` once as the gateway half-closes this client's connection."""
+        """Call `act` once when the gateway half-closes the connection of a client."""
         mine = wire.sock.getsockname()
 
         def which(connection: ClientConnection) -> bool:
@@ -208,7 +214,7 @@
         self.at(ClientConnection, "half_close", act, before, which)
 
     def at_any_close(self, act: Callable[[], object]) -> None:
-        """Call `act` once as the gateway half-closes any connection."""
+        """Call `act` once when the gateway half-closes any connection."""
         self.at(ClientConnection, "half_close", act)
 
     async def served(self, wire: RawClient, number: int, **changes: str) -> None:
@@ -218,23 +224,23 @@
 
     @property
     def requests_received(self) -> int:
-        """How many requests have reached a node and were not expected yet."""
+        """Number of requests that nodes have received and no test has expected yet."""
         return sum(self.parties[name].received.qsize() for name in self.servers)
 
     async def retried(self, number: int) -> None:
-        """Do what a client does whose request was not read: retry it on a new connection."""
+        """Retry a request that was not read, as a client does, on a new connection."""
         self.assertEqual(self.requests_received, 0)
         await self.served(await self.wire(), number)
 
 
 class IdleConnections(RaceScenario):
-    """An idle connection, and a request that arrives as it is closed."""
+    """Requests that arrive while their connection is closed, times out or starts."""
 
     async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_read(self) -> None:
-        """The gateway closes an idle connection in the moment in which its client sends a request.
+        """A client sends a request while the gateway closes its idle connection.
 
-        The connection must end without a reset and the request must not be read: its client retries only what
-        was not read.
+        The connection must end without a reset, and the request must not be read, because the client retries
+        only requests that were not read.
         """
         for before in (True, False):
             with self.subTest(before=before):
@@ -242,15 +248,15 @@
                 await self.served(wire, 1)
                 self.at_close(wire, lambda wire=wire: wire.send(encode_request(2)), before)
                 with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
-                    await wire.end()  # in order: a reset would discard a response in flight
+                    await wire.end()  # a reset would discard a response in flight
                 wire.close()
                 await self.retried(2)
 
     async def test_a_response_that_closes_its_connection_is_complete_whatever_is_sent_behind_it(self) -> None:
-        """A draining gateway answers a slow client, which pipelines a request as the gateway closes.
+        """A draining gateway answers a slow client, which pipelines a request while the gateway closes.
 
-        Closed over the unread request, the connection would be reset and the response cut.  The response must
-        be complete, and the second request unread.
+        A close with the unread request would reset the connection and truncate the response.  The response
+        must be complete, and the second request unread.
         """
         body = bytes(range(256)) * 256
         for before in (True, False):
@@ -270,9 +276,9 @@
                 await self.retried(2)
 
     async def test_a_response_that_closes_a_crowded_connection_is_complete(self) -> None:
-        """The gateway is crowded and tells a client to leave, which pipelines a request in that moment.
+        """Near its limit, the gateway closes a connection with a response; its client pipelines a request.
 
-        The response must be complete and the connection must end in order.
+        The response must be complete, and the connection must end without a reset.
         """
         for before in (True, False):
             with self.subTest(before=before), PATCH("shaletiller.net.connection_limits.CROWDED_PART", 0.0):
@@ -284,13 +290,13 @@
                 self.assertEqual(await wire.answer(), (200, b"ok"))
                 await wire.end()
                 wire.close()
-                await until(lambda: not self.gateway.http_server.connections, "its end")
+                await until(lambda: not self.gateway.http_server.connections, "the connection to be closed")
 
     async def test_half_closed_connections_are_evicted_for_newcomers(self) -> None:
-        """Clients that were sent away keep their half-closed connections, up to the connection limit.
+        """Clients keep their half-closed connections open, up to the connection limit.
 
-        The next client must be served all the same: half-closed connections are evicted first, and do not
-        count as a crowd.
+        The next client must still be served: half-closed connections are evicted first, and do not count
+        towards the threshold above which responses close their connections.
         """
         listener, crowd = self.gateway.http_server._listener, 40
         self.enterContext(PATCH("shaletiller.net.connection_limits.HALF_CLOSE_TIMEOUT_MS", 60_000.0))
@@ -300,28 +306,28 @@
             wire = await self.wire()
             wire.send(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
             self.assertEqual((await wire.answer())[0], 503)
-            await wire.end()  # and the client does not close its side
+            await wire.end()  # the client does not close its side
         self.assertEqual((self.gateway.http_server.connections, listener.is_crowded), (crowd, False))
         self.gateway.http_server.set_draining(False)
         await self.served(await self.wire(), 1)
         self.assertEqual(self.gateway.http_server.connections, crowd)
 
     async def test_a_partial_request_at_the_close_of_an_idle_connection_is_ignored(self) -> None:
-        """A client has sent a part of a request as its idle connection is closed.
+        """A client has sent part of a request when its idle connection is closed.
 
-        The connection must end in order, and its place must become free.
+        The connection must end without a reset, and must not count against the limit any more.
         """
         wire = await self.wire()
         await self.served(wire, 1)
         self.at_close(wire, lambda: wire.send(encode_request(2)[:30]))
         with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
             await wire.end()
-        await until(lambda: not self.gateway.http_server.connections, "the connection's end")
+        await until(lambda: not self.gateway.http_server.connections, "the connection to be closed")
 
     async def test_a_connection_that_is_starting_as_the_process_stalls_is_answered(self) -> None:
-        """The process stands still for longer than a request may take while a connection is being started.
+        """The process stalls for longer than the request timeout while a connection is being started.
 
-        Its client must be answered.  Guards against clients that wait for ever after a stall.
+        The client must get its response.  Guards against clients that wait indefinitely after a stall.
         """
         listener = self.gateway.http_server._listener
         stall_ms = limits.REQUEST_TIMEOUT_MS + 1.0
@@ -334,9 +340,9 @@
         await self.served(wire, 1)
 
     async def test_a_request_received_during_a_stall_is_not_timed_out(self) -> None:
-        """The process stands still for longer than a request may take, with half of a request's head read.
+        """The process stalls for longer than the request timeout after reading half of a request head.
 
-        The rest arrives meanwhile.  Guards against a 408 to a client that was in time.
+        The rest arrives during the stall.  Guards against a 408 for a client that sent its request in time.
         """
         listener, wire = self.gateway.http_server._listener, await self.wire()
         request = encode_request(1)
@@ -345,17 +351,17 @@
             lambda: [each.state for each in listener.table.open] == [ConnectionState.READING_HEAD],
             "the first half to be read",
         )
-        wire.send(request[40:])  # unread until this test gives way to the event loop
+        wire.send(request[40:])  # unread until this test yields to the event loop
         listener.table.time_out(listener.clock.now_ms() + limits.REQUEST_TIMEOUT_MS + 1.0, draining=False)
         await self.play("expect n1 GET 1\nsend n1 200 ok")
         self.assertEqual(await wire.answer(), (200, b"ok"))
 
     @on_settable_clock
     async def test_a_body_received_during_a_stall_is_not_timed_out(self) -> None:
-        """The process stands still for longer than a request may take, with half of a body read.
+        """The process stalls for longer than the request timeout after reading half of a body.
 
-        The rest arrives meanwhile.  Guards against a 408 to a client that was in time; one that sends no more
-        must still get it.
+        The rest arrives during the stall.  Guards against a 408 for a client that sent its body in time; a
+        client that sends no more must still get a 408.
         """
         wire, late = await self.wire(), await self.wire()
         request = encode_request(1, "PUT", b"0123456789", Request_Timeout_Ms="5000")
@@ -366,17 +372,17 @@
             lambda: [each.state for each in listener.table.open] == [ConnectionState.ACTIVE] * 2,
             "the first halves to be read",
         )
-        await self.wait(0.0)  # both handlers wait for their bodies
-        wire.send(request[-5:])  # unread until this test gives way to the event loop
+        await self.wait(0.0)  # both handlers now wait for their bodies
+        wire.send(request[-5:])  # unread until this test yields to the event loop
         await self.wait(limits.REQUEST_TIMEOUT_MS + 1.0)
         await self.play("expect n1 PUT 1 0123456789\nsend n1 200 ok")
         self.assertEqual(await wire.answer(), (200, b"ok"))
         self.assertEqual((await late.answer())[0], 408)
 
     async def test_a_connection_that_is_starting_is_not_evicted(self) -> None:
-        """Every place is taken, and the oldest connection is being started as the next one comes.
+        """The connection limit is reached, and the oldest connection is being started.
 
-        Its client must be answered: a connection without a transport cannot be ended, only forgotten.
+        It must not be evicted: a connection without a transport cannot be closed, so its client would wait.
         """
         listener = self.gateway.http_server._listener
         evicted: list[bool] = []
@@ -392,7 +398,7 @@
     async def test_a_client_that_never_closes_a_half_closed_connection_holds_no_place(self) -> None:
         """A client does not close a connection that the gateway has half-closed.
 
-        The gateway must close it alone after a while, or such clients would use up its descriptors.
+        The gateway must close it after a timeout; otherwise such clients would use up its file descriptors.
         """
         wire = await self.wire()
         await self.served(wire, 1)
@@ -400,14 +406,14 @@
             await wire.end()
         self.assertEqual(
             self.gateway.http_server.connections, 1
-        )  # the gateway waits for the client's own close
-        await until(lambda: not self.gateway.http_server.connections, "the end without it")
+        )  # the gateway waits for the client to close
+        await until(lambda: not self.gateway.http_server.connections, "the timeout of the connection")
 
     async def test_a_request_timeout_response_reaches_a_client_that_is_still_sending(self) -> None:
-        """A client sends its head too slowly and goes on sending as it gets a 408.
+        """A client sends its request head too slowly and continues sending when it gets a 408.
 
-        Closed over its bytes, the connection would be reset.  The client must read the 408, and the linger
-        must end with it.
+        A close with unread input would reset the connection.  The client must read the 408, and the lingering
+        close must end.
         """
         with PATCH("shaletiller.net.connection_limits.REQUEST_TIMEOUT_MS", 100.0):
             wire = await self.wire()
@@ -417,13 +423,14 @@
             wire.send(b"y" * 1000)
             await wire.end()
             wire.close()
-            await until(lambda: not self.gateway.http_server.connections, "the end of the linger")
-        await until(lambda: not self.gateway.http_server._listener._tasks, "the end of its task")
+            await until(lambda: not self.gateway.http_server.connections, "the end of the lingering close")
+        await until(lambda: not self.gateway.http_server._listener._tasks, "the end of the lingering task")
 
     async def test_an_unread_rejection_reaches_a_client_that_is_still_sending(self) -> None:
-        """Under overload a new connection's request is rejected unread, while its client goes on sending.
+        """Under overload, the request of a new connection is rejected unread; its client is still sending.
 
-        The client must read the 503 and an end without a reset, and no node gets the request.
+        The client must read the 503 and the end of the stream without a reset, and no node may get the
+        request.
         """
         for name in ("OVERLOAD_AFTER_MS", "MAX_QUEUE_AGE_MS"):
             self.enterContext(PATCH(f"shaletiller.net.connection_limits.{name}", 0.0))
@@ -432,33 +439,34 @@
         wire.send(encode_request(1, "PUT", b"x" * 60000))
         self.at(
             listener.overload, "_retry_after_allowed", lambda: wire.send(b"y" * 1000)
-        )  # behind what is read of the request
+        )  # sent after the part of the request that is read
         self.assertEqual((await wire.answer())[0], 503)
         await wire.end()
         wire.close()
-        await until(lambda: not listener.overload, "the end of the rejected connection")
+        await until(lambda: not listener.overload, "the rejected connection to be closed")
         self.assertEqual(self.requests_received, 0)
 
 
 class Shutdown(RaceScenario):
-    """SIGTERM, with responses still pending."""
+    """Shutdown with pending responses."""
 
     def stop(self) -> asyncio.Task[None]:
         return asyncio.ensure_future(self.gateway.stop())
 
     async def test_a_request_that_crosses_the_end_is_not_read_and_an_earlier_one_is_answered(self) -> None:
-        """At shutdown one client sends a request before the last responses, another at its close.
+        """At shutdown, one client sends a request before the last responses, another when it is closed.
 
-        The first is answered or left unread, the second is left unread, and neither may reach a node.
+        The first request may be rejected or left unread, the second must be left unread, and neither may
+        reach a node.
         """
         for before in (True, False):
             with self.subTest(before=before):
                 wire, other = await self.wire(), await self.wire()
                 await self.served(wire, 1)
                 await self.served(other, 2)
-                # `other` is idle until the gateway closes it: it sends a request at that moment.
+                # `other` sends a request when the gateway closes its idle connection.
                 self.at_close(other, lambda wire=other: wire.send(encode_request(3)), before)
-                # `wire` sends one just before: what is read then is answered, and forwarded to no node.
+                # `wire` sends one before that: if it is read, it is answered without forwarding it to a node.
                 self.at(
                     self.gateway.http_server,
                     "close_after_responses",
@@ -474,10 +482,10 @@
                 await self.asyncSetUp()
 
     async def test_requests_queued_in_progress_or_half_received_at_shutdown_are_answered(self) -> None:
-        """SIGTERM comes while requests are queued, at nodes, half received, or half answered.
+        """SIGTERM is received while requests are queued, at nodes, half received, or half answered.
 
-        Each must get its response before the process ends: 502 where it may have run, 503 where it certainly
-        has not.
+        Each must get its response before the process ends: 502 if it may have run, 503 if it certainly has
+        not.
         """
         names = ("waits", "out", "body", "answer", "hangs")
         wires = {name: await self.wire() for name in names}
@@ -489,16 +497,16 @@
         half = self.parties["n1"].current
         half.write(b"HTTP/1.1 200 X\r\nContent-Le")
         wires["hangs"].send(encode_request(3, "PUT", b"c", Request_Timeout_Ms="5000"))
-        await self.play("expect n1 PUT 3 c")  # and never answers it
+        await self.play("expect n1 PUT 3 c")  # the node never answers it
         complete = encode_request(4, "PUT", b"0123456789", Request_Timeout_Ms="5000")
         wires["body"].send(complete[:-5])
-        # Queued: no node has the shard.
+        # It is queued, because no node has the shard.
         wires["waits"].send(
             encode_request(5, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1", Request_Timeout_Ms="5000")
         )
-        await until(lambda: len(self.gateway.engine.exchanges) == 4, "all to be in progress")
+        await until(lambda: len(self.gateway.engine.exchanges) == 4, "all requests to be in progress")
         stop = self.stop()
-        await until(lambda: self.gateway._stopping, "the stop")
+        await until(lambda: self.gateway._stopping, "the shutdown to start")
         wires["body"].send(complete[-5:])
         await self.play("expect n1 PUT 4 0123456789\nsend n1 200 body")
         self.assertEqual(await wires["body"].answer(), (200, b"body"))
@@ -517,9 +525,9 @@
         )
 
     async def test_clients_that_send_until_the_end_lose_no_request(self) -> None:
-        """Clients send requests one after the other until shutdown ends their connections.
+        """Clients send one request after another until the shutdown closes their connections.
 
-        The one request of each client that gets no response must not have reached a node.
+        The only request of each client that gets no response must not have reached a node.
         """
         answered, unread = [], []
 
@@ -539,17 +547,18 @@
 
         self.parties["n1"].script = answer
         clients = [asyncio.ensure_future(sends_on(number)) for number in range(8)]
-        await until(lambda: len(answered) > 40, "answers")
+        await until(lambda: len(answered) > 40, "responses")
         await asyncio.wait_for(self.stop(), TIMEOUT_S)
         await asyncio.wait_for(asyncio.gather(*clients), TIMEOUT_S)
         self.assertEqual(len(unread), 8)
         seen = set(self.parties["n1"].request_ids)
-        self.assertEqual([each for each in unread if each in seen], [])  # forwarded, and lost
+        self.assertEqual([each for each in unread if each in seen], [])  # forwarded, but without a response
 
     async def test_a_request_whose_head_is_half_received_at_the_end_is_rejected(self) -> None:
-        """The process ends while a client has sent half of a request's head; the rest follows at that moment.
+        """A client has sent half of a request head when the process shuts down, and then sends the rest.
 
-        It must get a 503 and an end in order.  Guards against a reset in place of an answer at a restart.
+        It must get a 503 and an end without a reset.  Guards against a reset instead of a response at a
+        restart.
         """
         wire = await self.wire()
         request = encode_request(1)
@@ -568,12 +577,12 @@
         self.assertEqual(self.requests_received, 0)
 
     async def test_accepted_connections_not_started_at_shutdown_are_rejected(self) -> None:
-        """A connection is in the accept queue, with a request, as the process ends.
+        """A connection with a request is in the accept queue when the process shuts down.
 
         Its client must get a 503 and an end without a reset.
         """
         listener, wire = self.gateway.http_server._listener, await self.wire()
-        await until(lambda: not listener.accept_queue, "the first to be started")
+        await until(lambda: not listener.accept_queue, "the first connection to be started")
         self.enterContext(PATCH.object(listener, "_start_connections", lambda: None))
         late = await self.wire()
         late.send(encode_request(1))
@@ -585,9 +594,10 @@
         self.assertEqual(self.requests_received, 0)
 
     async def test_a_connection_that_is_starting_at_shutdown_is_half_closed_unread(self) -> None:
-        """A connection is being started, and has no transport yet, as the listener stops.
+        """A connection is being started, and has no transport yet, when the listener stops.
 
-        It must be half-closed once it has one, and the request that its client sends then must not be read.
+        It must be half-closed once it has a transport, and the request that its client sends then must not be
+        read.
         """
         listener = self.gateway.http_server._listener
         late: list[RawClient] = []
@@ -611,7 +621,7 @@
 
 
 class ClientLeaves(RaceScenario):
-    """A client that leaves while its request waits: the request is not forwarded."""
+    """A client disconnects while its request waits: the request must not be forwarded."""
 
     async def disconnects(
         self, wire: RawClient, how: Callable[[], None], free: Callable[[], Awaitable[None]]
@@ -619,18 +629,18 @@
         how()
         await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await free()
-        await asyncio.sleep(0.05)  # whatever was to be forwarded has been by now
+        await asyncio.sleep(0.05)  # time for a request to be forwarded by mistake
         self.assertEqual(self.requests_received, 0)
 
     async def test_while_it_is_queued(self) -> None:
         """A client closes, resets or half-closes its connection while its request waits for a node.
 
-        Once a node is there, the request must not be forwarded.
+        The request must not be forwarded when a node becomes available.
         """
         for shard, how in ((3, "close"), (4, "reset"), (5, "half")):
             with self.subTest(how):
                 wire = await self.wire()
-                # Queued until some node has the shard.
+                # It is queued until a node has the shard.
                 wire.send(
                     encode_request(
                         1, IO_Info=f"volume={VOLUME},units=2,shard={shard},hosts=1", Request_Timeout_Ms="5000"
@@ -651,9 +661,9 @@
                 self.assertEqual(self.parties[f"n{shard}"].received.qsize(), 0)
 
     async def test_while_it_is_pipelined_behind_another_request(self) -> None:
-        """A client pipelines two requests and leaves.
+        """A client pipelines two requests and disconnects.
 
-        The first attempt must be cancelled, and the second request never forwarded.
+        The attempt of the first request must be cancelled, and the second must never be forwarded.
         """
         wire = await self.wire()
         wire.send(encode_request(1, Request_Timeout_Ms="5000") + encode_request(2, Request_Timeout_Ms="5000"))
@@ -664,7 +674,7 @@
         self.assertEqual((self.requests_received, self.gateway.engine.exchanges), (0, {}))
 
     async def test_as_the_connection_to_its_node_comes_up(self) -> None:
-        """A client leaves in the moment in which the connection for its request comes up.
+        """A client disconnects when the connection for its request is established.
 
         The node must not get the request, and the connection must be closed.
         """
@@ -675,17 +685,17 @@
             lambda: [engine.client_disconnected(each) for each in list(engine.exchanges.values())],
         )
         wire.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
-        await until(lambda: engine.counters.get("left"), "the close")
-        await until(lambda: not engine.attempts.in_flight, "the attempt's end")
+        await until(lambda: engine.counters.get("left"), "the disconnect")
+        await until(lambda: not engine.attempts.in_flight, "the end of the attempt")
         node = self.parties["n1"]
         await until(lambda: node.writers, "the connection")
-        await until(lambda: all(each.transport.is_closing() for each in node.writers), "its end")
+        await until(lambda: all(each.transport.is_closing() for each in node.writers), "its close")
         self.assertEqual((self.requests_received, node.request_ids), (0, []))
 
     async def test_before_a_retry(self) -> None:
-        """A client leaves between a failed connect and the retry.
+        """A client disconnects between a failed connect and the retry.
 
-        The node, reachable again, must not get the request.
+        The node, which is reachable again, must not get the request.
         """
         wire = await self.wire()
         await self.play("close n1 listener")
@@ -693,13 +703,13 @@
         await until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
         wire.close()
         await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
-        await self.parties["n1"].start()  # it is reachable again, on its port
+        await self.parties["n1"].start()  # it is reachable again on the same port
         await asyncio.sleep(0.3)
         self.assertEqual((self.requests_received, self.parties["n1"].request_ids), (0, []))
 
 
 class AdminConnections(RaceScenario):
-    """The operators' commands: callers that send too much, and callers at the end of the process."""
+    """Admin commands: clients that send extra data, and clients at shutdown."""
 
     async def call(self, line: bytes) -> RawClient:
         assert self.gateway.admin is not None
@@ -708,12 +718,12 @@
         return self.wires[-1]
 
     async def test_a_response_is_complete_whatever_the_caller_sends_behind_its_line(self) -> None:
-        """A caller sends more than its line while the command runs.
+        """A client sends data after its line while the command runs.
 
-        Closed over these bytes, the connection would be reset; the caller must read the complete response.
+        A close with unread input would reset the connection; the client must read the complete response.
         """
         caller = await self.call(b"")
-        # The line fills the read buffer: what arrives while the command runs stays in the kernel.
+        # The line fills the read buffer, so data that arrives while the command runs stays in the kernel.
         self.at(self.gateway.admin, "execute", lambda: caller.send(b"x" * 1000))
         caller.send(b"READY\n" + b"x" * 1000)
         while await caller.read():
@@ -721,9 +731,9 @@
         self.assertEqual(caller.got, b"done yes\n")
 
     async def test_a_command_in_progress_at_shutdown_gets_its_response(self) -> None:
-        """The process ends while a command is in progress.
+        """The process shuts down while a command is in progress.
 
-        Its caller must get the response before the tasks of the event loop are cancelled.
+        The client must get the response before the tasks of the event loop are cancelled.
         """
         admin, released = self.gateway.admin, asyncio.Event()
         assert admin is not None
@@ -739,7 +749,7 @@
         await asyncio.sleep(0)
         released.set()
         await stop
-        for task in asyncio.all_tasks():  # as the loop's end does
+        for task in asyncio.all_tasks():  # as at the end of the event loop
             if task.get_coro().__qualname__ == AdminServer._handle_connection.__qualname__:
                 task.cancel()
         while await caller.read():
@@ -748,12 +758,12 @@
 
 
 class NvmeShutdown(RaceScenario):
-    """Shutdown for NVMe over TCP."""
+    """Shutdown with NVMe over TCP hosts."""
 
     async def test_a_command_that_outlasts_the_shutdown_has_its_completion(self) -> None:
-        """A node never answers the command of an NVMe host, and the process ends.
+        """A node never answers the command of an NVMe host, and the process shuts down.
 
-        The host must get a completion that forbids a retry, before the server stops.
+        The host must get a completion with Do Not Retry before the server stops.
         """
         await self.play("send v1 write 5 data\nexpect n1 PUT 5")  # the node never answers
         owed: list[bool] = []
@@ -761,29 +771,29 @@
         stop = asyncio.ensure_future(self.gateway.stop())
         await self.play("expect v1 write_fault dnr")
         await asyncio.wait_for(stop, TIMEOUT_S)
-        self.assertEqual(owed, [False])  # nothing is pending any more as the server stops
+        self.assertEqual(owed, [False])  # no command is pending when the server stops
 
     async def test_a_completion_arrives_though_its_host_is_still_sending_at_the_close(self) -> None:
-        """A host sends a command as its connection is closed.
+        """A host sends a command while its connection is closed.
 
-        The completion already on its way must arrive, and the connection must end in order.
+        The completion in flight must arrive, and the connection must end without a reset.
         """
         host = await self.party("v1")
         await self.play("send v1 read 5\nexpect n1 GET 5")
         queue = (await host.associate()).io
         flush = commands.encode_command(commands.IoOpcode.FLUSH, queue.next_command_id(), 1)
         sock = queue._stream._writer.transport.get_extra_info("socket")
-        # Behind the last completion, and unread as the first connection ends.
+        # Sent after the last completion, and unread when the first connection ends.
         self.at(ControllerQueue, "end", lambda: os.write(sock.fileno(), capsules.command_capsule(flush)))
         stop = asyncio.ensure_future(self.gateway.stop())
         await self.play("expect v1 interrupted")
-        self.assertIsNone(await queue._stream.receive(TIMEOUT_S))  # the end, in order
+        self.assertIsNone(await queue._stream.receive(TIMEOUT_S))  # end of the stream, without a reset
         await asyncio.wait_for(stop, TIMEOUT_S)
 
     async def test_a_command_whose_host_has_left_is_not_forwarded(self) -> None:
-        """An NVMe host leaves between a failed attempt and the retry.
+        """An NVMe host disconnects between a failed attempt and the retry.
 
-        The node, reachable again, must not get the command.
+        The node, which is reachable again, must not get the command.
         """
         await self.play("close n1 listener\nsend v1 write 5 data")
         await until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
@@ -795,9 +805,10 @@
 
 
 class FullQueue(RaceScenario):
-    """A connection to a node that comes up late or never.
+    """Connections to a node that are established late or never.
 
-    The node's listener has a full queue: the kernel drops a SYN, and the other side sends the next after 1 s.
+    The accept queue of the node is full: the kernel drops a SYN, and the gateway's kernel retransmits it
+    after 1 s.
     """
 
     settings: ClassVar[dict[str, Any]] = {
@@ -826,7 +837,7 @@
         await until(lambda: queued_at(self.port) == 1, "the full queue")
 
     def comes_up(self) -> None:
-        """Free a place in the queue: the next SYN is accepted."""
+        """Accept a connection from the queue, so that the next SYN is accepted."""
         self.accepted.append(self.full.accept()[0])
 
     async def next(self) -> socket.socket:
@@ -839,48 +850,48 @@
 
 class LateConnections(FullQueue):
     async def test_one_that_comes_up_late_serves_the_request_once(self) -> None:
-        """A connection to a node comes up only at the kernel's second SYN.
+        """A connection to a node is established only by the second SYN.
 
-        The request must be served on it, once.
+        The request must be served on it once.
         """
         wire = await self.wire()
         wire.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await until(lambda: connecting_to(self.port) == 1, "the attempt")
         self.comes_up()
-        sock = await self.next()  # a second after the first SYN
+        sock = await self.next()  # 1 s after the first SYN
         raw = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 9999), TIMEOUT_S)
         self.assertIn(b"Request-Id: PUT-1\r\n", raw)
         sock.sendall(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
         self.assertEqual(await wire.answer(), (200, b"ok"))
         self.assertEqual(self.gateway.engine.counters.get("attempt.ok"), 1)
-        self.assertEqual(connections_to(self.port), 2)  # it, and the filler
+        self.assertEqual(connections_to(self.port), 2)  # this one and the filler
 
     async def test_one_that_is_not_up_in_time_is_abandoned(self) -> None:
-        """A deadline passes, and a client leaves, before a connection to the node is up.
+        """A deadline expires, and a client disconnects, before a connection to the node is established.
 
-        Both attempts must end, and the kernel must not go on connecting for them.
+        Both attempts must end, and the kernel must not continue connecting for them.
         """
         slow, disconnected = await self.wire(), await self.wire()
         slow.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="300"))
         disconnected.send(encode_request(2, "PUT", b"y", Request_Timeout_Ms="5000"))
         await until(lambda: connecting_to(self.port) == 2, "both attempts")
         disconnected.close()
-        self.assertEqual((await slow.answer())[0], 502)  # a timeout proves nothing
+        self.assertEqual((await slow.answer())[0], 502)  # a timeout does not prove that it has not run
         slow.close()
-        await until(lambda: not self.gateway.engine.attempts.in_flight, "the ends of both")
+        await until(lambda: not self.gateway.engine.attempts.in_flight, "the end of both attempts")
         self.comes_up()
         self.accepted.pop().close()
         self.fillers.pop().close()
-        await until(lambda: not self.gateway.http_server.connections, "the clients' end")
+        await until(lambda: not self.gateway.http_server.connections, "the client connections to be closed")
         self.assertEqual(connections_to(self.port), 0)
-        self.full.settimeout(1.5)  # a second after the first SYN each client would send it again
+        self.full.settimeout(1.5)  # the SYN would be retransmitted after 1 s
         with self.assertRaises(TimeoutError):
             await asyncio.get_running_loop().run_in_executor(None, self.full.accept)
 
     async def test_one_that_never_comes_up_is_a_failed_connect(self) -> None:
-        """A connection to a node never comes up.
+        """A connection to a node is never established.
 
-        The outcome must be a failed connect, so the write is rejected with a 503: it has certainly not run.
+        The outcome must be a failed connect, so that the write, which has certainly not run, gets a 503.
         """
         wire = await self.wire()
         with PATCH.object(self.gateway._http, "_settings", self.replaced(connect_timeout_ms=100.0)):
@@ -895,7 +906,7 @@
 
 
 class ShortWindow(FullQueue):
-    """A retry of what may have run, on a connection that comes up after the deduplication window."""
+    """Retries of requests that may have run, on connections established after the deduplication window."""
 
     settings: ClassVar[dict[str, Any]] = {
         **SETTINGS,
@@ -912,19 +923,19 @@
     }
 
     async def test_a_retry_is_not_written_after_its_deduplication_window(self) -> None:
-        """A write with a key may have run, and its retry connects when the node has forgotten the key.
+        """A write with a key may have run, and its retry connects only after the deduplication window.
 
-        The retry must not be written: the node could not recognise it, and would run the write twice.
+        The retry must not be sent: the node would not recognise the key, and would run the write twice.
         """
         wire = await self.wire()
         first = await self.first_attempt(wire)
-        reset(first)  # it may have run: the retry may start within 400 ms
+        reset(first)  # the request may have run; a retry may start within 400 ms
         await until(lambda: connecting_to(self.port) == 1, "the retry")
-        self.comes_up()  # and would be up after a second
+        self.comes_up()  # the connection would be established after 1 s
         self.full.settimeout(1.5)
         with self.assertRaises(TimeoutError):
             await asyncio.get_running_loop().run_in_executor(None, self.full.accept)
-        self.assertEqual((await wire.answer())[0], 503)  # every node knows the key, so the rejection is safe
+        self.assertEqual((await wire.answer())[0], 503)  # all nodes share the keys, so a rejection is safe
 
     async def first_attempt(self, wire: RawClient) -> socket.socket:
         self.comes_up()
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -1,4 +1,4 @@
-"""Failures of nodes and discovery: truncated responses, broken connections, reloads, late lists."""
+"""Tests of failures of nodes and discovery: truncated responses, broken connections, reloads, late lists."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 }
 DOMAIN = {**SETTINGS["domain"], "writes": [False, True, True]}
 EFFECTS: dict[str, Any] = {**SETTINGS, "classes": [*SETTINGS["classes"], KEYED], "domain": DOMAIN}
-# A request of each effect, and its status if it may have run and a retry, where allowed, is served.
+# A request of each effect, and its status if it may have run and a retry, if allowed, is served.
 REQUEST_OF_EFFECT = {
     "read": (encode_request(1), 200),
     "write": (encode_request(2, "PUT", b"x"), 502),
@@ -43,7 +43,7 @@
 
 
 class TruncatedResponses(RaceScenario):
-    """A node's response that ends too early."""
+    """Responses of nodes that end too early."""
 
     settings: ClassVar[dict[str, Any]] = EFFECTS
 
@@ -52,7 +52,11 @@
         return first, writer
 
     async def ends(self, raw: bytes, end: str, request: bytes, wanted: int) -> None:
-        """Answer one attempt with `raw` and its connection's end; serve a second one, if there is any."""
+        """Send `raw` to the first attempt and end its connection; serve a second attempt if one is expected.
+
+        :param end: how the connection ends: "reset" or "end".
+        :param wanted: expected status of the response to the client.
+        """
         wire = await self.wire()
         wire.send(request)
         _, writer = await self.attempt()
@@ -71,21 +75,21 @@
         wire.close()
 
     async def test_a_response_truncated_at_any_byte_is_not_forwarded(self) -> None:
-        """A node's connection ends, or is reset, after any number of the response's bytes.
+        """A node closes or resets its connection after any number of bytes of the response.
 
-        Nothing of it may reach the client: a read is retried, a write fails with a 502.
+        No part of the response may reach the client: a read is retried, a write fails with a 502.
         """
         for end in ("reset", "end"):
             for size in range(len(ANSWER)):
                 with self.subTest(end=end, size=size):
                     for name in ("read", "write"):
                         await self.ends(ANSWER[:size], end, *REQUEST_OF_EFFECT[name])
-        await until(lambda: not self.gateway.engine.attempts.in_flight, "the attempts' ends")
+        await until(lambda: not self.gateway.engine.attempts.in_flight, "the end of all attempts")
 
     async def test_a_reset_response_without_a_length_is_not_forwarded(self) -> None:
         """A node sends a response without a Content-Length and resets the connection.
 
-        Its end is unknown, so no part of it may reach the client.
+        The end of the response is unknown, so no part of it may reach the client.
         """
         raw = b"HTTP/1.1 200 OK\r\nServer: a\r\n\r\nbody"
         for size in range(len(raw) - 8, len(raw) + 1):
@@ -96,7 +100,7 @@
     async def test_a_truncated_chunked_response_is_not_forwarded(self) -> None:
         """A node resets its connection within a chunked response.
 
-        Nothing of it may reach the client.
+        No part of the response may reach the client.
         """
         raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
         for size in range(raw.index(b"4\r\n"), len(raw), 3):
@@ -104,7 +108,7 @@
                 await self.ends(raw[:size], "reset", *REQUEST_OF_EFFECT["read"])
 
     async def test_a_failure_after_the_last_byte_may_have_run(self) -> None:
-        """A connection, new or reused, breaks after the complete request was written.
+        """A new or reused connection breaks after the complete request was written.
 
         The request may have run: reads and writes with a key are retried, other writes must fail with a 502.
         """
@@ -115,13 +119,13 @@
                         wire = await self.wire()
                         await self.served(wire, 9)
                         wire.close()
-                        await asyncio.sleep(0.03)  # past its settling time
+                        await asyncio.sleep(0.03)  # wait until the connection may be reused
                     await self.ends(b"", "reset", request, wanted)
 
     async def test_a_failure_before_the_last_byte_has_not_run(self) -> None:
-        """The node reads a part of a large body and resets.
+        """A node reads part of a large body and resets the connection.
 
-        The request cannot have run, so it must be retried, a non-idempotent write too.
+        The request cannot have run, so it must be retried, even if it is a non-idempotent write.
         """
         body = b"z" * 60000
         for name in ("write", "keyed"):
@@ -137,7 +141,7 @@
                         return
                     await serve(reader, writer)
 
-                # Its buffers are small: the complete request cannot have been written by then.
+                # The node has small buffers, so that the complete request cannot be written before the reset.
                 node.server.close()
                 for each in node.writers:
                     each.transport.abort()
@@ -161,28 +165,28 @@
 
     @staticmethod
     async def slow(body: bytes, progress: Any) -> Any:
-        """Yield the body, its last byte only after the node has had time to reset."""
+        """Yield the body, and its last byte after a delay in which the node resets the connection."""
         yield body[:-1]
         await asyncio.sleep(0.2)
         progress.last_byte_written = True
         yield body[-1:]
 
     async def test_a_response_that_stops_half_way_ends_its_connection(self) -> None:
-        """A node sends half a response and no more.
+        """A node sends half of a response and stops.
 
-        The write must fail soon, and its connection must be closed.
+        The write must fail soon, and the connection must be closed.
         """
         wire = await self.wire()
         wire.send(REQUEST_OF_EFFECT["write"][0])
         _, writer = await self.attempt()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf")
         self.assertEqual((await wire.answer())[0], 502)
-        await until(writer.transport.is_closing, "its connection's end")
+        await until(writer.transport.is_closing, "the connection to be closed")
 
     async def test_a_duplicate_response_some_milliseconds_later_reaches_no_one(self) -> None:
-        """A node sends its response twice: at once, within the settling time, or as the connection is taken.
+        """A node sends its response twice, up to the end of the time in which its connection is not reused.
 
-        The next request must not meet the old connection, nor get the second copy as its response.
+        The next request must not use this connection, nor get the second copy as its response.
         """
         pool = self.gateway._http._session().connector
         for wait_s in (0.0, 0.005, 0.009):
@@ -196,7 +200,7 @@
                 released_s = next(iter(pool._conns.values()))[0][1]
                 now = unittest.mock.Mock(monotonic=lambda now_s=released_s + wait_s: now_s)
                 with PATCH("shaletiller.net.pool.time", now):
-                    wire.send(encode_request(4, "PUT", b"x"))  # it must not get the old connection
+                    wire.send(encode_request(4, "PUT", b"x"))  # it must not use the old connection
                     _, second = await self.attempt()
                 self.assertIsNot(writer, second)
                 writer.write(ANSWER)
@@ -206,9 +210,9 @@
                 self.gateway._http.close_idle(f"127.0.0.1:{self.parties['n1'].port}")
 
     async def test_input_on_an_idle_connection_as_it_is_taken_retires_it(self) -> None:
-        """A part of a status line arrives on an idle connection in the moment in which it is taken.
+        """Part of a status line arrives on an idle connection while it is taken from the pool.
 
-        The request must go to another connection, and the old one must be closed.
+        The request must use another connection, and the old one must be closed.
         """
         pool = self.gateway._http._session().connector
         wire = await self.wire()
@@ -217,19 +221,19 @@
         writer.write(ANSWER)
         await wire.answer()
         await asyncio.sleep(0.03)
-        # The connection is being taken and nothing is written yet, as half a line arrives in the kernel.
+        # Half a line arrives in the kernel while the connection is taken, before the request is written.
         self.at(pool, "_is_clean", lambda: os.write(writer.get_extra_info("socket").fileno(), b"HTTP/1.1 20"))
         wire.send(encode_request(2, "PUT", b"x"))
         _, second = await self.attempt()
         self.assertIsNot(writer, second)
         second.write(ANSWER)
         self.assertEqual((await wire.answer())[0], 200)
-        await until(writer.transport.is_closing, "the end of the old one")
+        await until(writer.transport.is_closing, "the old connection to be closed")
 
     async def test_a_request_abandoned_with_unsent_bytes_is_never_completed(self) -> None:
-        """A node reads nothing, so the end of a request stays unsent as its client gets a 502.
+        """A node does not read, so the end of a request is still unsent when its client gets a 502.
 
-        The node must never get the rest: it would run a write that was reported as failed.
+        The node must never get the rest, or it would run a write that was reported as failed.
         """
         node = self.parties["n1"]
         node.server.close()
@@ -265,7 +269,7 @@
 
 
 class DeduplicationWindows(RaceScenario):
-    """A retry just inside, at and just past the end of a short deduplication window."""
+    """Retries just before, at and just after the end of a short deduplication window."""
 
     def repeat(
         self, at_ms: float, ttl_ms: float = 300.0, later: float | None = None
@@ -287,9 +291,9 @@
         return host.sent().count("k") == 2, host
 
     async def test_a_retry_inside_at_and_past_the_end(self) -> None:
-        """An attempt may have run, and its outcome is known just before, at or after the window's end.
+        """An attempt may have run, and its outcome is known just before, at or after the end of the window.
 
-        A retry may start only up to the end, and with the time that is left.
+        A retry may start only until the end of the window, and its time to connect is limited to the rest.
         """
         for ttl_ms, again in ((201.0, True), (200.0, True), (199.0, False)):
             with self.subTest(ttl_ms=ttl_ms):
@@ -300,16 +304,16 @@
                     self.assertEqual(sends[1].start_within_ms, ttl_ms - 200.0)
 
     async def test_a_request_in_progress_keeps_its_window_when_the_settings_change(self) -> None:
-        """The settings change the window while a request is in progress.
+        """The settings shorten or lengthen the window while a request is in progress.
 
-        The window of its admission must hold, a shorter and a longer one.
+        The window from the admission of the request must apply.
         """
         self.assertTrue(self.repeat(200.0, later=100.0)[0])
         self.assertFalse(self.repeat(400.0, later=900.0)[0])
 
 
 class ReloadWithRequestsInProgress(RaceScenario):
-    """SIGHUP between a request's admission and its attempt, and between the attempt and its outcome."""
+    """Reloads between the admission of a request and its attempt, and between the attempt and its outcome."""
 
     settings: ClassVar[dict[str, Any]] = EFFECTS
 
@@ -320,7 +324,7 @@
     async def test_requests_in_progress_keep_their_class_and_effect(self) -> None:
         """A reload swaps the effects of two classes and removes a third while requests of them are queued.
 
-        Queued requests must keep the effect of their admission; new ones follow the new settings.
+        Queued requests must keep the effect from their admission; new requests must use the new settings.
         """
         wire, reader = await self.wire(), await self.wire()
         far = f"volume={VOLUME},units=2,shard=3,hosts=1"
@@ -328,8 +332,8 @@
             encode_request(1, "PUT", b"x", IO_Info=far, Request_Timeout_Ms="5000")
         )  # no node has the shard yet
         reader.send(encode_request(2, IO_Info=far, Request_Timeout_Ms="5000"))
-        await until(lambda: len(self.gateway.engine.exchanges) == 2, "both to be queued")
-        # Reads may not be retried any more, writes may, and one class is removed.
+        await until(lambda: len(self.gateway.engine.exchanges) == 2, "both requests to be queued")
+        # Reads may no longer be retried, writes may, and one class is removed.
         read, write, _ = EFFECTS["classes"]
         self.reload_settings(
             classes=[{**read, "effect": "non_idempotent"}, {**write, "effect": "read_like"}],
@@ -340,12 +344,12 @@
         for _ in range(2):
             *_, node.current, _ = await node.next()
             node.current.transport.abort()
-        # The write fails, for it may have run; the read is retried.
+        # The write fails, because it may have run; the read is retried.
         self.assertEqual((await wire.answer())[0], 502)
         await self.play("expect n3 GET 2\nsend n3 200 ok")
         self.assertEqual(await reader.answer(), (200, b"ok"))
         self.assertEqual(node.received.qsize(), 0)
-        # And new ones follow the new settings.
+        # New requests use the new settings.
         wire.send(encode_request(3, IO_Info=far))
         await self.play("expect n3 GET 3\nclose n3")
         self.assertEqual((await wire.answer())[0], 502)
@@ -353,26 +357,27 @@
         await self.play("expect n3 PUT 4 x\nclose n3\nexpect n3 PUT 4 x\nsend n3 200 ok")
         self.assertEqual((await reader.answer())[0], 200)
         wire.send(encode_request(5, "PUT", b"x", Request_Class="keyed", Idempotency_Key="k"))
-        self.assertEqual((await wire.answer())[0], 400)  # there is no such class any more
+        self.assertEqual((await wire.answer())[0], 400)  # the class has been removed
 
     async def test_the_guard_timer_answers_by_the_settings_of_the_admission(self) -> None:
-        """The scheduler keeps silent, and a reload makes writes idempotent while one is in progress.
+        """The scheduler does not respond, and a reload makes writes idempotent while one is in progress.
 
-        The guard timer must answer 502: under the settings of its admission the write may have run.
+        The guard timer must respond with a 502: under the settings of its admission, the write may have run.
         """
         wire = await self.wire()
         wire.send(encode_request(2, "PUT", b"x", Request_Timeout_Ms="400"))
         await self.play("expect n1 PUT 2 x")
-        self.gateway.engine._scheduler.handle = lambda now_ms, event: []  # a scheduler that never acts
+        self.gateway.engine._scheduler.handle = lambda now_ms, event: []  # never returns an action
         self.gateway.engine._scheduler.apply_settings = lambda settings: None
         read, write, _ = EFFECTS["classes"]
         self.reload_settings(classes=[read, {**write, "effect": "read_like"}], domain=SETTINGS["domain"])
-        self.assertEqual((await wire.answer())[0], 502)  # it may have run, so it must not be rejected
+        self.assertEqual((await wire.answer())[0], 502)  # a rejection would claim that it has not run
 
     async def test_timeouts_and_connections_follow_the_new_settings(self) -> None:
-        """A reload shortens the idle timeout and forbids Retry-After.
+        """A reload shortens the idle timeout and disables Retry-After.
 
-        Idle connections that are too old by now must not be used, and rejections must carry no Retry-After.
+        Connections that exceed the new idle timeout must not be reused, and rejections must not have a
+        Retry-After.
         """
         wire = await self.wire()
         await self.served(wire, 1)
@@ -391,7 +396,7 @@
         await self.served(wire, 2)
         self.assertEqual(
             len(self.parties["n1"].writers - old), 1
-        )  # the idle one was too old for the new settings
+        )  # the idle connection exceeded the new timeout
         wire.send(
             encode_request(3, IO_Info=f"volume={VOLUME},units=2,shard=9,hosts=1", Request_Timeout_Ms="50")
         )
@@ -399,9 +404,9 @@
         self.assertNotIn(b"Retry-After", wire.head)
 
     async def test_a_reload_before_the_watch_has_begun_moves_it(self) -> None:
-        """A reload names another discovery before the watch has made its first call.
+        """A reload changes the discovery address before the first call of the watch.
 
-        That call must go to the new address, for the full list.
+        The call must request the full list from the new address.
         """
         second, agent = Gateway(read_config(self.env, self.nvme)), await self.party("d2")
         self.config_document["discovery"] = f"127.0.0.1:{agent.port}"
@@ -412,10 +417,10 @@
         watch.cancel()
 
     async def test_a_faulty_file_changes_nothing(self) -> None:
-        """A reload finds a file with a faulty class.
+        """A reload reads a configuration file with an invalid class.
 
-        The configuration and the scheduler's settings must stay, the reload must count as rejected, and
-        requests are served.
+        The configuration and the scheduler's settings must not change, the reload must count as rejected, and
+        requests must still be served.
         """
         before, scheduler = self.gateway.config, self.gateway.engine._scheduler.settings
         read, write = SETTINGS["classes"]
@@ -435,7 +440,7 @@
 
 
 class EndpointLists(RaceScenario):
-    """Lists that stop, are truncated, or come in segments or from another discovery."""
+    """Endpoint lists that are truncated, segmented, late, or sent by another discovery service."""
 
     settings: ClassVar[dict[str, Any]] = {
         **SETTINGS,
@@ -443,7 +448,7 @@
     }
 
     async def send_full(self, party: Any, version: int, pieces: int = 1, **states: str) -> None:
-        """Send an indented full list, in so many writes."""
+        """Send an indented full list in the given number of writes."""
         rows = [self.row(name, state) for name, state in states.items()]
         raw = json.dumps({"version": version, "full": True, "servers": rows}, indent=4).encode()
         head = f"HTTP/1.1 200 X\r\nContent-Length: {len(raw)}\r\n\r\n".encode() + raw
@@ -454,9 +459,9 @@
             await asyncio.sleep(0)
 
     async def test_an_indented_list_in_many_segments_is_read(self) -> None:
-        """Discovery sends an indented list in forty writes.
+        """Discovery sends an indented list in 40 writes.
 
-        It must be read and applied like any other.
+        The list must be applied.
         """
         agent = await self.party("d")
         agent.current = (await agent.next())[3]
@@ -465,9 +470,9 @@
         self.assertEqual(list(self.gateway.engine.endpoints), ["n2"])
 
     async def test_a_truncated_list_is_discarded_and_requested_again(self) -> None:
-        """Discovery's connection is reset within a list.
+        """The connection to discovery is reset within a list.
 
-        Nothing of it may be applied, and the watch must go on from the version in use.
+        No part of the list may be applied, and the watch must continue from the current version.
         """
         agent = await self.party("d")
         agent.current = (await agent.next())[3]
@@ -478,10 +483,10 @@
         self.assertEqual(list(self.gateway.engine.endpoints), ["n1", "n2"])
 
     async def test_a_drain_announced_while_the_watch_was_broken_has_less_grace_left(self) -> None:
-        """The watch is reset, closed or silent, and the next list has a node draining.
+        """The watch is reset, closed or silent, and a node is draining in the next list.
 
-        The drain may have been announced at any time since the last response, so that time must count against
-        its grace period; otherwise requests would go to a node that has left.
+        The drain may have been announced at any time since the last response, so this time must be subtracted
+        from its grace period; otherwise requests would be sent to a node that has been removed.
         """
         for how in ("reset", "end", "silent"):
             with self.subTest(how):
@@ -511,9 +516,9 @@
                 await self.asyncSetUp()
 
     async def test_a_drain_on_a_continuous_watch_has_its_full_grace(self) -> None:
-        """The watch goes on without a gap, and a list has a node draining.
+        """The watch is uninterrupted, and a node is draining in a list.
 
-        It must count as announced just now.
+        The drain must count as announced now.
         """
         seen, agent = self.record_events(), await self.party("d")
         for version in (5, 6):
@@ -530,7 +535,7 @@
     async def test_after_the_grace_a_node_gets_no_requests_and_those_in_progress_are_answered(self) -> None:
         """A node drains, and its grace period ends while it has a request in progress.
 
-        It must get no further request, and the one in progress must be answered.
+        The node must get no further requests, and the one in progress must get its response.
         """
         wire, late = await self.wire(), await self.wire()
         wire.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
@@ -548,9 +553,9 @@
             self.assertEqual(await wire.answer(), (200, b"ok"))
 
     async def test_a_lower_version_after_discovery_has_moved_is_applied(self) -> None:
-        """A reload names another discovery, whose versions are lower.
+        """A reload changes to another discovery service, whose versions are lower.
 
-        Its full list must be requested and applied: versions of two discoveries do not compare.
+        Its full list must be requested and applied, because versions of two services are not comparable.
         """
         old, new = await self.party("d"), await self.party("d2")
         old.current = (await old.next())[3]
@@ -566,10 +571,13 @@
 
 
 class Starts(RaceScenario):
-    """A start with discovery down, silent or late, or with an outdated list."""
+    """Starts of a gateway with discovery down, silent or late, or with an outdated list."""
 
     async def start_second(self) -> tuple[float, int]:
-        """Start a second gateway beside the first: how long that takes, and its status at `GET /up`."""
+        """Start a second gateway.
+
+        :returns: duration of the start in seconds, and the status of `GET /up`.
+        """
         gateway = Gateway(read_config(self.env, self.nvme))
         began = time.monotonic()
         await gateway.start()
@@ -595,7 +603,7 @@
     async def test_the_configured_list_serves_while_discovery_is_down_or_silent(self) -> None:
         """A gateway starts while discovery is silent or down.
 
-        It must be ready within the operators' limit, and serve by the configured list.
+        It must be ready within the operators' time limit, and serve requests with the configured list.
         """
         for how in ("silent", "down"):
             with self.subTest(how):
@@ -603,7 +611,7 @@
                     await self.parties["d"].close("listener")
                 duration_s, status = await self.start_second()
                 self.assertEqual(status, 200)
-                self.assertLess(duration_s, 10.0)  # the operators' limit
+                self.assertLess(duration_s, 10.0)  # the operators' time limit
                 wire = await RawClient.open(self.second.http_server.address)
                 wire.send(encode_request(1))
                 await self.play("expect n1 GET 1\nsend n1 200 ok")
@@ -611,20 +619,20 @@
                 wire.close()
 
     async def test_it_is_not_ready_before_it_can_serve(self) -> None:
-        """A gateway starts with an empty list, or one in which every node drains, and discovery is late.
+        """A gateway starts with an empty list, or one with only draining nodes, and discovery is late.
 
-        `GET /up` must be 503 until discovery names a node that is ready.
+        `GET /up` must return 503 until discovery sends a list with a ready node.
         """
         agent = await self.party("d")
         for rows in ([], [self.row("n1", "leaving"), self.row("n2", "leaving")]):
             with self.subTest(rows=len(rows)):
-                await until(lambda: agent.received.qsize() > 0, "the first gateway's watch")
+                await until(lambda: agent.received.qsize() > 0, "the watch of the first gateway")
                 while agent.received.qsize():
                     agent.received.get_nowait()
                 self.write_known_list(rows)
                 _, status = await self.start_second()
                 self.assertEqual(status, 503)
-                found = await agent.next()  # discovery answers late
+                found = await agent.next()  # discovery responds late
                 self.assertEqual(await self.up(), 503)
                 update = {"version": 3, "full": True, "servers": [self.row("n1", "active")]}
                 agent.current = found[3]
@@ -633,9 +641,9 @@
                 self.assertEqual(await self.up(), 200)
 
     async def test_an_outdated_list_is_replaced_by_discoverys(self) -> None:
-        """A gateway starts with a list in which a node is ready that has drained for an unknown time.
+        """A gateway starts with an outdated list; a node that is ready in it has started to drain since then.
 
-        Once discovery's list is there, the node must get no request: nothing of its grace period is certain.
+        Once the list of discovery is applied, the node must get no requests: its grace period may be over.
         """
         agent = await self.party("d")
         await agent.next()
@@ -648,22 +656,22 @@
         await until(lambda: self.second.discovery._version == 9, "the new list")
         wire = await RawClient.open(self.second.http_server.address)
         wire.send(encode_request(1, Request_Timeout_Ms="200"))
-        self.assertEqual((await wire.answer())[0], 503)  # it has been draining for an unknown time
+        self.assertEqual((await wire.answer())[0], 503)  # the start of the drain is unknown
         self.assertEqual(self.requests_received, 0)
         wire.close()
 
 
 class ClientFloods(RaceScenario):
-    """Many clients that send much and leave, send slowly, or give up early."""
+    """Many clients that send large bodies and disconnect, send slowly, or disconnect early."""
 
     sockets = 64
 
     async def assert_nothing_left(self) -> None:
-        await until(lambda: not self.gateway.http_server.connections, "no connection to be left")
+        await until(lambda: not self.gateway.http_server.connections, "all connections to be closed")
         listener = self.gateway.http_server._listener
         self.assertFalse(listener.accept_queue or listener.overload or self.gateway.engine.exchanges)
         await until(
-            lambda: not listener._tasks and not self.gateway.engine.attempts.in_flight, "no task to be left"
+            lambda: not listener._tasks and not self.gateway.engine.attempts.in_flight, "all tasks to end"
         )
 
     async def flood(self, act: Any, count: int = 300) -> None:
@@ -688,9 +696,9 @@
         await self.served(wire, 99999)
 
     async def test_clients_that_send_large_bodies_and_leave(self) -> None:
-        """Hundreds of clients send a part of a large body and leave.
+        """Hundreds of clients send part of a large body and disconnect.
 
-        No request may reach a node, and no connection or task may be left behind.
+        No request may reach a node, and no connection or task may remain.
         """
 
         async def act(wire: RawClient, number: int) -> None:
@@ -700,9 +708,9 @@
         self.assertEqual(self.requests_received, 0)
 
     async def test_clients_that_send_partial_heads(self) -> None:
-        """Many clients send a part of a head and wait.
+        """Many clients send part of a request head and wait.
 
-        They must be timed out, and no connection or task may be left behind.
+        Their connections must time out, and no connection or task may remain.
         """
 
         async def act(wire: RawClient, number: int) -> None:
@@ -713,9 +721,9 @@
             await self.flood(act, 100)
 
     async def test_clients_that_leave_before_their_response(self) -> None:
-        """Hundreds of clients send a request that has to wait, and leave or reset at once.
+        """Hundreds of clients send a request that is queued, and close or reset the connection at once.
 
-        No request may reach a node, and no connection or task may be left behind.
+        No request may reach a node, and no connection or task may remain.
         """
 
         async def act(wire: RawClient, number: int) -> None:
--- a/tests/net/test_http_request.py
+++ b/tests/net/test_http_request.py
@@ -1,4 +1,4 @@
-"""Parsing of request heads, where the scenarios do not reach it."""
+"""Tests of request head parsing that the scenarios do not cover."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_a_request_that_waited_past_its_timeout_is_expired() -> None:
-    """A pipelined request has waited behind another for its whole timeout; no node may get it."""
+    """A pipelined request whose timeout expires behind another request must not be sent to a node."""
     head = unittest.mock.Mock(path="/api?key=0000000000000005", method="GET")
     values = {
         "IO-Info": "volume=00000003b4d60021,units=2,shard=1,hosts=1",
@@ -31,6 +31,6 @@
 
 
 def test_the_class_of_an_unparsed_request_is_found_in_its_first_bytes() -> None:
-    """A rejection is counted for the class that the request names, if it names one."""
+    """A rejection is counted for the class of the request, if the request contains one."""
     assert find_request_class(b"GET / HTTP/1.1\r\nrequest-class:  read\r\n") == "read"
     assert find_request_class(b"GET / HTTP/1.1\r\nRequest-Cl") == ""
--- a/tests/net/test_overload_control.py
+++ b/tests/net/test_overload_control.py
@@ -1,4 +1,4 @@
-"""The accept queue, and rejections without reading the request."""
+"""Tests of the accept queue, and of rejections without parsing the request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def pairs() -> Iterator[list[tuple[socket.socket, socket.socket]]]:
-    """Six connections: the client's socket and the server's."""
+    """Six connections, each as the sockets of its client and its server."""
     found = []
     with socket.create_server(("127.0.0.1", 0)) as server:
         for _ in range(6):
@@ -37,10 +37,10 @@
 def test_the_newest_and_the_oldest_are_started_in_turn(
     pairs: list[tuple[socket.socket, socket.socket]],
 ) -> None:
-    """Connections queue up faster than they are started.
+    """Connections are queued faster than they are started.
 
-    Newest and oldest are started in turn, a few at once; under overload only the newest, for the clients of
-    the others have given up, or are about to.
+    The newest and the oldest must be started alternately, a few at a time; under overload only the newest,
+    because the clients of old connections have timed out or are about to.
     """
     queue = queue_of(pairs)
     assert [accepted.since_ms for accepted in queue.take_batch(overloaded=False)] == [5.0, 0.0, 4.0, 1.0]
@@ -49,7 +49,7 @@
 
 
 def test_only_a_standing_queue_is_an_overload() -> None:
-    """A queue that empties now and then keeps up, however many connections pass through it."""
+    """A queue that becomes empty regularly is not overloaded, however many connections pass through it."""
     queue = AcceptQueue()
     client, server = socket.socketpair()
     queue.push(AcceptedSocket(0.0, server))
@@ -66,10 +66,10 @@
 def test_stale_connections_are_rejected_and_silent_ones_stay_for_a_while(
     pairs: list[tuple[socket.socket, socket.socket]],
 ) -> None:
-    """Under overload the queue holds a request, a health check, a silent client and one that has left.
+    """Under overload, the queue contains a request, a health check, a silent client and a closed connection.
 
-    The request must be rejected and counted, the health check returned to be started, the silent client
-    left in the queue until it may be evicted, and the client that has left closed.
+    The request must be rejected and counted, the health check returned to be started, the silent client kept
+    in the queue until it may be evicted, and the closed connection removed.
     """
     clock, rejected = SettableClock(), []
     control = OverloadControl(clock, lambda: True, rejected.append)
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server for clients and the HTTP client for nodes, each known pitfall as a scenario."""
+"""Scenario tests of the HTTP server for clients and of the HTTP client for nodes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     async def test_a_request_is_forwarded_unchanged_and_its_response_returned(self) -> None:
         """A client sends requests.
 
-        Id, body and length must reach the node as they are, and the responses the client.
+        The node must get id, body and length unchanged, and the client must get the responses.
         """
         await self.play("""
             send c1 PUT 5 hello id=9b1f03aa5c7e2d41
@@ -57,14 +57,14 @@
         self.assertEqual(first, "GET /api?key=0000000000000005&x=%41+b%2f HTTP/1.1")
 
     async def test_a_large_body_is_forwarded_completely(self) -> None:
-        """Request and response bodies have the largest size allowed; both must arrive complete."""
+        """Request and response bodies of the maximum size must arrive complete."""
         body = "x" * 65536
         await self.play(
             f"send c1 PUT 5 {body}\nexpect n1 PUT 5 {body}\nsend n1 200 {body}\nexpect c1 200 {body}"
         )
 
     async def test_a_write_on_a_reused_connection_that_breaks_fails_and_is_never_resent(self) -> None:
-        """A reused connection breaks under a write.
+        """A reused connection breaks during a write.
 
         aiohttp's client would silently resend a PUT, and a non-idempotent write would run twice.  The write
         must fail with a 502, and the node must get it once.
@@ -83,9 +83,9 @@
         """)
 
     async def test_a_failed_read_is_retried_by_the_scheduler_alone(self) -> None:
-        """A node's connection breaks under a read.
+        """The connection to a node breaks during a read.
 
-        The scheduler must retry it once; no other copy may reach the node.
+        The scheduler must retry it once, and no other copy may reach the node.
         """
         await self.play("""
             send c1 GET 1
@@ -98,9 +98,10 @@
         """)
 
     async def test_only_not_started_proves_that_a_write_has_not_run(self) -> None:
-        """A node answers a write with a 503, first with Not-Started and then without.
+        """A node responds to a write with a 503, first with Not-Started and then without.
 
-        The first must be retried, for it has not run; the second proves nothing and must fail with a 502.
+        The first attempt must be retried, because it has not run.  The second may have run, so the write must
+        fail with a 502.
         """
         await self.play("""
             send c1 PUT 1 a
@@ -114,24 +115,24 @@
         """)
 
     async def test_a_429_of_a_node_fails_a_write(self) -> None:
-        """A node answers a write with a 429, which proves nothing: it must fail with a 502."""
+        """A node responds to a write with a 429: the write may have run, so it must fail with a 502."""
         await self.play("send c1 PUT 1 a\nexpect n1 PUT 1 a\nsend n1 429\nexpect c1 502")
 
     async def test_a_redirect_is_not_followed(self) -> None:
-        """A node redirects a write; following it would run the write elsewhere.  It must fail with a 502."""
+        """A node redirects a write, which must not run on another node; it must fail with a 502."""
         await self.play(
             "send c1 PUT 1 a\nexpect n1 PUT 1 a\nsend n1 302 Location=/api?key=2\n"
             "expect c1 502\nexpect n1 nothing"
         )
 
     async def test_an_encoded_body_is_not_decoded(self) -> None:
-        """A node labels its body as gzip; it must reach the client as it is, not decoded."""
+        """A node sends a body with a Content-Encoding; the client must get it without decoding."""
         await self.play(
             "send c1 GET 1\nexpect n1 GET 1\nsend n1 200 plain Content-Encoding=gzip\nexpect c1 200 plain"
         )
 
     async def test_a_write_to_an_unreachable_node_is_rejected_with_a_retry_after(self) -> None:
-        """No connection to the node can be made.
+        """A node refuses connections.
 
         The write has certainly not run, so it must be rejected with a 503 and a short Retry-After.
         """
@@ -142,24 +143,24 @@
         self.assertLess(float(headers["retry-after"]), 0.2)
 
     async def test_a_write_without_a_response_fails_by_its_deadline(self) -> None:
-        """A node never answers a write.
+        """A node does not respond to a write.
 
-        The client must get a 502 by its deadline, and the connection must be closed.
+        The client must get a 502 by its deadline, and the connection to the node must be closed.
         """
         await self.play("send c1 PUT 1 a timeout=300\nexpect n1 PUT 1 a\nexpect c1 502\nexpect n1 closed")
 
     async def test_a_client_that_leaves_cancels_its_attempt(self) -> None:
-        """A client leaves while its request is at a node.
+        """A client disconnects while its request is at a node.
 
-        The attempt's connection must be closed, and the exchange forgotten.
+        The connection of the attempt must be closed, and the exchange removed.
         """
         await self.play("send c1 GET 1 timeout=9000\nexpect n1 GET 1\nclose c1\nexpect n1 closed")
         self.assertEqual(self.gateway.engine.exchanges, {})
 
     async def test_a_response_truncated_in_its_body_fails_a_write(self) -> None:
-        """A node's connection breaks within the body of its response to a write.
+        """The connection to a node breaks within the body of the response to a write.
 
-        The write may have run: the client must get a 502.
+        The write may have run, so the client must get a 502.
         """
         await self.play("send c1 PUT 1 a\nexpect n1 PUT 1 a")
         node = await self.party("n1")
@@ -167,17 +168,17 @@
         await self.play("wait 30\nclose n1\nexpect c1 502")
 
     async def test_a_silent_scheduler_is_covered_by_the_guard_timer(self) -> None:
-        """The scheduler never acts on a request.
+        """The scheduler does not respond to a request.
 
-        The guard timer must answer it with a 503: no attempt was made.
+        The guard timer must respond with a 503, because no attempt was made.
         """
         self.gateway.engine._scheduler.handle = lambda now_ms, event: []
         await self.play("send c1 PUT 1 a timeout=100\nexpect c1 503")
 
     async def test_a_failing_scheduler_loses_no_request(self) -> None:
-        """The scheduler raises an exception on each event.
+        """The scheduler raises an exception for each event.
 
-        The request must get a 503 from the guard timer, and the gateway must go on.
+        The guard timer must respond with a 503, and the gateway must continue to work.
         """
 
         def broken(now_ms: float, event: Any) -> Any:
@@ -189,7 +190,7 @@
     async def test_malformed_requests_reach_no_node(self) -> None:
         """Clients send requests with unknown classes, malformed fields or bodies that are too large.
 
-        Each must get its client error, and no node any of them.
+        Each must get an HTTP client error, and no request may reach a node.
         """
         await self.play(f"""
             send c1 GET 1 class=unheard
@@ -214,7 +215,8 @@
     async def test_a_draining_node_gets_no_new_requests_after_its_grace(self) -> None:
         """A node drains while it has a request in progress.
 
-        After its grace period it must get no further request, and the one in progress must be answered.
+        After its grace period, the node must get no further requests; the one in progress must get its
+        response.
         """
         await self.play("""
             send c1 PUT 1 a
@@ -229,18 +231,18 @@
         """)
 
     async def test_a_malformed_list_leaves_the_one_in_use(self) -> None:
-        """Discovery sends lists that are no JSON, or no list.
+        """Discovery sends invalid JSON, or JSON that is not an endpoint list.
 
-        The list in use must go on serving.
+        The current list must stay in use.
         """
         await self.play(
             "send d '{'\nsend d '[]'\nwait 150\nsend c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200"
         )
 
     async def test_the_next_watch_follows_without_a_gap(self) -> None:
-        """Discovery answers a watch with a change.
+        """Discovery responds to a watch call with a change.
 
-        The next watch must follow right away, from that change's version.
+        The next call must follow immediately, with the version of that change.
         """
         await self.play("send d n2=left")
         first = (await asyncio.wait_for((await self.party("d")).received.get(), 0.2))[0]
@@ -248,15 +250,15 @@
 
     @on_settable_clock
     async def test_a_graceful_shutdown_answers_requests_in_progress_and_serves_open_connections(self) -> None:
-        """A graceful shutdown begins while a request is in progress.
+        """A graceful shutdown starts while a request is in progress.
 
-        New connections are accepted for a while and open ones served until shortly before the end; every
-        request must get its response, and nothing is forwarded too late to be answered.  The process ends
-        1,350 ms after the signal, and forwards what comes until 300 ms before that.
+        New connections are accepted for 750 ms, and requests on open connections are forwarded until 300 ms
+        before the process ends, 1,350 ms after the signal.  Each request must get its response, and none may
+        be forwarded too late.
         """
         await self.play("send c1 GET 1 timeout=5000\nexpect n1 GET 1")
         stop = asyncio.ensure_future(self.gateway.stop())
-        await asyncio.sleep(0)  # it begins
+        await asyncio.sleep(0)  # the shutdown starts
         await self.play(
             "wait 749\nsend c2 GET 2 timeout=5000\nexpect n1 GET 2\nsend n1 200 late\nexpect c2 200 late"
         )
@@ -271,15 +273,15 @@
             "send c2 GET 5 timeout=5000\nexpect n1 GET 5\nsend n1 200 still\nexpect c2 200 still\n"
             "wait 1\nsend c1 PUT 4 x\nexpect c1 503\nexpect n1 nothing\nwait 299"
         )
-        await until(lambda: self.gateway.http_server._closing, "the last responses")
+        await until(lambda: self.gateway.http_server._closing, "responses to close connections")
         await self.play("expect c2 end\nwait 125")
         await asyncio.wait_for(stop, TIMEOUT_S)
 
     async def test_a_graceful_shutdown_answers_requests_that_would_outlast_it(self) -> None:
-        """Requests with deadlines beyond the end of the process are at nodes.
+        """Requests with deadlines after the end of the process are at nodes.
 
-        A read must be rejected with a 503, and a write that may have run must fail with a 502, before the
-        process ends.
+        Before the process ends, a read must be rejected with a 503, and a write that may have run must fail
+        with a 502.
         """
         await self.play(
             "send c1 GET 1 timeout=9000\nexpect n1 GET 1\nsend c2 PUT 2 x timeout=9000\nexpect n1 PUT 2 x"
@@ -289,9 +291,9 @@
         await asyncio.wait_for(stop, TIMEOUT_S)
 
     async def test_the_watch_goes_on_whatever_the_agent_sends(self) -> None:
-        """The discovery agent sends noise, then nested JSON that fails the parser in other ways.
+        """The discovery agent sends binary data, then JSON that causes other errors in the parser.
 
-        The watch must go on, and the next change must apply.
+        The watch must continue, and the next change must be applied.
         """
         agent = await self.party("d")
         for raw in (
@@ -307,22 +309,22 @@
         )
 
     async def test_a_silent_watch_is_repeated_soon(self) -> None:
-        """The discovery agent never answers a watch.
+        """The discovery agent does not respond to a watch call.
 
-        The next call must follow within two seconds, and what it brings must apply.
+        The next call must follow within two seconds, and its response must be applied.
         """
         agent = await self.party("d")
         await agent.next()
         started = time.monotonic()
-        agent.current = (await agent.next())[3]  # the first is never answered
+        agent.current = (await agent.next())[3]  # the first call gets no response
         self.assertLess(time.monotonic() - started, 2.0)
         await self.play("send d n1=left\nwait 50\nsend c1 GET 1 timeout=300\nexpect c1 503")
 
     async def test_an_idle_connection_is_reused_on_the_fast_path_and_closed_with_its_node(self) -> None:
-        """Requests reuse an idle connection, and then its node leaves the list.
+        """Requests reuse an idle connection, and then its node is removed from the endpoint list.
 
-        The fast path must serve them without aiohttp's session; after the last response the connection must
-        be closed, and nothing of the node left in the pool.
+        The fast path must serve them without aiohttp's session.  After the last response, the connection must
+        be closed, and the pool must not contain any entry of the node.
         """
         await self.play("send c1 PUT 1 a\nexpect n1 PUT 1 a\nsend n1 200 one\nexpect c1 200 one\nwait 20")
         with unittest.mock.patch.object(
@@ -350,7 +352,7 @@
         )
 
     async def test_an_idle_connection_is_reused(self) -> None:
-        """Three requests follow each other; all must use one connection to the node."""
+        """Three successive requests must use one connection to the node."""
         for number in range(3):
             await self.play(
                 f"send c1 GET {number}\nexpect n1 GET {number}\nsend n1 200\nexpect c1 200\nwait 20"
@@ -360,7 +362,7 @@
     async def test_an_idle_connection_that_its_node_closed_fails_no_request(self) -> None:
         """A node closes an idle connection.
 
-        The next write must go to a new connection, and be served.
+        The next write must be served on a new connection.
         """
         await self.play("""
             send c1 GET 1
@@ -376,9 +378,9 @@
         """)
 
     async def test_a_body_that_never_completes_is_rejected(self) -> None:
-        """A client sends a part of its body and no more.
+        """A client sends part of a body and stops.
 
-        It must get a 408, and no node the request.
+        It must get a 408, and the request must not reach a node.
         """
         with unittest.mock.patch("shaletiller.net.connection_limits.REQUEST_TIMEOUT_MS", 100.0):
             await self.play(r"""
@@ -388,7 +390,7 @@
             """)
 
     async def test_the_scheduler_may_request_the_full_list(self) -> None:
-        """The scheduler requests the full list; the call must be made beside the watch."""
+        """The scheduler requests the full list; the call must be made in addition to the watch."""
         self.gateway.engine._fetch_endpoint_list(FetchEndpointList())
         await self.play("wait 50")
         node = await self.party("d")
@@ -396,10 +398,10 @@
         self.assertIn("GET /discovery/hosts HTTP/1.1", calls)
 
     async def test_a_nodes_latency_excludes_the_delays_of_this_process(self) -> None:
-        """This process is late before and after an attempt.
+        """The gateway process is delayed before and after an attempt.
 
-        The latency that the scheduler learns must be the node's alone, or a busy gateway would shed load for
-        no reason.
+        The latency reported to the scheduler must exclude these delays, or a busy gateway would shed load
+        unnecessarily.
         """
         seen, attempt = self.record_events(), self.gateway._http.attempt
 
@@ -415,7 +417,7 @@
         self.assertTrue(25 < done.latency_ms < 150, done.latency_ms)
 
     async def test_load_reports_reach_the_scheduler(self) -> None:
-        """A node reports its load and the volume's load with a response; both must reach the scheduler."""
+        """A node reports its load and the load of the volume with a response; the scheduler must get both."""
         seen = self.record_events()
         await self.play("""
             send c1 GET 1
@@ -431,9 +433,9 @@
     settings: ClassVar = {**SETTINGS, "limits": {**SETTINGS["limits"], "conn-idle-ms": 1000.0}}
 
     async def test_an_idle_node_connection_is_not_used_past_its_timeout(self) -> None:
-        """A connection has been idle for longer than its part of the node's timeout.
+        """A connection has been idle for longer than the gateway's fraction of the node's timeout.
 
-        The next request must use a new one: the node might close the old one under it.
+        The next request must use a new connection, because the node might close the old one at any time.
         """
         await self.play(
             "send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200\n"
@@ -442,21 +444,21 @@
         self.assertEqual(len((await self.party("n1")).writers), 2)
 
     async def test_an_idle_node_connection_is_closed_before_the_nodes_timeout(self) -> None:
-        """A connection is reused between two sweeps of aiohttp's pool, so it outlives the first of them.
+        """A connection is reused between two sweeps of aiohttp's pool, so the first sweep does not close it.
 
-        It must still be closed before the node would close it.
+        It must still be closed before the node closes it.
         """
         await self.play("send c1 GET 1\nexpect n1 GET 1\nsend n1 200\nexpect c1 200\nwait 300")
         started = time.monotonic()
         await self.play("send c1 GET 2\nexpect n1 GET 2\nsend n1 200\nexpect c1 200\nexpect n1 closed")
-        self.assertLess(time.monotonic() - started, 1.0)  # the node would close it by then
+        self.assertLess(time.monotonic() - started, 1.0)  # idle timeout of the node
 
 
 class FastPath(Scenario):
     async def test_a_complete_request_takes_the_fast_path(self) -> None:
-        """A client sends complete requests that are served, rejected, or pending as it leaves.
+        """A client sends complete requests that are served, rejected, or pending when it disconnects.
 
-        aiohttp's handler must never run for them.
+        aiohttp's handler must not run for them.
         """
         long = unittest.mock.AsyncMock()
         with unittest.mock.patch.object(self.gateway.http_server._listener._server, "request_handler", long):
@@ -478,7 +480,7 @@
     async def test_pipelined_and_malformed_requests_take_the_slow_path(self) -> None:
         """A client pipelines requests behind a pending one, then sends malformed heads.
 
-        The responses must come in the order of the requests, and the malformed ones must get a 400.
+        The responses must be sent in the order of the requests, and malformed requests must get a 400.
         """
         head = (
             f"/api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\nTier: basic\r\nRequest-Timeout-Ms: 900\r\n"
@@ -496,16 +498,17 @@
             "expect n1 PUT 1 abc\nsend n1 200 two\nexpect c1 200 two\n"
             "expect n1 GET 1\nsend n1 200 three\nexpect c1 200 three"
         )
-        client.writer.write(f"{put}Request-Id: 3a\r\nTier: basic\r\n\r\nabc".encode())  # a header twice
+        client.writer.write(f"{put}Request-Id: 3a\r\nTier: basic\r\n\r\nabc".encode())  # duplicate header
         await self.play("expect c1 400\nexpect c1 end\nexpect n1 nothing")
         await self.party("c2")
         self.parties["c2"].writer.write(f"{get}Request-Id: 4a\r\nContent-Length: 3\r\n\r\nabc".encode())
         await self.play("expect c2 400\nexpect c2 end\nexpect n1 nothing")
 
     async def test_a_request_pipelined_behind_a_first_one_waits_for_its_response(self) -> None:
-        """A second request arrives before aiohttp's task has run at all, and the first takes the fast path.
+        """The first request takes the fast path, and a second one arrives before aiohttp's task has started.
 
-        The second must not be handled before the first has its response: clients match them by order.
+        The second must not be handled before the first has its response, because clients match responses by
+        order.
         """
         offered: list[str] = []
         listener, patch = self.gateway.http_server._listener, unittest.mock.patch.object
@@ -517,7 +520,7 @@
         transport.get_extra_info.return_value = None
         connection = listener._server()
         connection.connection_made(transport)
-        for number in (1, 2):  # both before aiohttp's task has run at all
+        for number in (1, 2):  # both before aiohttp's task has started
             connection.data_received(f"GET /{number} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         await asyncio.sleep(0.05)
         long.assert_not_called()
@@ -528,7 +531,7 @@
         self.assertEqual(offered, ["/1"])
 
     async def test_a_client_that_leaves_cancels_its_attempt_on_any_connection(self) -> None:
-        """A client leaves while its request is at a node, on a reused connection and on a new one.
+        """A client disconnects while its request is at a node, on a reused connection and on a new one.
 
         The attempt must be cancelled long before its deadline.
         """
@@ -537,28 +540,27 @@
             await self.play(f"send {client} GET 1\nexpect n1 GET 1")
             started = time.monotonic()
             await self.play(f"close {client}\nexpect n1 closed")
-            self.assertLess(time.monotonic() - started, 0.5)  # long before its time is up
+            self.assertLess(time.monotonic() - started, 0.5)  # long before its deadline
 
 
 class ConnectionLimits(Scenario):
     sockets = 64
 
     async def fill(self, lines: str) -> None:
-        # These clients ignore that their responses say Connection: close.
+        # Keeps the connections of these clients open near the connection limit.
         self.enterContext(unittest.mock.patch("shaletiller.net.connection_limits.CROWDED_PART", 2.0))
         for number in range(self.gateway.config.client_sockets):
             await self.play(lines.replace("N", str(number)))
 
     async def test_the_longest_idle_connection_is_evicted_for_a_newcomer(self) -> None:
-        """All places are taken by idle clients and one whose response is pending.
+        """The connection limit is reached by idle clients and one with a pending response.
 
-        Newcomers must be served, the connections idle the longest evicted, and the pending response
-        delivered.
+        New clients must be served, the longest idle connections evicted, and the pending response delivered.
         """
         with unittest.mock.patch.dict(EVICTABLE_AFTER_MS, {ConnectionState.IDLE: 400.0}):
             await self.play(
                 "send c0 GET 7 timeout=5000\nexpect n1 GET 7"
-            )  # its response is pending: it stays
+            )  # not evicted, because its response is pending
             await self.fill("send cN1 GET up\nexpect cN1 200")
             await self.play(
                 "send c999 GET up\nexpect c999 200\nexpect c01 end\n"
@@ -566,13 +568,13 @@
             )
 
     async def test_in_a_crowd_responses_close_their_connections(self) -> None:
-        """Connections reach three quarters of the limit.
+        """The number of connections reaches three quarters of the limit.
 
-        From then on each response must close its connection, or idle clients would keep newcomers out.
+        From then on, each response must close its connection, or idle clients would prevent new connections.
         """
         await self.play("send c99 GET 1 shard=9 timeout=50\nexpect c99 503\nclose c99")
         crowd = self.gateway.config.client_sockets * 3 // 4
-        self.assertGreater(crowd, self.sockets / 3)  # so many may wait for responses
+        self.assertGreater(crowd, self.sockets / 3)  # maximum of clients with requests in progress
         for number in range(crowd - 1):
             await self.play(f"send c{number} GET up\nexpect c{number} 200")
         self.assertEqual(self.gateway.http_server.connections, crowd - 1)
@@ -584,17 +586,17 @@
         )
 
     async def test_connections_that_queued_for_too_long_are_rejected_unread(self) -> None:
-        """More connections arrive than can be started.
+        """Connections arrive faster than they can be started.
 
-        Those too old must be rejected with a 503 and a Retry-After without being parsed; health checks are
-        still answered.
+        Connections that are queued for too long must be rejected with a 503 and a Retry-After without parsing
+        their requests; health checks must still be served.
         """
         for name in ("OVERLOAD_AFTER_MS", "MAX_QUEUE_AGE_MS"):
             self.enterContext(unittest.mock.patch(f"shaletiller.net.connection_limits.{name}", 0.0))
         self.enterContext(unittest.mock.patch("shaletiller.net.connection_limits.STARTS_PER_TURN", 1))
         clients = [socket.create_connection(self.gateway.http_server.address) for _ in range(8)]
         for each in clients[:-3]:
-            each.sendall(b"PUT /api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\n\r\n")  # would be a 400
+            each.sendall(b"PUT /api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\n\r\n")  # 400 if it is parsed
         clients[0].sendall(b"GET /api?key=0000000000000001 HTTP/1.1\r\n")
         clients[1].close()
         for each in clients[-3:]:
@@ -611,9 +613,9 @@
         self.assertEqual(set(rejected), {("503", "close", "0.100")})
 
     async def test_silent_connections_keep_no_newcomer_out(self) -> None:
-        """Silent connections take every place.
+        """The connection limit is reached by silent connections.
 
-        A newcomer must be served within a second.
+        A new client must be served within a second.
         """
         await self.fill("send cN raw ''")
         started = time.monotonic()
@@ -621,9 +623,9 @@
         self.assertLess(time.monotonic() - started, 1.0)
 
     async def test_a_connection_with_unread_input_is_not_evicted(self) -> None:
-        """A connection that could be evicted has a request that is still unread.
+        """A connection that may be evicted has an unread request.
 
-        Another one must be evicted instead: a close would reset the request's connection.
+        Another one must be evicted instead, because a close would reset the connection of the request.
         """
         with unittest.mock.patch.dict(EVICTABLE_AFTER_MS, {ConnectionState.IDLE: 0.0}):
             await self.fill("send cN GET up\nexpect cN 200")
@@ -635,9 +637,9 @@
 
     @on_settable_clock
     async def test_the_connections_to_one_node_are_bounded(self) -> None:
-        """More requests are in progress than a node may have connections.
+        """More requests are in progress than the maximum of connections to a node.
 
-        The rest must wait for one, and no more connections be opened.
+        The remaining requests must wait for a connection, and no further connections may be opened.
         """
         self.allow_any_connect_time()
         most = self.gateway._http.max_per_node
@@ -646,23 +648,23 @@
         node = await self.party("n1")
         connector = self.gateway._http._session().connector
         assert connector is not None
-        # All attempts are accounted for then: those with a connection, and those that wait for one.
+        # All attempts either have a connection or wait for one.
         await until(
             lambda: node.received.qsize() == most and sum(map(len, connector._waiters.values())) == 2,
-            "the requests in progress and the waiting ones",
+            "all attempts to have a connection or wait for one",
         )
         self.assertEqual((len(node.writers), connections_to(node.port)), (most, most))
         await self.play("expect n1 GET 0\nsend n1 200\nexpect c0 200")
-        await until(lambda: node.received.qsize() == most, "the first that waited")
+        await until(lambda: node.received.qsize() == most, "the first waiting attempt")
         self.assertEqual(sum(map(len, connector._waiters.values())), 1)
-        self.assertLessEqual(len(node.writers), most + 1)  # one may still be settling after its response
+        self.assertLessEqual(len(node.writers), most + 1)  # one may not be reusable yet after its response
 
 
 class MisbehavingClients(Scenario):
-    """Clients that misbehave: each gets its error or its end, and no one else is harmed."""
+    """Clients that misbehave: each gets an error or is closed, and others are not affected."""
 
     async def test_a_silent_client_is_closed_and_a_slow_one_gets_an_error(self) -> None:
-        """One client sends nothing, another half a head.
+        """One client sends nothing, another one half of a request head.
 
         The first must be closed, and the second must get a 408.
         """
@@ -678,7 +680,7 @@
     async def test_an_error_reaches_a_client_that_is_still_sending(self) -> None:
         """A client sends a body that is far too large.
 
-        It must read the 413 although it is still sending.
+        It must be able to read the 413 while it is still sending.
         """
         head = r"PUT /api?key=5 HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"
         await self.play(f"send c1 raw '{head}'")
@@ -686,9 +688,9 @@
         await self.play("expect c1 413\nexpect c1 end\nexpect n1 nothing")
 
     async def test_ambiguous_heads_reach_no_node(self) -> None:
-        """Clients send heads that two readers could understand differently, or with values out of range.
+        """Clients send request heads that are ambiguous, or have values out of range.
 
-        Each must get a 400 and its connection must end; the request in progress with the same id is not
+        Each must get a 400, and its connection must end; a request in progress with the same id must not be
         affected.
         """
         await self.play("send c0 GET 1 id=taken timeout=5000\nexpect n1 GET 1")
@@ -720,9 +722,9 @@
         await self.play("expect n1 nothing\nsend n1 200 own\nexpect c0 200 own")
 
     async def test_an_endless_head_is_rejected_at_a_bound(self) -> None:
-        """Clients send a head that never ends.
+        """Clients send a request head that never ends.
 
-        Each must get a 400 at the bound of the head's size, or it would fill the memory.
+        Each must get a 400 when the head exceeds the size limit, so that it cannot exhaust the memory.
         """
         for number, raw in enumerate((b"x" * 100_000, b"GET /up HTTP/1.1\r\n" + b"a: b\r\n" * 50_000)):
             await self.play(f"send c{number} raw ''")
@@ -730,9 +732,9 @@
             await self.play(f"expect c{number} 400\nexpect c{number} end")
 
     async def test_pipelined_requests_are_answered_in_order_by_their_own_deadlines(self) -> None:
-        """A client pipelines two requests, and the first takes most of the second's time.
+        """A client pipelines two requests, and the first takes a large part of the timeout of the second.
 
-        The second must be rejected by its own deadline, counted from its arrival.
+        The second must be rejected by its own deadline, which is counted from its arrival.
         """
         lines = f"Tier: basic\\r\\nRequest-Class: read\\r\\nIO-Info: volume={VOLUME},units=2,shard=1,hosts=1"
         requests = [
@@ -749,13 +751,13 @@
         self.assertLess(time.monotonic() - started, 0.3)
 
     async def test_a_connection_whose_client_has_left_is_not_started(self) -> None:
-        """Clients leave while their connections are in the accept queue.
+        """Clients disconnect while their connections are in the accept queue.
 
-        These must be closed without being started.
+        These connections must be closed without being started.
         """
         listener, pairs = self.gateway.http_server._listener, [socket.socketpair() for _ in range(3)]
         pairs[0][0].sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-        pairs[0][0].close()  # it will not read a response any more
+        pairs[0][0].close()  # the client does not read the response
         pairs[1][0].close()
         for pair in pairs:
             listener.accept_queue.push(AcceptedSocket(0.0, pair[1]))
@@ -765,7 +767,7 @@
 
 
 class CorruptResponses(Scenario):
-    """Nodes whose responses are longer, shorter or other than they should be."""
+    """Responses of nodes that are corrupt, too long or too short."""
 
     async def answer(self, raw: bytes, then: str, request: str = "PUT 1 a") -> None:
         await self.play(f"send c1 {request}\nexpect n1 {request}")
@@ -773,9 +775,9 @@
         await self.play(then)
 
     async def test_bytes_behind_a_response_are_no_response_to_the_next_request(self) -> None:
-        """A node sends more behind its response: a second copy, or noise.
+        """A node sends data after its response: a second copy, or garbage.
 
-        The next request must go to another connection and get its own response.
+        The next request must use another connection and get its own response.
         """
         ok = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
         for number, behind in enumerate((ok, b"\0noise", ok + ok)):
@@ -790,22 +792,22 @@
                 self.assertIsNot((await self.party("n1")).current, old)
 
     async def test_noise_in_one_segment_with_a_response_costs_only_the_connection(self) -> None:
-        """A node sends a response and noise in one segment.
+        """A node sends a response and trailing garbage in one segment.
 
-        The response must be delivered and the connection closed; but text behind a text body may belong to
-        it, and then the response must fail.
+        The response must be delivered and the connection closed.  Trailing text after a text body may belong
+        to the body, so the response must then fail.
         """
         ok = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 5\r\n\r\nfirst"
         await self.answer(ok + b"\xff\0noise", "expect c1 200 first\nexpect n1 closed")
         await self.answer(ok + ok, "expect c1 200 first\nexpect n1 closed")
-        # This may be the end of a body whose Content-Length is wrong.
+        # The trailing text may belong to a body with a wrong Content-Length.
         await self.answer(ok + b" and more", "expect c1 502\nexpect n1 closed\nexpect n1 nothing")
 
     @unittest.mock.patch("shaletiller.net.pool.SETTLE_S", 1.0)
     async def test_a_connection_settles_after_its_response(self) -> None:
-        """Two requests follow each other within the settling time.
+        """A second request follows within the time in which a connection is not reused after its response.
 
-        The second must use a new connection: a second copy of the first response might still arrive on the
+        It must use a new connection, because a second copy of the first response might still arrive on the
         old one.
         """
         await self.play(
@@ -815,9 +817,9 @@
         self.assertEqual(len((await self.party("n1")).writers), 2)
 
     async def test_a_corrupt_response_is_a_failed_attempt_and_ends_its_connection(self) -> None:
-        """A node sends responses that are corrupt in many ways.
+        """A node sends corrupt responses of many kinds.
 
-        Each must be one failed attempt of a write, with a 502, and its connection must be closed.
+        The write must fail with a 502 after one attempt, and the connection must be closed.
         """
         for raw in (
             b"\0\1\2 noise\r\n\r\n",
@@ -835,9 +837,9 @@
                 await self.answer(raw, "expect c1 502\nexpect n1 closed\nexpect n1 nothing")
 
     async def test_informational_responses_and_malformed_reports_are_tolerated(self) -> None:
-        """A node sends informational responses first, or load reports that are malformed.
+        """A node sends informational responses first, or malformed load reports.
 
-        The response must be delivered, and a malformed report must count as none.
+        The response must be delivered, and a malformed report must be ignored.
         """
         early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: a\r\n\r\n" * 3
         ok = b"HTTP/1.1 200 OK\r\n%s\r\nContent-Length: 2\r\n\r\nok"
@@ -865,9 +867,9 @@
 
 class DiscoveryFailures(Scenario):
     async def test_a_silent_discovery_is_polled_again_and_the_list_in_use_serves(self) -> None:
-        """Discovery falls silent.
+        """Discovery stops responding.
 
-        The watch must be repeated, and requests served by the list in use.
+        The watch call must be retried, and requests must be served with the current list.
         """
         short = aiohttp.ClientTimeout(total=0.1)
         agent = await self.party("d")
@@ -881,7 +883,7 @@
     async def test_an_overloaded_discovery_is_polled_with_backoff(self) -> None:
         """Discovery rejects each call with a 503.
 
-        The calls must become rarer, with a random delay up to the bound, or many gateways would keep it
+        The calls must be delayed by an exponential backoff with jitter, or many gateways would keep it
         overloaded.
         """
         agent, calls = await self.party("d"), []
@@ -895,7 +897,7 @@
         agent.script = overloaded
         self.gateway.engine.spawn(self.gateway.discovery.run())
         await asyncio.sleep(1.0)
-        self.assertLess(len(calls), 12)  # without backoff, at 50 ms each, about 20 in a second
+        self.assertLess(len(calls), 12)  # with a fixed delay of 50 ms, about 20 calls would be made in 1 s
         self.assertGreater(len(calls), 1)
         waits = [
             self.gateway.discovery.backoff.delay_ms(failed, MAX_BACKOFF_MS)
@@ -908,7 +910,7 @@
 
 class DiscoveryReload(Scenario):
     async def asyncSetUp(self) -> None:
-        # Only a reload moves the watch: a call that is not cancelled, and a backoff, would outlast the test.
+        # With these values, only a reload changes the watch: a call or a backoff would outlast the test.
         for name, value in (
             ("WATCH_TIMEOUT", aiohttp.ClientTimeout(total=60.0)),
             ("FullJitterBackoff.delay_ms", lambda *_: 60_000.0),
@@ -919,18 +921,18 @@
     async def environment(self) -> dict[str, str]:
         return {
             "EDGE_DISCOVERY": f"127.0.0.1:{self.parties['d'].port}"
-        }  # overrides the file at the start, and only then
+        }  # overrides the file only at the start
 
     async def test_a_reload_moves_the_watch_at_once_and_loses_no_request(self) -> None:
-        """A reload names another discovery while a request is in progress.
+        """A reload changes the discovery address while a request is in progress.
 
-        The watch must move at once, beginning with the full list, and the request must be answered.
+        The watch must change at once and start with the full list, and the request must get its response.
         """
         old, new, third = [await self.party(name) for name in ("d", "d2", "d3")]
         self.assertIn("since=1&", (await old.next())[0])
         await self.play("send c1 GET 1 timeout=5000\nexpect n1 GET 1\nreload d2\nreload d2")
         first, _, _, new.current, _ = await new.next()
-        self.assertEqual(first, "GET /discovery/hosts HTTP/1.1")  # its versions may be others
+        self.assertEqual(first, "GET /discovery/hosts HTTP/1.1")  # its versions may differ
         rows = [self.row("n1", "active"), self.row("n2", "left")]
         full_list = json.dumps({"version": 0, "full": True, "servers": rows})
         await Server.send(new, "200", full_list)
@@ -943,13 +945,13 @@
         self.assertEqual((old.received.qsize(), new.received.qsize()), (0, 0))
 
     async def test_a_response_from_the_previous_address_is_ignored(self) -> None:
-        """A full list is requested, discovery moves, and then the old address answers.
+        """A full list is requested, the discovery address changes, and then the old address responds.
 
-        That list may be older than the new one's, and must be ignored.
+        Its list may be older than the list of the new address, and must be ignored.
         """
         self.gateway.engine._fetch_endpoint_list(
             FetchEndpointList()
-        )  # beside the watch, and not cancelled with it
+        )  # not cancelled with the watch
         agent = await self.party("d")
         calls = [await agent.next() for _ in range(2)]
         agent.current = next(call[3] for call in calls if "since" not in call[0])
@@ -962,9 +964,9 @@
     has_known_list = False
 
     async def test_not_ready_until_a_node_is_known(self) -> None:
-        """A gateway starts without any list.
+        """A gateway starts without an endpoint list.
 
-        `GET /up` must be 503 until discovery names a node.
+        `GET /up` must return 503 until discovery sends a list with a ready node.
         """
         await self.play(
             "send c1 GET up\nexpect c1 503\nsend d n1=active\nwait 60\nsend c1 GET up\nexpect c1 200"
@@ -972,7 +974,7 @@
 
 
 class IdempotencyKeys(Scenario):
-    """A class whose writes carry an idempotency key, by which nodes recognise a retry."""
+    """A class whose writes have an idempotency key, by which nodes detect a retry."""
 
     settings: ClassVar[dict[str, Any]] = {
         **SETTINGS,
@@ -988,7 +990,7 @@
     }
 
     async def test_the_key_is_forwarded_on_new_and_reused_connections_and_with_a_large_body(self) -> None:
-        """Writes with a key take each path to a node; the key must reach it on all of them."""
+        """Writes with a key are sent on each path to a node; the node must get the key on all of them."""
         for body in ("new", "reused", "x" * 20000):
             await self.play(f"""
                 send c1 PUT 5 {body} Idempotency-Key=k-{len(body)}
@@ -998,9 +1000,9 @@
             """)
 
     async def test_a_retry_of_what_may_have_run_carries_the_same_key(self) -> None:
-        """A connection breaks under a write with a key.
+        """A connection breaks during a write with a key.
 
-        The retry must carry the same key and id, or the node would run the write twice.
+        The retry must have the same key and id, or the node would run the write twice.
         """
         await self.play("""
             send c1 PUT 5 once Idempotency-Key=7f3a id=9b1f03aa5c7e2d41
@@ -1012,9 +1014,9 @@
         """)
 
     async def test_a_write_without_exactly_one_valid_key_reaches_no_node(self) -> None:
-        """Writes of a class that requires a key come without one, with an empty one, or with two.
+        """Clients send writes of a class that requires a key without a key, with an empty one, or with two.
 
-        Each must get a 400, and no node any of them.
+        Each must get a 400, and no request may reach a node.
         """
         await self.play("""
             send c1 PUT 5 once
