--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -80,7 +80,7 @@
     return sum(int(row[4].split(":")[1], 16) for row in kernel_tcp_rows(port, 1) if row[3] == "0A")
 
 
-async def until(condition: Callable[[], object], description: str) -> None:
+async def wait_until(condition: Callable[[], object], description: str) -> None:
     try:
         async with asyncio.timeout(TIMEOUT_S):
             while not condition():
@@ -290,7 +290,7 @@
                 self.assertEqual(await client.answer(), (200, b"ok"))
                 await client.expect_end()
                 client.close()
-                await until(lambda: not self.gateway.http_server.connections, "the connection to be closed")
+                await wait_until(lambda: not self.gateway.http_server.connections, "the connection to be closed")
 
     async def test_half_closed_connections_are_evicted_for_newcomers(self) -> None:
         """Clients keep their half-closed connections open, up to the connection limit.
@@ -322,7 +322,7 @@
         self.hook_half_close(client, lambda: client.send(encode_request(2)[:30]))
         with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
             await client.expect_end()
-        await until(lambda: not self.gateway.http_server.connections, "the connection to be closed")
+        await wait_until(lambda: not self.gateway.http_server.connections, "the connection to be closed")
 
     async def test_a_connection_that_is_starting_as_the_process_stalls_is_answered(self) -> None:
         """The process stalls for longer than the request timeout while a connection is being started.
@@ -347,7 +347,7 @@
         listener, client = self.gateway.http_server._listener, await self.wire()
         request = encode_request(1)
         client.send(request[:40])
-        await until(
+        await wait_until(
             lambda: [connection.state for connection in listener.table.open] == [ConnectionState.READING_HEAD],
             "the first half to be read",
         )
@@ -368,7 +368,7 @@
         for sender in (client, late):
             sender.send(request[:-5])
         listener = self.gateway.http_server._listener
-        await until(
+        await wait_until(
             lambda: [connection.state for connection in listener.table.open] == [ConnectionState.ACTIVE] * 2,
             "the first halves to be read",
         )
@@ -407,7 +407,7 @@
         self.assertEqual(
             self.gateway.http_server.connections, 1
         )  # the gateway waits for the client to close
-        await until(lambda: not self.gateway.http_server.connections, "the timeout of the connection")
+        await wait_until(lambda: not self.gateway.http_server.connections, "the timeout of the connection")
 
     async def test_a_request_timeout_response_reaches_a_client_that_is_still_sending(self) -> None:
         """A client sends its request head too slowly and continues sending when it gets a 408.
@@ -423,8 +423,8 @@
             client.send(b"y" * 1000)
             await client.expect_end()
             client.close()
-            await until(lambda: not self.gateway.http_server.connections, "the end of the lingering close")
-        await until(lambda: not self.gateway.http_server._listener._tasks, "the end of the lingering task")
+            await wait_until(lambda: not self.gateway.http_server.connections, "the end of the lingering close")
+        await wait_until(lambda: not self.gateway.http_server._listener._tasks, "the end of the lingering task")
 
     async def test_an_unread_rejection_reaches_a_client_that_is_still_sending(self) -> None:
         """Under overload, the request of a new connection is rejected unread; its client is still sending.
@@ -443,7 +443,7 @@
         self.assertEqual((await client.answer())[0], 503)
         await client.expect_end()
         client.close()
-        await until(lambda: not listener.overload, "the rejected connection to be closed")
+        await wait_until(lambda: not listener.overload, "the rejected connection to be closed")
         self.assertEqual(self.requests_received, 0)
 
 
@@ -504,9 +504,9 @@
         clients["queued"].send(
             encode_request(5, IO_Info=f"volume={VOLUME},units=2,shard=7,hosts=1", Request_Timeout_Ms="5000")
         )
-        await until(lambda: len(self.gateway.engine.exchanges) == 4, "all requests to be in progress")
+        await wait_until(lambda: len(self.gateway.engine.exchanges) == 4, "all requests to be in progress")
         stop = self.stop()
-        await until(lambda: self.gateway._stopping, "the shutdown to start")
+        await wait_until(lambda: self.gateway._stopping, "the shutdown to start")
         clients["half_request"].send(complete[-5:])
         await self.play("expect n1 PUT 4 0123456789\nsend n1 200 body")
         self.assertEqual(await clients["half_request"].answer(), (200, b"body"))
@@ -547,7 +547,7 @@
 
         self.parties["n1"].script = respond
         clients = [asyncio.ensure_future(send_until_closed(number)) for number in range(8)]
-        await until(lambda: len(answered) > 40, "responses")
+        await wait_until(lambda: len(answered) > 40, "responses")
         await asyncio.wait_for(self.stop(), TIMEOUT_S)
         await asyncio.wait_for(asyncio.gather(*clients), TIMEOUT_S)
         self.assertEqual(len(unread), 8)
@@ -564,7 +564,7 @@
         request = encode_request(1)
         client.send(request[:40])
         table = self.gateway.http_server._listener.table
-        await until(
+        await wait_until(
             lambda: [connection.state for connection in table.open] == [ConnectionState.READING_HEAD],
             "the first half to be read",
         )
@@ -582,11 +582,11 @@
         Its client must get a 503 and an end without a reset.
         """
         listener, client = self.gateway.http_server._listener, await self.wire()
-        await until(lambda: not listener.accept_queue, "the first connection to be started")
+        await wait_until(lambda: not listener.accept_queue, "the first connection to be started")
         self.enterContext(PATCH.object(listener, "_start_connections", lambda: None))
         late = await self.wire()
         late.send(encode_request(1))
-        await until(lambda: listener.accept_queue, "the new connection")
+        await wait_until(lambda: listener.accept_queue, "the new connection")
         await asyncio.wait_for(self.stop(), TIMEOUT_S)
         self.assertEqual((await late.answer())[0], 503)
         await late.expect_end()
@@ -627,7 +627,7 @@
         self, client: RawClient, disconnect: Callable[[], None], add_node: Callable[[], Awaitable[None]]
     ) -> None:
         disconnect()
-        await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
+        await wait_until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await add_node()
         await asyncio.sleep(0.05)  # time for a request to be forwarded by mistake
         self.assertEqual(self.requests_received, 0)
@@ -646,7 +646,7 @@
                         1, IO_Info=f"volume={VOLUME},units=2,shard={shard},hosts=1", Request_Timeout_Ms="5000"
                     )
                 )
-                await until(lambda: self.gateway.engine.exchanges, "the request")
+                await wait_until(lambda: self.gateway.engine.exchanges, "the request")
                 disconnections = {
                     "close": client.close,
                     "reset": lambda client=client: reset(client.sock),
@@ -685,11 +685,11 @@
             lambda: [engine.client_disconnected(exchange) for exchange in list(engine.exchanges.values())],
         )
         client.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
-        await until(lambda: engine.counters.get("left"), "the disconnect")
-        await until(lambda: not engine.attempts.in_flight, "the end of the attempt")
+        await wait_until(lambda: engine.counters.get("left"), "the disconnect")
+        await wait_until(lambda: not engine.attempts.in_flight, "the end of the attempt")
         node = self.parties["n1"]
-        await until(lambda: node.writers, "the connection")
-        await until(lambda: all(writer.transport.is_closing() for writer in node.writers), "its close")
+        await wait_until(lambda: node.writers, "the connection")
+        await wait_until(lambda: all(writer.transport.is_closing() for writer in node.writers), "its close")
         self.assertEqual((self.requests_received, node.request_ids), (0, []))
 
     async def test_before_a_retry(self) -> None:
@@ -700,9 +700,9 @@
         client = await self.wire()
         await self.play("close n1 listener")
         client.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
-        await until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
+        await wait_until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
         client.close()
-        await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
+        await wait_until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await self.parties["n1"].start()  # it is reachable again on the same port
         await asyncio.sleep(0.3)
         self.assertEqual((self.requests_received, self.parties["n1"].request_ids), (0, []))
@@ -744,7 +744,7 @@
 
         admin._commands["LATE"] = lambda arguments: respond_late()
         admin_client = await self.send_line(b"LATE\n")
-        await until(lambda: admin._connection_tasks, "the command")
+        await wait_until(lambda: admin._connection_tasks, "the command")
         stop = asyncio.ensure_future(admin.stop())
         await asyncio.sleep(0)
         released.set()
@@ -796,9 +796,9 @@
         The node, which is reachable again, must not get the command.
         """
         await self.play("close n1 listener\nsend v1 write 5 data")
-        await until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
+        await wait_until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
         await self.play("close v1")
-        await until(lambda: not self.gateway.engine.exchanges, "the close was seen")
+        await wait_until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await self.parties["n1"].start()
         await asyncio.sleep(0.3)
         self.assertEqual((self.requests_received, self.parties["n1"].request_ids), (0, []))
@@ -834,7 +834,7 @@
 
     async def fill_queue(self) -> None:
         self.fillers.append(socket.create_connection(self.listener.getsockname()))
-        await until(lambda: count_queued_at(self.port) == 1, "the full queue")
+        await wait_until(lambda: count_queued_at(self.port) == 1, "the full queue")
 
     def accept_queued(self) -> None:
         """Accept a connection from the queue, so that the next SYN is accepted."""
@@ -856,7 +856,7 @@
         """
         client = await self.wire()
         client.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
-        await until(lambda: count_connecting_to(self.port) == 1, "the attempt")
+        await wait_until(lambda: count_connecting_to(self.port) == 1, "the attempt")
         self.accept_queued()
         sock = await self.accept_next()  # 1 s after the first SYN
         raw = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 9999), TIMEOUT_S)
@@ -874,15 +874,15 @@
         slow, disconnected = await self.wire(), await self.wire()
         slow.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="300"))
         disconnected.send(encode_request(2, "PUT", b"y", Request_Timeout_Ms="5000"))
-        await until(lambda: count_connecting_to(self.port) == 2, "both attempts")
+        await wait_until(lambda: count_connecting_to(self.port) == 2, "both attempts")
         disconnected.close()
         self.assertEqual((await slow.answer())[0], 502)  # a timeout does not prove that it has not run
         slow.close()
-        await until(lambda: not self.gateway.engine.attempts.in_flight, "the end of both attempts")
+        await wait_until(lambda: not self.gateway.engine.attempts.in_flight, "the end of both attempts")
         self.accept_queued()
         self.accepted.pop().close()
         self.fillers.pop().close()
-        await until(lambda: not self.gateway.http_server.connections, "the client connections to be closed")
+        await wait_until(lambda: not self.gateway.http_server.connections, "the client connections to be closed")
         self.assertEqual(count_connections_to(self.port), 0)
         self.listener.settimeout(1.5)  # the SYN would be retransmitted after 1 s
         with self.assertRaises(TimeoutError):
@@ -930,7 +930,7 @@
         client = await self.wire()
         first = await self.first_attempt(client)
         reset(first)  # the request may have run; a retry may start within 400 ms
-        await until(lambda: count_connecting_to(self.port) == 1, "the retry")
+        await wait_until(lambda: count_connecting_to(self.port) == 1, "the retry")
         self.accept_queued()  # the connection would be established after 1 s
         self.listener.settimeout(1.5)
         with self.assertRaises(TimeoutError):
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -20,7 +20,7 @@
 from shaletiller.messages.events import EndpointListUpdate
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.settings.model import DeduplicationScope, Idempotency
-from tests.net.test_endings import PATCH, RaceScenario, RawClient, encode_request, reset, reset_stream, until
+from tests.net.test_endings import PATCH, RaceScenario, RawClient, encode_request, reset, reset_stream, wait_until
 from tests.support.scenario import SETTINGS, TIMEOUT_S, VOLUME, Server
 from tests.support.scheduler_host import SAFE, ScriptedGateway
 
@@ -84,7 +84,7 @@
                 with self.subTest(end=end, size=size):
                     for name in ("read", "write"):
                         await self.check_early_end(ANSWER[:size], end, *REQUEST_OF_EFFECT[name])
-        await until(lambda: not self.gateway.engine.attempts.in_flight, "the end of all attempts")
+        await wait_until(lambda: not self.gateway.engine.attempts.in_flight, "the end of all attempts")
 
     async def test_a_reset_response_without_a_length_is_not_forwarded(self) -> None:
         """A node sends a response without a Content-Length and resets the connection.
@@ -183,7 +183,7 @@
         _, writer = await self.next_attempt()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf")
         self.assertEqual((await client.answer())[0], 502)
-        await until(writer.transport.is_closing, "the connection to be closed")
+        await wait_until(writer.transport.is_closing, "the connection to be closed")
 
     async def test_a_duplicate_response_some_milliseconds_later_reaches_no_one(self) -> None:
         """A node sends its response twice, up to the end of the time in which its connection is not reused.
@@ -198,7 +198,7 @@
                 _, writer = await self.next_attempt()
                 writer.write(ANSWER)
                 self.assertEqual(await client.answer(), (200, b"body"))
-                await until(lambda: pool._conns, "the connection to be idle")
+                await wait_until(lambda: pool._conns, "the connection to be idle")
                 released_s = next(iter(pool._conns.values()))[0][1]
                 now = unittest.mock.Mock(monotonic=lambda now_s=released_s + wait_s: now_s)
                 with PATCH("shaletiller.net.pool.time", now):
@@ -230,7 +230,7 @@
         self.assertIsNot(writer, second)
         second.write(ANSWER)
         self.assertEqual((await client.answer())[0], 200)
-        await until(writer.transport.is_closing, "the old connection to be closed")
+        await wait_until(writer.transport.is_closing, "the old connection to be closed")
 
     async def test_a_request_abandoned_with_unsent_bytes_is_never_completed(self) -> None:
         """A node does not read, so the end of a request is still unsent when its client gets a 502.
@@ -341,7 +341,7 @@
             encode_request(1, "PUT", b"x", IO_Info=io_info, Request_Timeout_Ms="5000")
         )  # no node has the shard yet
         reader.send(encode_request(2, IO_Info=io_info, Request_Timeout_Ms="5000"))
-        await until(lambda: len(self.gateway.engine.exchanges) == 2, "both requests to be queued")
+        await wait_until(lambda: len(self.gateway.engine.exchanges) == 2, "both requests to be queued")
         # Reads may no longer be retried, writes may, and one class is removed.
         read, write, _ = EFFECTS["classes"]
         self.reload_settings(
@@ -514,7 +514,7 @@
                     retry = await agent.next()
                     agent.current = retry[3]
                 await self.send_full(agent, 5, n1="leaving", n2="active")
-                await until(
+                await wait_until(
                     lambda events=events: any(isinstance(event, EndpointListUpdate) for event in events), "the list"
                 )
                 update = next(event for event in events if isinstance(event, EndpointListUpdate))
@@ -536,7 +536,7 @@
             await self.send_full(agent, version, n1="active", n2="active")
         agent.current = (await agent.next())[3]
         await self.send_full(agent, 7, n1="leaving", n2="active")
-        await until(
+        await wait_until(
             lambda: len([event for event in events if isinstance(event, EndpointListUpdate)]) == 3, "the lists"
         )
         self.assertEqual(events[-1].staleness_ms, 0.0)
@@ -551,7 +551,7 @@
         await self.play("expect n1 PUT 1 x")
         clock = self.gateway._clock
         await self.play("send d n1=leaving")
-        await until(
+        await wait_until(
             lambda: self.gateway.engine.endpoints["n1"].entry.state is EndpointState.DRAINING, "the drain"
         )
         with PATCH.object(clock, "_offset_ms", clock._offset_ms + 3000.0):  # its grace period is over
@@ -635,7 +635,7 @@
         agent = await self.party("d")
         for rows in ([], [self.row("n1", "leaving"), self.row("n2", "leaving")]):
             with self.subTest(rows=len(rows)):
-                await until(lambda: agent.received.qsize() > 0, "the watch of the first gateway")
+                await wait_until(lambda: agent.received.qsize() > 0, "the watch of the first gateway")
                 while agent.received.qsize():
                     agent.received.get_nowait()
                 self.write_known_list(rows)
@@ -646,7 +646,7 @@
                 update = {"version": 3, "full": True, "servers": [self.row("n1", "active")]}
                 agent.current = call[3]
                 await Server.send(agent, "200", json.dumps(update))
-                await until(lambda: self.second.discovery.ready, "the list")
+                await wait_until(lambda: self.second.discovery.ready, "the list")
                 self.assertEqual(await self.get_up_status(), 200)
 
     async def test_an_outdated_list_is_replaced_by_discoverys(self) -> None:
@@ -662,7 +662,7 @@
         agent.current = call[3]
         rows = [self.row("n1", "leaving"), self.row("n2", "active")]
         await Server.send(agent, "200", json.dumps({"version": 9, "full": True, "servers": rows}))
-        await until(lambda: self.second.discovery._version == 9, "the new list")
+        await wait_until(lambda: self.second.discovery._version == 9, "the new list")
         client = await RawClient.open(self.second.http_server.address)
         client.send(encode_request(1, Request_Timeout_Ms="200"))
         self.assertEqual((await client.answer())[0], 503)  # the start of the drain is unknown
@@ -676,10 +676,10 @@
     sockets = 64
 
     async def assert_nothing_left(self) -> None:
-        await until(lambda: not self.gateway.http_server.connections, "all connections to be closed")
+        await wait_until(lambda: not self.gateway.http_server.connections, "all connections to be closed")
         listener = self.gateway.http_server._listener
         self.assertFalse(listener.accept_queue or listener.overload or self.gateway.engine.exchanges)
-        await until(
+        await wait_until(
             lambda: not listener._tasks and not self.gateway.engine.attempts.in_flight, "all tasks to end"
         )
 
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -19,7 +19,7 @@
 from shaletiller.net.http_upstream import HttpUpstreamClient
 from shaletiller.net.overload_control import AcceptedSocket
 from shaletiller.net.pool import UpstreamConnector
-from tests.net.test_endings import count_connections_to, until
+from tests.net.test_endings import count_connections_to, wait_until
 from tests.support.scenario import (
     SETTINGS,
     TIMEOUT_S,
@@ -273,7 +273,7 @@
             "send c2 GET 5 timeout=5000\nexpect n1 GET 5\nsend n1 200 still\nexpect c2 200 still\n"
             "wait 1\nsend c1 PUT 4 x\nexpect c1 503\nexpect n1 nothing\nwait 299"
         )
-        await until(lambda: self.gateway.http_server._closing, "responses to close connections")
+        await wait_until(lambda: self.gateway.http_server._closing, "responses to close connections")
         await self.play("expect c2 end\nwait 125")
         await asyncio.wait_for(stop, TIMEOUT_S)
 
@@ -649,13 +649,13 @@
         connector = self.gateway._http._session().connector
         assert connector is not None
         # All attempts either have a connection or wait for one.
-        await until(
+        await wait_until(
             lambda: node.received.qsize() == max_per_node and sum(map(len, connector._waiters.values())) == 2,
             "all attempts to have a connection or wait for one",
         )
         self.assertEqual((len(node.writers), count_connections_to(node.port)), (max_per_node, max_per_node))
         await self.play("expect n1 GET 0\nsend n1 200\nexpect c0 200")
-        await until(lambda: node.received.qsize() == max_per_node, "the first waiting attempt")
+        await wait_until(lambda: node.received.qsize() == max_per_node, "the first waiting attempt")
         self.assertEqual(sum(map(len, connector._waiters.values())), 1)
         self.assertLessEqual(len(node.writers), max_per_node + 1)  # one may not be reusable yet after its response
 
--- a/tests/nvme/test_scenarios_nvme.py
+++ b/tests/nvme/test_scenarios_nvme.py
@@ -15,7 +15,7 @@
 from shaletiller.net.nvme import capsules, commands, pdu
 from shaletiller.net.nvme.errors import FatalErrorStatus, PduError
 from shaletiller.net.nvme.status import Status
-from tests.net.test_endings import until
+from tests.net.test_endings import wait_until
 from tests.support.scenario import NvmeNode, Scenario, Server, key, on_settable_clock, read_message
 
 IC_REQ = pdu.ic_req().hex()
@@ -411,7 +411,7 @@
         The write never ran: it is retried and served.
         """
         await self.play("send c1 PUT 5 a\nexpect b1 write 5 a\nsend b1 not_ready")
-        await until(lambda: not self.gateway.engine.attempts.in_flight, "the outcome of the first attempt")
+        await wait_until(lambda: not self.gateway.engine.attempts.in_flight, "the outcome of the first attempt")
         await self.play("wait 150\nexpect b1 write 5 a\nsend b1 ok\nexpect c1 200")  # the next round
 
     async def test_a_write_that_the_storage_node_fails_is_not_retried(self) -> None:
