--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -199,7 +199,7 @@
             clients["body"].send(request[-4:])
             name, writer = await asyncio.wait_for(requests_received.get(), 3.0)
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nbody")
-            found = {name: await client.answer() for name, client in clients.items()}
+            found = {name: await client.read_response() for name, client in clients.items()}
             self.assertEqual(await asyncio.wait_for(process.wait(), 10.0), 0)
             await asyncio.gather(*senders)
         finally:
@@ -221,7 +221,7 @@
         for at in range(100_000):
             try:
                 client.send(encode_request(at, Request_Id=f"sends-{number}-{at}"))
-                await client.answer()
+                await client.read_response()
             except (AssertionError, OSError):
                 unread.append(f"sends-{number}-{at}")
                 break
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -115,7 +115,7 @@
         self.buffer += data
         return data
 
-    async def answer(self) -> tuple[int, bytes]:
+    async def read_response(self) -> tuple[int, bytes]:
         """Read the next complete response.
 
         :returns: status and body.
@@ -220,7 +220,7 @@
     async def served(self, client: RawClient, number: int, **changes: str) -> None:
         client.send(encode_request(number, **changes))
         await self.play(f"expect n1 GET {number}\nsend n1 200 ok")
-        self.assertEqual(await client.answer(), (200, b"ok"))
+        self.assertEqual(await client.read_response(), (200, b"ok"))
 
     @property
     def requests_received(self) -> int:
@@ -269,7 +269,7 @@
                 self.hook_half_close(client, lambda client=client: client.send(encode_request(2)), before)
                 head = f"HTTP/1.1 200 X\r\nContent-Length: {len(body)}\r\n\r\n"
                 self.parties["n1"].current.write(head.encode() + body)
-                self.assertEqual(await client.answer(), (200, body))
+                self.assertEqual(await client.read_response(), (200, body))
                 await client.expect_end()
                 client.close()
                 self.gateway.http_server.set_draining(False)
@@ -287,7 +287,7 @@
                 await self.play("expect n1 GET 1")
                 self.hook_half_close(client, lambda client=client: client.send(encode_request(2)), before)
                 await self.play("send n1 200 ok")
-                self.assertEqual(await client.answer(), (200, b"ok"))
+                self.assertEqual(await client.read_response(), (200, b"ok"))
                 await client.expect_end()
                 client.close()
                 await wait_until(lambda: not self.gateway.http_server.connections, "the connection to be closed")
@@ -305,7 +305,7 @@
         for _ in range(limit):
             client = await self.wire()
             client.send(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-            self.assertEqual((await client.answer())[0], 503)
+            self.assertEqual((await client.read_response())[0], 503)
             await client.expect_end()  # the client does not close its side
         self.assertEqual((self.gateway.http_server.connections, listener.is_near_limit), (limit, False))
         self.gateway.http_server.set_draining(False)
@@ -354,7 +354,7 @@
         client.send(request[40:])  # unread until this test yields to the event loop
         listener.table.time_out(listener.clock.now_ms() + limits.REQUEST_TIMEOUT_MS + 1.0, draining=False)
         await self.play("expect n1 GET 1\nsend n1 200 ok")
-        self.assertEqual(await client.answer(), (200, b"ok"))
+        self.assertEqual(await client.read_response(), (200, b"ok"))
 
     @on_settable_clock
     async def test_a_body_received_during_a_stall_is_not_timed_out(self) -> None:
@@ -376,8 +376,8 @@
         client.send(request[-5:])  # unread until this test yields to the event loop
         await self.wait(limits.REQUEST_TIMEOUT_MS + 1.0)
         await self.play("expect n1 PUT 1 0123456789\nsend n1 200 ok")
-        self.assertEqual(await client.answer(), (200, b"ok"))
-        self.assertEqual((await late.answer())[0], 408)
+        self.assertEqual(await client.read_response(), (200, b"ok"))
+        self.assertEqual((await late.read_response())[0], 408)
 
     async def test_a_connection_that_is_starting_is_not_evicted(self) -> None:
         """The connection limit is reached, and the oldest connection is being started.
@@ -419,7 +419,7 @@
             client = await self.wire()
             self.hook_call(ClientConnection, "time_out", lambda: client.send(b"x" * 1000))
             client.send(b"GET /api?key=5 HTTP/1.1\r\nx: ")
-            self.assertEqual((await client.answer())[0], 408)
+            self.assertEqual((await client.read_response())[0], 408)
             client.send(b"y" * 1000)
             await client.expect_end()
             client.close()
@@ -440,7 +440,7 @@
         self.hook_call(
             listener.overload, "_retry_after_allowed", lambda: client.send(b"y" * 1000)
         )  # sent after the part of the request that is read
-        self.assertEqual((await client.answer())[0], 503)
+        self.assertEqual((await client.read_response())[0], 503)
         await client.expect_end()
         client.close()
         await wait_until(lambda: not listener.overload, "the rejected connection to be closed")
@@ -509,13 +509,13 @@
         await wait_until(lambda: self.gateway._stopping, "the shutdown to start")
         clients["half_request"].send(complete[-5:])
         await self.play("expect n1 PUT 4 0123456789\nsend n1 200 body")
-        self.assertEqual(await clients["half_request"].answer(), (200, b"body"))
+        self.assertEqual(await clients["half_request"].read_response(), (200, b"body"))
         at_node.write(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\nout")
         half_response.write(b"ngth: 6\r\n\r\nanswer")
-        self.assertEqual(await clients["at_node"].answer(), (200, b"out"))
-        self.assertEqual(await clients["half_response"].answer(), (200, b"answer"))
-        self.assertEqual((await clients["unanswered"].answer())[0], 502)  # it may have run
-        self.assertEqual((await clients["queued"].answer())[0], 503)
+        self.assertEqual(await clients["at_node"].read_response(), (200, b"out"))
+        self.assertEqual(await clients["half_response"].read_response(), (200, b"answer"))
+        self.assertEqual((await clients["unanswered"].read_response())[0], 502)  # it may have run
+        self.assertEqual((await clients["queued"].read_response())[0], 503)
         for client in clients.values():
             await client.expect_end()
         await asyncio.wait_for(stop, TIMEOUT_S)
@@ -536,7 +536,7 @@
             for index in range(10_000):
                 try:
                     client.send(encode_request(number * 10_000 + index))
-                    status, _ = await client.answer()
+                    status, _ = await client.read_response()
                 except (AssertionError, OSError):
                     unread.append(f"GET-{number * 10_000 + index}")
                     return
@@ -572,7 +572,7 @@
             self.gateway.http_server._listener._server, "pre_shutdown", lambda: client.send(request[40:]), False
         )
         await asyncio.wait_for(self.stop(), TIMEOUT_S)
-        self.assertEqual((await client.answer())[0], 503)
+        self.assertEqual((await client.read_response())[0], 503)
         await client.expect_end()
         self.assertEqual(self.requests_received, 0)
 
@@ -588,7 +588,7 @@
         late.send(encode_request(1))
         await wait_until(lambda: listener.accept_queue, "the new connection")
         await asyncio.wait_for(self.stop(), TIMEOUT_S)
-        self.assertEqual((await late.answer())[0], 503)
+        self.assertEqual((await late.read_response())[0], 503)
         await late.expect_end()
         await client.expect_end()
         self.assertEqual(self.requests_received, 0)
@@ -862,7 +862,7 @@
         raw = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 9999), TIMEOUT_S)
         self.assertIn(b"Request-Id: PUT-1\r\n", raw)
         sock.sendall(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
-        self.assertEqual(await client.answer(), (200, b"ok"))
+        self.assertEqual(await client.read_response(), (200, b"ok"))
         self.assertEqual(self.gateway.engine.counters.get("attempt.ok"), 1)
         self.assertEqual(count_connections_to(self.port), 2)  # this one and the filler
 
@@ -876,7 +876,7 @@
         disconnected.send(encode_request(2, "PUT", b"y", Request_Timeout_Ms="5000"))
         await wait_until(lambda: count_connecting_to(self.port) == 2, "both attempts")
         disconnected.close()
-        self.assertEqual((await slow.answer())[0], 502)  # a timeout does not prove that it has not run
+        self.assertEqual((await slow.read_response())[0], 502)  # a timeout does not prove that it has not run
         slow.close()
         await wait_until(lambda: not self.gateway.engine.attempts.in_flight, "the end of both attempts")
         self.accept_queued()
@@ -896,7 +896,7 @@
         client = await self.wire()
         with PATCH.object(self.gateway._http, "_settings", self.replace_settings(connect_timeout_ms=100.0)):
             client.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="400"))
-            self.assertEqual((await client.answer())[0], 503)
+            self.assertEqual((await client.read_response())[0], 503)
         counts = self.gateway.engine.counters
         self.assertGreaterEqual(counts.get("attempt.connect_failed", 0), 1)
         self.assertIsNone(counts.get("attempt.reset"))
@@ -935,7 +935,7 @@
         self.listener.settimeout(1.5)
         with self.assertRaises(TimeoutError):
             await asyncio.get_running_loop().run_in_executor(None, self.listener.accept)
-        self.assertEqual((await client.answer())[0], 503)  # all nodes share the keys, so a rejection is safe
+        self.assertEqual((await client.read_response())[0], 503)  # all nodes share the keys, so a rejection is safe
 
     async def first_attempt(self, client: RawClient) -> socket.socket:
         self.accept_queued()
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -69,7 +69,7 @@
         if expected_status == 200:
             _, writer = await self.next_attempt()
             writer.write(ANSWER)
-        status, body = await client.answer()
+        status, body = await client.read_response()
         self.assertEqual((status, body == b"body"), (expected_status, expected_status == 200))
         self.assertEqual(self.requests_received, 0)
         client.close()
@@ -159,7 +159,7 @@
                     _, _, received, writer, _ = await node.next()
                 self.assertEqual(len(received), len(body))
                 writer.write(ANSWER)
-                self.assertEqual(await client.answer(), (200, b"body"))
+                self.assertEqual(await client.read_response(), (200, b"body"))
                 self.assertEqual(
                     self.gateway.engine.counters["attempt.connect_failed"], 1 if name == "write" else 2
                 )
@@ -182,7 +182,7 @@
         client.send(REQUEST_OF_EFFECT["write"][0])
         _, writer = await self.next_attempt()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf")
-        self.assertEqual((await client.answer())[0], 502)
+        self.assertEqual((await client.read_response())[0], 502)
         await wait_until(writer.transport.is_closing, "the connection to be closed")
 
     async def test_a_duplicate_response_some_milliseconds_later_reaches_no_one(self) -> None:
@@ -197,7 +197,7 @@
                 client.send(encode_request(1))
                 _, writer = await self.next_attempt()
                 writer.write(ANSWER)
-                self.assertEqual(await client.answer(), (200, b"body"))
+                self.assertEqual(await client.read_response(), (200, b"body"))
                 await wait_until(lambda: pool._conns, "the connection to be idle")
                 released_s = next(iter(pool._conns.values()))[0][1]
                 now = unittest.mock.Mock(monotonic=lambda now_s=released_s + wait_s: now_s)
@@ -207,7 +207,7 @@
                 self.assertIsNot(writer, second)
                 writer.write(ANSWER)
                 second.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown")
-                self.assertEqual(await client.answer(), (200, b"own"))
+                self.assertEqual(await client.read_response(), (200, b"own"))
                 client.close()
                 self.gateway._http.close_idle(f"127.0.0.1:{self.parties['n1'].port}")
 
@@ -221,7 +221,7 @@
         client.send(encode_request(1))
         _, writer = await self.next_attempt()
         writer.write(ANSWER)
-        await client.answer()
+        await client.read_response()
         await asyncio.sleep(0.03)
         # Half a line arrives in the kernel while the connection is taken, before the request is written.
         self.hook_call(pool, "_is_clean", lambda: os.write(writer.get_extra_info("socket").fileno(), b"HTTP/1.1 20"))
@@ -229,7 +229,7 @@
         _, second = await self.next_attempt()
         self.assertIsNot(writer, second)
         second.write(ANSWER)
-        self.assertEqual((await client.answer())[0], 200)
+        self.assertEqual((await client.read_response())[0], 200)
         await wait_until(writer.transport.is_closing, "the old connection to be closed")
 
     async def test_a_request_abandoned_with_unsent_bytes_is_never_completed(self) -> None:
@@ -257,7 +257,7 @@
         with PATCH.object(self.gateway._http._session().connector, "_create_connection", create_with_small_buffer):
             client.send(encode_request(2, "PUT", b"z" * 16000, Request_Timeout_Ms="300"))
             sock, _ = await asyncio.get_running_loop().sock_accept(small)
-            self.assertEqual((await client.answer())[0], 502)
+            self.assertEqual((await client.read_response())[0], 502)
         received, ended = b"", False
         while not ended:
             try:
@@ -354,19 +354,19 @@
             *_, node.current, _ = await node.next()
             node.current.transport.abort()
         # The write fails, because it may have run; the read is retried.
-        self.assertEqual((await client.answer())[0], 502)
+        self.assertEqual((await client.read_response())[0], 502)
         await self.play("expect n3 GET 2\nsend n3 200 ok")
-        self.assertEqual(await reader.answer(), (200, b"ok"))
+        self.assertEqual(await reader.read_response(), (200, b"ok"))
         self.assertEqual(node.received.qsize(), 0)
         # New requests use the new settings.
         client.send(encode_request(3, IO_Info=io_info))
         await self.play("expect n3 GET 3\nclose n3")
-        self.assertEqual((await client.answer())[0], 502)
+        self.assertEqual((await client.read_response())[0], 502)
         reader.send(encode_request(4, "PUT", b"x", IO_Info=io_info))
         await self.play("expect n3 PUT 4 x\nclose n3\nexpect n3 PUT 4 x\nsend n3 200 ok")
-        self.assertEqual((await reader.answer())[0], 200)
+        self.assertEqual((await reader.read_response())[0], 200)
         client.send(encode_request(5, "PUT", b"x", Request_Class="keyed", Idempotency_Key="k"))
-        self.assertEqual((await client.answer())[0], 400)  # the class has been removed
+        self.assertEqual((await client.read_response())[0], 400)  # the class has been removed
 
     async def test_the_guard_timer_answers_by_the_settings_of_the_admission(self) -> None:
         """The scheduler does not respond, and a reload makes writes idempotent while one is in progress.
@@ -380,7 +380,7 @@
         self.gateway.engine._scheduler.apply_settings = lambda settings: None
         read, write, _ = EFFECTS["classes"]
         self.reload_settings(classes=[read, {**write, "effect": "read_like"}], domain=SETTINGS["domain"])
-        self.assertEqual((await client.answer())[0], 502)  # a rejection would claim that it has not run
+        self.assertEqual((await client.read_response())[0], 502)  # a rejection would claim that it has not run
 
     async def test_timeouts_and_connections_follow_the_new_settings(self) -> None:
         """A reload shortens the idle timeout and disables Retry-After.
@@ -409,7 +409,7 @@
         client.send(
             encode_request(3, IO_Info=f"volume={VOLUME},units=2,shard=9,hosts=1", Request_Timeout_Ms="50")
         )
-        self.assertEqual((await client.answer())[0], 503)
+        self.assertEqual((await client.read_response())[0], 503)
         self.assertNotIn(b"Retry-After", client.head)
 
     async def test_a_reload_before_the_watch_has_begun_moves_it(self) -> None:
@@ -556,10 +556,10 @@
         )
         with PATCH.object(clock, "_offset_ms", clock._offset_ms + 3000.0):  # its grace period is over
             late.send(encode_request(2, "PUT", b"y", Request_Timeout_Ms="200"))
-            self.assertEqual((await late.answer())[0], 503)
+            self.assertEqual((await late.read_response())[0], 503)
             self.assertEqual(self.requests_received, 0)
             await self.play("send n1 200 ok")
-            self.assertEqual(await client.answer(), (200, b"ok"))
+            self.assertEqual(await client.read_response(), (200, b"ok"))
 
     async def test_a_lower_version_after_discovery_has_moved_is_applied(self) -> None:
         """A reload changes to another discovery service, whose versions are lower.
@@ -601,7 +601,7 @@
     async def get_up_status(self) -> int:
         client = await RawClient.open(self.second.http_server.address)
         client.send(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-        status, _ = await client.answer()
+        status, _ = await client.read_response()
         client.close()
         return status
 
@@ -624,7 +624,7 @@
                 client = await RawClient.open(self.second.http_server.address)
                 client.send(encode_request(1))
                 await self.play("expect n1 GET 1\nsend n1 200 ok")
-                self.assertEqual(await client.answer(), (200, b"ok"))
+                self.assertEqual(await client.read_response(), (200, b"ok"))
                 client.close()
 
     async def test_it_is_not_ready_before_it_can_serve(self) -> None:
@@ -665,7 +665,7 @@
         await wait_until(lambda: self.second.discovery._version == 9, "the new list")
         client = await RawClient.open(self.second.http_server.address)
         client.send(encode_request(1, Request_Timeout_Ms="200"))
-        self.assertEqual((await client.answer())[0], 503)  # the start of the drain is unknown
+        self.assertEqual((await client.read_response())[0], 503)  # the start of the drain is unknown
         self.assertEqual(self.requests_received, 0)
         client.close()
 
--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -161,7 +161,7 @@
                 IO_Info=f"volume={volume(tenant, self.renamed)},units=2,shard={shard},hosts=1",
             )
         )
-        status, body = await wire.answer()
+        status, body = await wire.read_response()
         wire.close()
         return status, body if status == 200 else b"", self.sent.get(number, 0)
 
