--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -170,7 +170,7 @@
             client.close()
         await super().asyncTearDown()
 
-    async def wire(self) -> RawClient:
+    async def connect_client(self) -> RawClient:
         self.clients.append(await RawClient.open(self.gateway.http_server.address))
         return self.clients[-1]
 
@@ -230,7 +230,7 @@
     async def retry_request(self, number: int) -> None:
         """Retry a request that was not read, as a client does, on a new connection."""
         self.assertEqual(self.requests_received, 0)
-        await self.served(await self.wire(), number)
+        await self.served(await self.connect_client(), number)
 
 
 class IdleConnections(RaceScenario):
@@ -244,7 +244,7 @@
         """
         for before in (True, False):
             with self.subTest(before=before):
-                client = await self.wire()
+                client = await self.connect_client()
                 await self.served(client, 1)
                 self.hook_half_close(client, lambda client=client: client.send(encode_request(2)), before)
                 with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
@@ -261,7 +261,7 @@
         body = bytes(range(256)) * 256
         for before in (True, False):
             with self.subTest(before=before):
-                client = await self.wire()
+                client = await self.connect_client()
                 client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 self.gateway.http_server.set_draining(True)
                 client.send(encode_request(1))
@@ -282,7 +282,7 @@
         """
         for before in (True, False):
             with self.subTest(before=before), PATCH("shaletiller.net.connection_limits.NEAR_LIMIT_RATIO", 0.0):
-                client = await self.wire()
+                client = await self.connect_client()
                 client.send(encode_request(1))
                 await self.play("expect n1 GET 1")
                 self.hook_half_close(client, lambda client=client: client.send(encode_request(2)), before)
@@ -303,13 +303,13 @@
         self.enterContext(PATCH.object(listener.table, "max_connections", limit))
         self.gateway.http_server.set_draining(True)
         for _ in range(limit):
-            client = await self.wire()
+            client = await self.connect_client()
             client.send(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
             self.assertEqual((await client.read_response())[0], 503)
             await client.expect_end()  # the client does not close its side
         self.assertEqual((self.gateway.http_server.connections, listener.is_near_limit), (limit, False))
         self.gateway.http_server.set_draining(False)
-        await self.served(await self.wire(), 1)
+        await self.served(await self.connect_client(), 1)
         self.assertEqual(self.gateway.http_server.connections, limit)
 
     async def test_a_partial_request_at_the_close_of_an_idle_connection_is_ignored(self) -> None:
@@ -317,7 +317,7 @@
 
         The connection must end without a reset, and must not count against the limit any more.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         await self.served(client, 1)
         self.hook_half_close(client, lambda: client.send(encode_request(2)[:30]))
         with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
@@ -336,7 +336,7 @@
             listener.table.time_out(listener.clock.now_ms() + stall_ms, draining=False)
 
         self.hook_call(listener, "_start_connection", sweep_after_stall, before=False)
-        client = await self.wire()
+        client = await self.connect_client()
         await self.served(client, 1)
 
     async def test_a_request_received_during_a_stall_is_not_timed_out(self) -> None:
@@ -344,7 +344,7 @@
 
         The rest arrives during the stall.  Guards against a 408 for a client that sent its request in time.
         """
-        listener, client = self.gateway.http_server._listener, await self.wire()
+        listener, client = self.gateway.http_server._listener, await self.connect_client()
         request = encode_request(1)
         client.send(request[:40])
         await wait_until(
@@ -363,7 +363,7 @@
         The rest arrives during the stall.  Guards against a 408 for a client that sent its body in time; a
         client that sends no more must still get a 408.
         """
-        client, late = await self.wire(), await self.wire()
+        client, late = await self.connect_client(), await self.connect_client()
         request = encode_request(1, "PUT", b"0123456789", Request_Timeout_Ms="5000")
         for sender in (client, late):
             sender.send(request[:-5])
@@ -391,7 +391,7 @@
             evicted.append(listener.table.evict(listener.clock.now_ms() + limits.REQUEST_TIMEOUT_MS))
 
         self.hook_call(listener, "_start_connection", evict, before=False)
-        client = await self.wire()
+        client = await self.connect_client()
         await self.served(client, 1)
         self.assertEqual(evicted, [False])
 
@@ -400,7 +400,7 @@
 
         The gateway must close it after a timeout; otherwise such clients would use up its file descriptors.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         await self.served(client, 1)
         with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
             await client.expect_end()
@@ -416,7 +416,7 @@
         close must end.
         """
         with PATCH("shaletiller.net.connection_limits.REQUEST_TIMEOUT_MS", 100.0):
-            client = await self.wire()
+            client = await self.connect_client()
             self.hook_call(ClientConnection, "time_out", lambda: client.send(b"x" * 1000))
             client.send(b"GET /api?key=5 HTTP/1.1\r\nx: ")
             self.assertEqual((await client.read_response())[0], 408)
@@ -435,7 +435,7 @@
         for name in ("OVERLOAD_AFTER_MS", "MAX_QUEUE_AGE_MS"):
             self.enterContext(PATCH(f"shaletiller.net.connection_limits.{name}", 0.0))
         self.enterContext(PATCH("shaletiller.net.connection_limits.STARTS_PER_TURN", 0))
-        listener, client = self.gateway.http_server._listener, await self.wire()
+        listener, client = self.gateway.http_server._listener, await self.connect_client()
         client.send(encode_request(1, "PUT", b"x" * 60000))
         self.hook_call(
             listener.overload, "_retry_after_allowed", lambda: client.send(b"y" * 1000)
@@ -461,7 +461,7 @@
         """
         for before in (True, False):
             with self.subTest(before=before):
-                client, other = await self.wire(), await self.wire()
+                client, other = await self.connect_client(), await self.connect_client()
                 await self.served(client, 1)
                 await self.served(other, 2)
                 # `other` sends a request when the gateway closes its idle connection.
@@ -488,7 +488,7 @@
         not.
         """
         names = ("queued", "at_node", "half_request", "half_response", "unanswered")
-        clients = {name: await self.wire() for name in names}
+        clients = {name: await self.connect_client() for name in names}
         clients["at_node"].send(encode_request(1, Request_Timeout_Ms="5000"))
         await self.play("expect n1 GET 1")
         at_node = self.parties["n1"].current
@@ -532,7 +532,7 @@
         answered, unread = [], []
 
         async def send_until_closed(number: int) -> None:
-            client = await self.wire()
+            client = await self.connect_client()
             for index in range(10_000):
                 try:
                     client.send(encode_request(number * 10_000 + index))
@@ -560,7 +560,7 @@
         It must get a 503 and an end without a reset.  Guards against a reset instead of a response at a
         restart.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         request = encode_request(1)
         client.send(request[:40])
         table = self.gateway.http_server._listener.table
@@ -581,10 +581,10 @@
 
         Its client must get a 503 and an end without a reset.
         """
-        listener, client = self.gateway.http_server._listener, await self.wire()
+        listener, client = self.gateway.http_server._listener, await self.connect_client()
         await wait_until(lambda: not listener.accept_queue, "the first connection to be started")
         self.enterContext(PATCH.object(listener, "_start_connections", lambda: None))
-        late = await self.wire()
+        late = await self.connect_client()
         late.send(encode_request(1))
         await wait_until(lambda: listener.accept_queue, "the new connection")
         await asyncio.wait_for(self.stop(), TIMEOUT_S)
@@ -639,7 +639,7 @@
         """
         for shard, how in ((3, "close"), (4, "reset"), (5, "half")):
             with self.subTest(how):
-                client = await self.wire()
+                client = await self.connect_client()
                 # It is queued until a node has the shard.
                 client.send(
                     encode_request(
@@ -665,7 +665,7 @@
 
         The attempt of the first request must be cancelled, and the second must never be forwarded.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         client.send(encode_request(1, Request_Timeout_Ms="5000") + encode_request(2, Request_Timeout_Ms="5000"))
         await self.play("expect n1 GET 1")
         client.close()
@@ -678,7 +678,7 @@
 
         The node must not get the request, and the connection must be closed.
         """
-        client, engine = await self.wire(), self.gateway.engine
+        client, engine = await self.connect_client(), self.gateway.engine
         self.hook_call(
             UpstreamProtocol,
             "connection_made",
@@ -697,7 +697,7 @@
 
         The node, which is reachable again, must not get the request.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         await self.play("close n1 listener")
         client.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await wait_until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
@@ -854,7 +854,7 @@
 
         The request must be served on it once.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         client.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await wait_until(lambda: count_connecting_to(self.port) == 1, "the attempt")
         self.accept_queued()
@@ -871,7 +871,7 @@
 
         Both attempts must end, and the kernel must not continue connecting for them.
         """
-        slow, disconnected = await self.wire(), await self.wire()
+        slow, disconnected = await self.connect_client(), await self.connect_client()
         slow.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="300"))
         disconnected.send(encode_request(2, "PUT", b"y", Request_Timeout_Ms="5000"))
         await wait_until(lambda: count_connecting_to(self.port) == 2, "both attempts")
@@ -893,7 +893,7 @@
 
         The outcome must be a failed connect, so that the write, which has certainly not run, gets a 503.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         with PATCH.object(self.gateway._http, "_settings", self.replace_settings(connect_timeout_ms=100.0)):
             client.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="400"))
             self.assertEqual((await client.read_response())[0], 503)
@@ -927,7 +927,7 @@
 
         The retry must not be sent: the node would not recognise the key, and would run the write twice.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         first = await self.first_attempt(client)
         reset(first)  # the request may have run; a retry may start within 400 ms
         await wait_until(lambda: count_connecting_to(self.port) == 1, "the retry")
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -57,7 +57,7 @@
         :param end: how the connection ends: "reset" or "end".
         :param expected_status: status of the response to the client.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         client.send(request)
         _, writer = await self.next_attempt()
         writer.write(raw)
@@ -116,7 +116,7 @@
             for name, (request, expected_status) in REQUEST_OF_EFFECT.items():
                 with self.subTest(reused=reused, effect=name):
                     if reused:
-                        client = await self.wire()
+                        client = await self.connect_client()
                         await self.served(client, 9)
                         client.close()
                         await asyncio.sleep(0.03)  # wait until the connection may be reused
@@ -152,7 +152,7 @@
                 small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
                 small.bind(("127.0.0.1", node.port))
                 node.server = await asyncio.start_server(reset_first_connection, sock=small, limit=1024)
-                client = await self.wire()
+                client = await self.connect_client()
                 headers = {"Request_Class": name} | ({"Idempotency_Key": "k"} if name == "keyed" else {})
                 with PATCH("shaletiller.net.http_upstream.split_last_byte", self.split_last_byte_slowly):
                     client.send(encode_request(5, "PUT", body, **headers))
@@ -178,7 +178,7 @@
 
         The write must fail soon, and the connection must be closed.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         client.send(REQUEST_OF_EFFECT["write"][0])
         _, writer = await self.next_attempt()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf")
@@ -193,7 +193,7 @@
         pool = self.gateway._http._session().connector
         for wait_s in (0.0, 0.005, 0.009):
             with self.subTest(wait_s=wait_s):
-                client = await self.wire()
+                client = await self.connect_client()
                 client.send(encode_request(1))
                 _, writer = await self.next_attempt()
                 writer.write(ANSWER)
@@ -217,7 +217,7 @@
         The request must use another connection, and the old one must be closed.
         """
         pool = self.gateway._http._session().connector
-        client = await self.wire()
+        client = await self.connect_client()
         client.send(encode_request(1))
         _, writer = await self.next_attempt()
         writer.write(ANSWER)
@@ -253,7 +253,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1024)
             return protocol
 
-        client = await self.wire()
+        client = await self.connect_client()
         with PATCH.object(self.gateway._http._session().connector, "_create_connection", create_with_small_buffer):
             client.send(encode_request(2, "PUT", b"z" * 16000, Request_Timeout_Ms="300"))
             sock, _ = await asyncio.get_running_loop().sock_accept(small)
@@ -335,7 +335,7 @@
 
         Queued requests must keep the effect from their admission; new requests must use the new settings.
         """
-        client, reader = await self.wire(), await self.wire()
+        client, reader = await self.connect_client(), await self.connect_client()
         io_info = f"volume={VOLUME},units=2,shard=3,hosts=1"
         client.send(
             encode_request(1, "PUT", b"x", IO_Info=io_info, Request_Timeout_Ms="5000")
@@ -373,7 +373,7 @@
 
         The guard timer must respond with a 502: under the settings of its admission, the write may have run.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         client.send(encode_request(2, "PUT", b"x", Request_Timeout_Ms="400"))
         await self.play("expect n1 PUT 2 x")
         self.gateway.engine._scheduler.handle = lambda now_ms, event: []  # never returns an action
@@ -388,7 +388,7 @@
         Connections that exceed the new idle timeout must not be reused, and rejections must not have a
         Retry-After.
         """
-        client = await self.wire()
+        client = await self.connect_client()
         await self.served(client, 1)
         limits = {
             **SETTINGS["limits"],
@@ -445,7 +445,7 @@
                 self.assertIs(self.gateway.config, before)
                 self.assertIs(self.gateway.engine._scheduler.settings, scheduler)
         self.assertEqual(self.gateway.reload_counts, {"applied": 0, "rejected": 3})
-        await self.served(await self.wire(), 1)
+        await self.served(await self.connect_client(), 1)
 
 
 class EndpointLists(RaceScenario):
@@ -546,7 +546,7 @@
 
         The node must get no further requests, and the one in progress must get its response.
         """
-        client, late = await self.wire(), await self.wire()
+        client, late = await self.connect_client(), await self.connect_client()
         client.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
         await self.play("expect n1 PUT 1 x")
         clock = self.gateway._clock
@@ -576,7 +576,7 @@
         await self.send_full(new, 3, n1="active", n2="left")
         self.assertIn("since=3&", (await new.next())[0])
         self.assertEqual(list(self.gateway.engine.endpoints), ["n1"])
-        await self.served(await self.wire(), 1)
+        await self.served(await self.connect_client(), 1)
 
 
 class Starts(RaceScenario):
@@ -701,7 +701,7 @@
             await asyncio.gather(*(run_client(number) for number in range(start, start + 50)))
         self.assertLessEqual(max_connections, self.gateway.config.client_sockets)
         await self.assert_nothing_left()
-        client = await self.wire()
+        client = await self.connect_client()
         await self.served(client, 99999)
 
     async def test_clients_that_send_large_bodies_and_leave(self) -> None:
