--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -217,7 +217,7 @@
         """Call `action` once when the gateway half-closes any connection."""
         self.hook_call(ClientConnection, "half_close", action)
 
-    async def served(self, client: RawClient, number: int, **changes: str) -> None:
+    async def serve_request(self, client: RawClient, number: int, **changes: str) -> None:
         client.send(encode_request(number, **changes))
         await self.play(f"expect n1 GET {number}\nsend n1 200 ok")
         self.assertEqual(await client.read_response(), (200, b"ok"))
@@ -230,7 +230,7 @@
     async def retry_request(self, number: int) -> None:
         """Retry a request that was not read, as a client does, on a new connection."""
         self.assertEqual(self.requests_received, 0)
-        await self.served(await self.connect_client(), number)
+        await self.serve_request(await self.connect_client(), number)
 
 
 class IdleConnections(RaceScenario):
@@ -245,7 +245,7 @@
         for before in (True, False):
             with self.subTest(before=before):
                 client = await self.connect_client()
-                await self.served(client, 1)
+                await self.serve_request(client, 1)
                 self.hook_half_close(client, lambda client=client: client.send(encode_request(2)), before)
                 with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
                     await client.expect_end()  # a reset would discard a response in flight
@@ -309,7 +309,7 @@
             await client.expect_end()  # the client does not close its side
         self.assertEqual((self.gateway.http_server.connections, listener.is_near_limit), (limit, False))
         self.gateway.http_server.set_draining(False)
-        await self.served(await self.connect_client(), 1)
+        await self.serve_request(await self.connect_client(), 1)
         self.assertEqual(self.gateway.http_server.connections, limit)
 
     async def test_a_partial_request_at_the_close_of_an_idle_connection_is_ignored(self) -> None:
@@ -318,7 +318,7 @@
         The connection must end without a reset, and must not count against the limit any more.
         """
         client = await self.connect_client()
-        await self.served(client, 1)
+        await self.serve_request(client, 1)
         self.hook_half_close(client, lambda: client.send(encode_request(2)[:30]))
         with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
             await client.expect_end()
@@ -337,7 +337,7 @@
 
         self.hook_call(listener, "_start_connection", sweep_after_stall, before=False)
         client = await self.connect_client()
-        await self.served(client, 1)
+        await self.serve_request(client, 1)
 
     async def test_a_request_received_during_a_stall_is_not_timed_out(self) -> None:
         """The process stalls for longer than the request timeout after reading half of a request head.
@@ -392,7 +392,7 @@
 
         self.hook_call(listener, "_start_connection", evict, before=False)
         client = await self.connect_client()
-        await self.served(client, 1)
+        await self.serve_request(client, 1)
         self.assertEqual(evicted, [False])
 
     async def test_a_client_that_never_closes_a_half_closed_connection_holds_no_place(self) -> None:
@@ -401,7 +401,7 @@
         The gateway must close it after a timeout; otherwise such clients would use up its file descriptors.
         """
         client = await self.connect_client()
-        await self.served(client, 1)
+        await self.serve_request(client, 1)
         with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
             await client.expect_end()
         self.assertEqual(
@@ -462,8 +462,8 @@
         for before in (True, False):
             with self.subTest(before=before):
                 client, other = await self.connect_client(), await self.connect_client()
-                await self.served(client, 1)
-                await self.served(other, 2)
+                await self.serve_request(client, 1)
+                await self.serve_request(other, 2)
                 # `other` sends a request when the gateway closes its idle connection.
                 self.hook_half_close(other, lambda client=other: client.send(encode_request(3)), before)
                 # `client` sends one before that: if it is read, it is answered without forwarding it to a node.
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -117,7 +117,7 @@
                 with self.subTest(reused=reused, effect=name):
                     if reused:
                         client = await self.connect_client()
-                        await self.served(client, 9)
+                        await self.serve_request(client, 9)
                         client.close()
                         await asyncio.sleep(0.03)  # wait until the connection may be reused
                     await self.check_early_end(b"", "reset", request, expected_status)
@@ -389,7 +389,7 @@
         Retry-After.
         """
         client = await self.connect_client()
-        await self.served(client, 1)
+        await self.serve_request(client, 1)
         limits = {
             **SETTINGS["limits"],
             "conn-idle-ms": 100.0,
@@ -402,7 +402,7 @@
         self.assertEqual(pool._idle_timeout_s, pool._keepalive_timeout)
         await asyncio.sleep(0.06)
         old = self.parties["n1"].writers.copy()
-        await self.served(client, 2)
+        await self.serve_request(client, 2)
         self.assertEqual(
             len(self.parties["n1"].writers - old), 1
         )  # the idle connection exceeded the new timeout
@@ -445,7 +445,7 @@
                 self.assertIs(self.gateway.config, before)
                 self.assertIs(self.gateway.engine._scheduler.settings, scheduler)
         self.assertEqual(self.gateway.reload_counts, {"applied": 0, "rejected": 3})
-        await self.served(await self.connect_client(), 1)
+        await self.serve_request(await self.connect_client(), 1)
 
 
 class EndpointLists(RaceScenario):
@@ -576,7 +576,7 @@
         await self.send_full(new, 3, n1="active", n2="left")
         self.assertIn("since=3&", (await new.next())[0])
         self.assertEqual(list(self.gateway.engine.endpoints), ["n1"])
-        await self.served(await self.connect_client(), 1)
+        await self.serve_request(await self.connect_client(), 1)
 
 
 class Starts(RaceScenario):
@@ -702,7 +702,7 @@
         self.assertLessEqual(max_connections, self.gateway.config.client_sockets)
         await self.assert_nothing_left()
         client = await self.connect_client()
-        await self.served(client, 99999)
+        await self.serve_request(client, 99999)
 
     async def test_clients_that_send_large_bodies_and_leave(self) -> None:
         """Hundreds of clients send part of a large body and disconnect.
--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -217,7 +217,7 @@
         for number, timeout_ms in enumerate(("60001", "88719", "228552", "86400000", "172800000")):
             with self.subTest(timeout_ms=timeout_ms):
                 await asyncio.wait_for(
-                    self.served(await self.connect_client(), number, Request_Timeout_Ms=timeout_ms), 5
+                    self.serve_request(await self.connect_client(), number, Request_Timeout_Ms=timeout_ms), 5
                 )
 
 
