--- a/shaletiller/net/client_connection.py
+++ b/shaletiller/net/client_connection.py
@@ -113,10 +113,10 @@
     clock: Clock
     fast_path: FastPath
 
-    def on_connection_half_closed(self, connection: ClientConnection) -> None:
+    def connection_half_closed(self, connection: ClientConnection) -> None:
         """Handle that the connection has closed its write side."""
 
-    def on_connection_lost(self, connection: ClientConnection) -> None:
+    def connection_lost(self, connection: ClientConnection) -> None:
         """Handle that the connection is closed."""
 
     def start_linger(self, linger: Coroutine[Any, Any, None], connection: ClientConnection) -> None:
@@ -160,7 +160,7 @@
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Cancel the pending request of the client."""
-        self._owner.on_connection_lost(self)
+        self._owner.connection_lost(self)
         self.fast_path_pending, on_disconnect, self.on_disconnect = False, self.on_disconnect, None
         self._end_linger()
         super().connection_lost(exc)
@@ -307,7 +307,7 @@
             return
         self.state = _ON_WRITE_SIDE_CLOSED[self.state]
         self.state_since_ms = self._owner.clock.now_ms()
-        self._owner.on_connection_half_closed(self)
+        self._owner.connection_half_closed(self)
         with contextlib.suppress(OSError, RuntimeError):  # the client may have reset the connection
             transport.pause_reading()
             transport.write_eof()
--- a/shaletiller/net/discovery.py
+++ b/shaletiller/net/discovery.py
@@ -44,7 +44,11 @@
 MAX_LIST_BYTES = 4 * 1024 * 1024
 WATCH_TIMEOUT = aiohttp.ClientTimeout(total=(WATCH_WAIT_MS + WATCH_GRACE_MS) / 1000, sock_connect=1.0)
 FULL_LIST_TIMEOUT = aiohttp.ClientTimeout(total=WATCH_WAIT_MS / 1000)  # the agent does not wait
-ENDPOINT_STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
+ENDPOINT_STATES = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
+}
 LEFT_STATE = "left"
 
 # Called with the kind of an update, its list version, its endpoints, and its maximum age (ms).
--- a/shaletiller/net/http_request.py
+++ b/shaletiller/net/http_request.py
@@ -73,7 +73,9 @@
     target = TARGET_PATTERN.fullmatch(head.path)
     if target is None or "#" in head.path or len(KEY_PARAMETER_PATTERN.findall(head.path)) != 1:
         raise BadRequestError("target: wants one key of 16 hex digits")
-    io_info = dict(field.strip().partition("=")[::2] for field in _get_single_header(head, "IO-Info").split(","))
+    io_info = dict(
+        field.strip().partition("=")[::2] for field in _get_single_header(head, "IO-Info").split(",")
+    )
     if not VOLUME_PATTERN.fullmatch(io_info.get("volume", "")):
         raise BadRequestError("IO-Info volume: wants 16 hex digits")
     request_id = _get_single_header(head, "Request-Id")
--- a/shaletiller/net/http_server.py
+++ b/shaletiller/net/http_server.py
@@ -132,7 +132,9 @@
 
     @property
     def _must_close_connections(self) -> bool:
-        is_stopping = self._closing or self.shutdown_deadline_ms - self._clock.now_ms() < MIN_SHUTDOWN_BUDGET_MS
+        is_stopping = (
+            self._closing or self.shutdown_deadline_ms - self._clock.now_ms() < MIN_SHUTDOWN_BUDGET_MS
+        )
         return is_stopping or self._listener.is_near_limit or self._listener.draining
 
     @staticmethod
@@ -287,7 +289,9 @@
             web.Response(status=status, headers=headers, body=response.body), connection
         )
 
-    def _close_connection_if_required(self, response: web.Response, connection: ClientConnection) -> web.Response:
+    def _close_connection_if_required(
+        self, response: web.Response, connection: ClientConnection
+    ) -> web.Response:
         """Close the connection with this response if the server is draining, stopping or near its limit.
 
         Near the connection limit, clients that send one request and keep their connections open would
--- a/shaletiller/net/links.py
+++ b/shaletiller/net/links.py
@@ -32,9 +32,7 @@
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 2.0
 MAX_BACKOFF_DOUBLINGS = 16  # keeps the power of two small; `MAX_BACKOFF_S` applies long before
-CONNECT_TIMEOUT_S = (
-    1.0  # gateways of a fleet share one network; a slower connect indicates a partition
-)
+CONNECT_TIMEOUT_S = 1.0  # gateways of a fleet share one network; a slower connect indicates a partition
 # Time without acknowledgements from the peer after which a connection is closed and the kernel's buffer
 # discarded.  Otherwise, after a partition heals, the connection would first deliver outdated messages.
 TCP_USER_TIMEOUT_MS = 1_500
--- a/shaletiller/net/listener.py
+++ b/shaletiller/net/listener.py
@@ -103,11 +103,11 @@
         """Whether so many connections are open that each response has to close its connection."""
         return self.table.is_near_limit(len(self.accept_queue))
 
-    def on_connection_half_closed(self, connection: ClientConnection) -> None:
+    def connection_half_closed(self, connection: ClientConnection) -> None:
         """Wait for the client to close its side."""
         self.table.half_close(connection)
 
-    def on_connection_lost(self, connection: ClientConnection) -> None:
+    def connection_lost(self, connection: ClientConnection) -> None:
         """Remove the connection from the table."""
         self.table.remove(connection)
 
--- a/tests/net/test_connection_table.py
+++ b/tests/net/test_connection_table.py
@@ -32,8 +32,14 @@
     """
     table = ConnectionTable(8)
     active = mock_connection(ConnectionState.ACTIVE, 0.0)
-    idle, older_idle = mock_connection(ConnectionState.IDLE, 20.0), mock_connection(ConnectionState.IDLE, 10.0)
-    silent, half_closed = mock_connection(ConnectionState.NEW, 30.0), mock_connection(ConnectionState.IDLE, 40.0)
+    idle, older_idle = (
+        mock_connection(ConnectionState.IDLE, 20.0),
+        mock_connection(ConnectionState.IDLE, 10.0),
+    )
+    silent, half_closed = (
+        mock_connection(ConnectionState.NEW, 30.0),
+        mock_connection(ConnectionState.IDLE, 40.0),
+    )
     for added in (active, idle, older_idle, silent, half_closed):
         table.add(added)
     table.half_close(half_closed)
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -281,7 +281,10 @@
         The response must be complete, and the connection must end without a reset.
         """
         for before in (True, False):
-            with self.subTest(before=before), PATCH("shaletiller.net.connection_limits.NEAR_LIMIT_RATIO", 0.0):
+            with (
+                self.subTest(before=before),
+                PATCH("shaletiller.net.connection_limits.NEAR_LIMIT_RATIO", 0.0),
+            ):
                 client = await self.connect_client()
                 client.send(encode_request(1))
                 await self.play("expect n1 GET 1")
@@ -290,7 +293,9 @@
                 self.assertEqual(await client.read_response(), (200, b"ok"))
                 await client.expect_end()
                 client.close()
-                await wait_until(lambda: not self.gateway.http_server.connections, "the connection to be closed")
+                await wait_until(
+                    lambda: not self.gateway.http_server.connections, "the connection to be closed"
+                )
 
     async def test_half_closed_connections_are_evicted_for_newcomers(self) -> None:
         """Clients keep their half-closed connections open, up to the connection limit.
@@ -348,7 +353,9 @@
         request = encode_request(1)
         client.send(request[:40])
         await wait_until(
-            lambda: [connection.state for connection in listener.table.open] == [ConnectionState.READING_HEAD],
+            lambda: (
+                [connection.state for connection in listener.table.open] == [ConnectionState.READING_HEAD]
+            ),
             "the first half to be read",
         )
         client.send(request[40:])  # unread until this test yields to the event loop
@@ -404,9 +411,7 @@
         await self.serve_request(client, 1)
         with PATCH("shaletiller.net.connection_limits.IDLE_TIMEOUT_MS", 0.0):
             await client.expect_end()
-        self.assertEqual(
-            self.gateway.http_server.connections, 1
-        )  # the gateway waits for the client to close
+        self.assertEqual(self.gateway.http_server.connections, 1)  # the gateway waits for the client to close
         await wait_until(lambda: not self.gateway.http_server.connections, "the timeout of the connection")
 
     async def test_a_request_timeout_response_reaches_a_client_that_is_still_sending(self) -> None:
@@ -423,8 +428,12 @@
             client.send(b"y" * 1000)
             await client.expect_end()
             client.close()
-            await wait_until(lambda: not self.gateway.http_server.connections, "the end of the lingering close")
-        await wait_until(lambda: not self.gateway.http_server._listener._tasks, "the end of the lingering task")
+            await wait_until(
+                lambda: not self.gateway.http_server.connections, "the end of the lingering close"
+            )
+        await wait_until(
+            lambda: not self.gateway.http_server._listener._tasks, "the end of the lingering task"
+        )
 
     async def test_an_unread_rejection_reaches_a_client_that_is_still_sending(self) -> None:
         """Under overload, the request of a new connection is rejected unread; its client is still sending.
@@ -466,7 +475,7 @@
                 await self.serve_request(other, 2)
                 # `other` sends a request when the gateway closes its idle connection.
                 self.hook_half_close(other, lambda client=other: client.send(encode_request(3)), before)
-                # `client` sends one before that: if it is read, it is answered without forwarding it to a node.
+                # `client` sends one before that: if it is read, it is answered but not forwarded to a node.
                 self.hook_call(
                     self.gateway.http_server,
                     "close_after_responses",
@@ -552,7 +561,9 @@
         await asyncio.wait_for(asyncio.gather(*clients), TIMEOUT_S)
         self.assertEqual(len(unread), 8)
         received = set(self.parties["n1"].request_ids)
-        self.assertEqual([request_id for request_id in unread if request_id in received], [])  # forwarded, but without a response
+        self.assertEqual(
+            [request_id for request_id in unread if request_id in received], []
+        )  # forwarded, but without a response
 
     async def test_a_request_whose_head_is_half_received_at_the_end_is_rejected(self) -> None:
         """A client has sent half of a request head when the process shuts down, and then sends the rest.
@@ -569,7 +580,10 @@
             "the first half to be read",
         )
         self.hook_call(
-            self.gateway.http_server._listener._server, "pre_shutdown", lambda: client.send(request[40:]), False
+            self.gateway.http_server._listener._server,
+            "pre_shutdown",
+            lambda: client.send(request[40:]),
+            False,
         )
         await asyncio.wait_for(self.stop(), TIMEOUT_S)
         self.assertEqual((await client.read_response())[0], 503)
@@ -611,7 +625,11 @@
             listener._start_connection(AcceptedSocket(listener.clock.now_ms(), accepted_sock))
 
         self.hook_call(
-            listener, "stop_accepting", start_connection, before=False, is_match=lambda: self.gateway.http_server._closing
+            listener,
+            "stop_accepting",
+            start_connection,
+            before=False,
+            is_match=lambda: self.gateway.http_server._closing,
         )
         self.hook_any_half_close(lambda: late[0].send(encode_request(1)))
         await asyncio.wait_for(self.stop(), TIMEOUT_S)
@@ -666,7 +684,9 @@
         The attempt of the first request must be cancelled, and the second must never be forwarded.
         """
         client = await self.connect_client()
-        client.send(encode_request(1, Request_Timeout_Ms="5000") + encode_request(2, Request_Timeout_Ms="5000"))
+        client.send(
+            encode_request(1, Request_Timeout_Ms="5000") + encode_request(2, Request_Timeout_Ms="5000")
+        )
         await self.play("expect n1 GET 1")
         client.close()
         await self.play("expect n1 closed")
@@ -700,7 +720,9 @@
         client = await self.connect_client()
         await self.play("close n1 listener")
         client.send(encode_request(1, "PUT", b"x", Request_Timeout_Ms="5000"))
-        await wait_until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
+        await wait_until(
+            lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt"
+        )
         client.close()
         await wait_until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await self.parties["n1"].start()  # it is reachable again on the same port
@@ -784,7 +806,9 @@
         flush = commands.encode_command(commands.IoOpcode.FLUSH, queue.next_command_id(), 1)
         sock = queue._stream._writer.transport.get_extra_info("socket")
         # Sent after the last completion, and unread when the first connection ends.
-        self.hook_call(ControllerQueue, "end", lambda: os.write(sock.fileno(), capsules.command_capsule(flush)))
+        self.hook_call(
+            ControllerQueue, "end", lambda: os.write(sock.fileno(), capsules.command_capsule(flush))
+        )
         stop = asyncio.ensure_future(self.gateway.stop())
         await self.play("expect v1 interrupted")
         self.assertIsNone(await queue._stream.receive(TIMEOUT_S))  # end of the stream, without a reset
@@ -796,7 +820,9 @@
         The node, which is reachable again, must not get the command.
         """
         await self.play("close n1 listener\nsend v1 write 5 data")
-        await wait_until(lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt")
+        await wait_until(
+            lambda: self.gateway.engine.counters.get("attempt.connect_failed"), "the failed attempt"
+        )
         await self.play("close v1")
         await wait_until(lambda: not self.gateway.engine.exchanges, "the close was seen")
         await self.parties["n1"].start()
@@ -882,7 +908,9 @@
         self.accept_queued()
         self.accepted.pop().close()
         self.fillers.pop().close()
-        await wait_until(lambda: not self.gateway.http_server.connections, "the client connections to be closed")
+        await wait_until(
+            lambda: not self.gateway.http_server.connections, "the client connections to be closed"
+        )
         self.assertEqual(count_connections_to(self.port), 0)
         self.listener.settimeout(1.5)  # the SYN would be retransmitted after 1 s
         with self.assertRaises(TimeoutError):
@@ -935,7 +963,9 @@
         self.listener.settimeout(1.5)
         with self.assertRaises(TimeoutError):
             await asyncio.get_running_loop().run_in_executor(None, self.listener.accept)
-        self.assertEqual((await client.read_response())[0], 503)  # all nodes share the keys, so a rejection is safe
+        self.assertEqual(
+            (await client.read_response())[0], 503
+        )  # all nodes share the keys, so a rejection is safe
 
     async def first_attempt(self, client: RawClient) -> socket.socket:
         self.accept_queued()
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -20,7 +20,15 @@
 from shaletiller.messages.events import EndpointListUpdate
 from shaletiller.messages.outcomes import Outcome
 from shaletiller.settings.model import DeduplicationScope, Idempotency
-from tests.net.test_endings import PATCH, RaceScenario, RawClient, encode_request, reset, reset_stream, wait_until
+from tests.net.test_endings import (
+    PATCH,
+    RaceScenario,
+    RawClient,
+    encode_request,
+    reset,
+    reset_stream,
+    wait_until,
+)
 from tests.support.scenario import SETTINGS, TIMEOUT_S, VOLUME, Server
 from tests.support.scheduler_host import SAFE, ScriptedGateway
 
@@ -224,7 +232,9 @@
         await client.read_response()
         await asyncio.sleep(0.03)
         # Half a line arrives in the kernel while the connection is taken, before the request is written.
-        self.hook_call(pool, "_is_clean", lambda: os.write(writer.get_extra_info("socket").fileno(), b"HTTP/1.1 20"))
+        self.hook_call(
+            pool, "_is_clean", lambda: os.write(writer.get_extra_info("socket").fileno(), b"HTTP/1.1 20")
+        )
         client.send(encode_request(2, "PUT", b"x"))
         _, second = await self.next_attempt()
         self.assertIsNot(writer, second)
@@ -254,7 +264,9 @@
             return protocol
 
         client = await self.connect_client()
-        with PATCH.object(self.gateway._http._session().connector, "_create_connection", create_with_small_buffer):
+        with PATCH.object(
+            self.gateway._http._session().connector, "_create_connection", create_with_small_buffer
+        ):
             client.send(encode_request(2, "PUT", b"z" * 16000, Request_Timeout_Ms="300"))
             sock, _ = await asyncio.get_running_loop().sock_accept(small)
             self.assertEqual((await client.read_response())[0], 502)
@@ -380,7 +392,9 @@
         self.gateway.engine._scheduler.apply_settings = lambda settings: None
         read, write, _ = EFFECTS["classes"]
         self.reload_settings(classes=[read, {**write, "effect": "read_like"}], domain=SETTINGS["domain"])
-        self.assertEqual((await client.read_response())[0], 502)  # a rejection would claim that it has not run
+        self.assertEqual(
+            (await client.read_response())[0], 502
+        )  # a rejection would claim that it has not run
 
     async def test_timeouts_and_connections_follow_the_new_settings(self) -> None:
         """A reload shortens the idle timeout and disables Retry-After.
@@ -515,7 +529,8 @@
                     agent.current = retry[3]
                 await self.send_full(agent, 5, n1="leaving", n2="active")
                 await wait_until(
-                    lambda events=events: any(isinstance(event, EndpointListUpdate) for event in events), "the list"
+                    lambda events=events: any(isinstance(event, EndpointListUpdate) for event in events),
+                    "the list",
                 )
                 update = next(event for event in events if isinstance(event, EndpointListUpdate))
                 waited_ms = self.gateway._clock.now_ms() - answered_ms
@@ -537,7 +552,8 @@
         agent.current = (await agent.next())[3]
         await self.send_full(agent, 7, n1="leaving", n2="active")
         await wait_until(
-            lambda: len([event for event in events if isinstance(event, EndpointListUpdate)]) == 3, "the lists"
+            lambda: len([event for event in events if isinstance(event, EndpointListUpdate)]) == 3,
+            "the lists",
         )
         self.assertEqual(events[-1].staleness_ms, 0.0)
 
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -461,7 +461,9 @@
         aiohttp's handler must not run for them.
         """
         slow_path = unittest.mock.AsyncMock()
-        with unittest.mock.patch.object(self.gateway.http_server._listener._server, "request_handler", slow_path):
+        with unittest.mock.patch.object(
+            self.gateway.http_server._listener._server, "request_handler", slow_path
+        ):
             await self.play("""
                 send c1 PUT 5 hello
                 expect n1 PUT 5 hello
@@ -596,7 +598,9 @@
         self.enterContext(unittest.mock.patch("shaletiller.net.connection_limits.STARTS_PER_TURN", 1))
         clients = [socket.create_connection(self.gateway.http_server.address) for _ in range(8)]
         for client in clients[:-3]:
-            client.sendall(b"PUT /api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\n\r\n")  # 400 if it is parsed
+            client.sendall(
+                b"PUT /api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\n\r\n"
+            )  # 400 if it is parsed
         clients[0].sendall(b"GET /api?key=0000000000000001 HTTP/1.1\r\n")
         clients[1].close()
         for client in clients[-3:]:
@@ -657,7 +661,9 @@
         await self.play("expect n1 GET 0\nsend n1 200\nexpect c0 200")
         await wait_until(lambda: node.received.qsize() == max_per_node, "the first waiting attempt")
         self.assertEqual(sum(map(len, connector._waiters.values())), 1)
-        self.assertLessEqual(len(node.writers), max_per_node + 1)  # one may not be reusable yet after its response
+        self.assertLessEqual(
+            len(node.writers), max_per_node + 1
+        )  # one may not be reusable yet after its response
 
 
 class MisbehavingClients(Scenario):
@@ -949,9 +955,7 @@
 
         Its list may be older than the list of the new address, and must be ignored.
         """
-        self.gateway.engine._fetch_endpoint_list(
-            FetchEndpointList()
-        )  # not cancelled with the watch
+        self.gateway.engine._fetch_endpoint_list(FetchEndpointList())  # not cancelled with the watch
         agent = await self.party("d")
         calls = [await agent.next() for _ in range(2)]
         agent.current = next(call[3] for call in calls if "since" not in call[0])
--- a/tests/nvme/test_scenarios_nvme.py
+++ b/tests/nvme/test_scenarios_nvme.py
@@ -411,7 +411,9 @@
         The write never ran: it is retried and served.
         """
         await self.play("send c1 PUT 5 a\nexpect b1 write 5 a\nsend b1 not_ready")
-        await wait_until(lambda: not self.gateway.engine.attempts.in_flight, "the outcome of the first attempt")
+        await wait_until(
+            lambda: not self.gateway.engine.attempts.in_flight, "the outcome of the first attempt"
+        )
         await self.play("wait 150\nexpect b1 write 5 a\nsend b1 ok\nexpect c1 200")  # the next round
 
     async def test_a_write_that_the_storage_node_fails_is_not_retried(self) -> None:
