--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -446,9 +446,8 @@
         self.enterContext(PATCH("shaletiller.net.connection_limits.STARTS_PER_TURN", 0))
         listener, client = self.gateway.http_server._listener, await self.connect_client()
         client.send(encode_request(1, "PUT", b"x" * 60000))
-        self.hook_call(
-            listener.overload, "_retry_after_allowed", lambda: client.send(b"y" * 1000)
-        )  # sent after the part of the request that is read
+        # This data is sent after the part of the request that is read.
+        self.hook_call(listener.overload, "_retry_after_allowed", lambda: client.send(b"y" * 1000))
         self.assertEqual((await client.read_response())[0], 503)
         await client.expect_end()
         client.close()
@@ -561,9 +560,8 @@
         await asyncio.wait_for(asyncio.gather(*clients), TIMEOUT_S)
         self.assertEqual(len(unread), 8)
         received = set(self.parties["n1"].request_ids)
-        self.assertEqual(
-            [request_id for request_id in unread if request_id in received], []
-        )  # forwarded, but without a response
+        # No request was forwarded without getting a response.
+        self.assertEqual([request_id for request_id in unread if request_id in received], [])
 
     async def test_a_request_whose_head_is_half_received_at_the_end_is_rejected(self) -> None:
         """A client has sent half of a request head when the process shuts down, and then sends the rest.
@@ -963,9 +961,8 @@
         self.listener.settimeout(1.5)
         with self.assertRaises(TimeoutError):
             await asyncio.get_running_loop().run_in_executor(None, self.listener.accept)
-        self.assertEqual(
-            (await client.read_response())[0], 503
-        )  # all nodes share the keys, so a rejection is safe
+        # All nodes share the keys, so a rejection is safe.
+        self.assertEqual((await client.read_response())[0], 503)
 
     async def first_attempt(self, client: RawClient) -> socket.socket:
         self.accept_queued()
--- a/tests/net/test_endings_nodes.py
+++ b/tests/net/test_endings_nodes.py
@@ -349,9 +349,8 @@
         """
         client, reader = await self.connect_client(), await self.connect_client()
         io_info = f"volume={VOLUME},units=2,shard=3,hosts=1"
-        client.send(
-            encode_request(1, "PUT", b"x", IO_Info=io_info, Request_Timeout_Ms="5000")
-        )  # no node has the shard yet
+        # No node has the shard yet.
+        client.send(encode_request(1, "PUT", b"x", IO_Info=io_info, Request_Timeout_Ms="5000"))
         reader.send(encode_request(2, IO_Info=io_info, Request_Timeout_Ms="5000"))
         await wait_until(lambda: len(self.gateway.engine.exchanges) == 2, "both requests to be queued")
         # Reads may no longer be retried, writes may, and one class is removed.
@@ -392,9 +391,8 @@
         self.gateway.engine._scheduler.apply_settings = lambda settings: None
         read, write, _ = EFFECTS["classes"]
         self.reload_settings(classes=[read, {**write, "effect": "read_like"}], domain=SETTINGS["domain"])
-        self.assertEqual(
-            (await client.read_response())[0], 502
-        )  # a rejection would claim that it has not run
+        # A rejection would claim that the write has not run.
+        self.assertEqual((await client.read_response())[0], 502)
 
     async def test_timeouts_and_connections_follow_the_new_settings(self) -> None:
         """A reload shortens the idle timeout and disables Retry-After.
@@ -417,9 +415,8 @@
         await asyncio.sleep(0.06)
         old = self.parties["n1"].writers.copy()
         await self.serve_request(client, 2)
-        self.assertEqual(
-            len(self.parties["n1"].writers - old), 1
-        )  # the idle connection exceeded the new timeout
+        # The idle connection exceeded the new timeout.
+        self.assertEqual(len(self.parties["n1"].writers - old), 1)
         client.send(
             encode_request(3, IO_Info=f"volume={VOLUME},units=2,shard=9,hosts=1", Request_Timeout_Ms="50")
         )
--- a/tests/net/test_scenarios_http.py
+++ b/tests/net/test_scenarios_http.py
@@ -560,9 +560,8 @@
         New clients must be served, the longest idle connections evicted, and the pending response delivered.
         """
         with unittest.mock.patch.dict(EVICTABLE_AFTER_MS, {ConnectionState.IDLE: 400.0}):
-            await self.play(
-                "send c0 GET 7 timeout=5000\nexpect n1 GET 7"
-            )  # not evicted, because its response is pending
+            # This connection is not evicted, because its response is pending.
+            await self.play("send c0 GET 7 timeout=5000\nexpect n1 GET 7")
             await self.fill("send cN1 GET up\nexpect cN1 200")
             await self.play(
                 "send c999 GET up\nexpect c999 200\nexpect c01 end\n"
@@ -598,9 +597,8 @@
         self.enterContext(unittest.mock.patch("shaletiller.net.connection_limits.STARTS_PER_TURN", 1))
         clients = [socket.create_connection(self.gateway.http_server.address) for _ in range(8)]
         for client in clients[:-3]:
-            client.sendall(
-                b"PUT /api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\n\r\n"
-            )  # 400 if it is parsed
+            # These requests would get a 400 if they were parsed.
+            client.sendall(b"PUT /api?key=0000000000000001 HTTP/1.1\r\nHost: a\r\n\r\n")
         clients[0].sendall(b"GET /api?key=0000000000000001 HTTP/1.1\r\n")
         clients[1].close()
         for client in clients[-3:]:
@@ -661,9 +659,8 @@
         await self.play("expect n1 GET 0\nsend n1 200\nexpect c0 200")
         await wait_until(lambda: node.received.qsize() == max_per_node, "the first waiting attempt")
         self.assertEqual(sum(map(len, connector._waiters.values())), 1)
-        self.assertLessEqual(
-            len(node.writers), max_per_node + 1
-        )  # one may not be reusable yet after its response
+        # One connection may not be reusable yet after its response.
+        self.assertLessEqual(len(node.writers), max_per_node + 1)
 
 
 class MisbehavingClients(Scenario):
