--- a/tests/policy/test_other_customers.py
+++ b/tests/policy/test_other_customers.py
@@ -165,7 +165,7 @@
                 IO_Info=f"volume={volume(tenant, self.renamed)},units=2,shard={shard},hosts=1",
             )
         )
-        status, body = await client.answer()
+        status, body = await client.read_response()
         client.close()
         return status, body if status == 200 else b"", self.sent.get(number, 0)
 
@@ -222,7 +222,7 @@
         for number, timeout_ms in enumerate(("60001", "88719", "228552", "86400000", "172800000")):
             with self.subTest(timeout_ms=timeout_ms):
                 await asyncio.wait_for(
-                    self.served(await self.wire(), number, Request_Timeout_Ms=timeout_ms), 5
+                    self.serve_request(await self.connect_client(), number, Request_Timeout_Ms=timeout_ms), 5
                 )
 
 
