--- a/shaletiller/lab/__init__.py
+++ b/shaletiller/lab/__init__.py
@@ -1,11 +1,12 @@
-"""The product's own laboratory: fleets of gateways with faults, as real processes or on a virtual clock.
+"""Fault injection tests and benchmarks for fleets of gateways.
 
-No gateway loads any of it.  `python -m shaletiller.lab --help` lists the commands.
+Fleets run as real processes, or as a simulation on a virtual clock.  No gateway imports any of these modules.
+`python -m shaletiller.lab --help` lists the commands.
 
 On a virtual clock: `virtual_network` (clock, links), `virtual_gateway` and `virtual_fleet`, `fault_schedules`
 (seeded faults and their checks), `limit_usage` (checks of a limit), `fleet_simulation` (many schedules).
 
-With real processes: `gateway_processes`, `faulty_links`, `storage_nodes` and `stand_in_discovery`,
-`http_messages`, `load_generator`, all put together by `fleet_testbed`; `scenario` reads the faults,
+With real processes: `gateway_processes`, `faulty_links`, `storage_nodes`, `stand_in_discovery`,
+`http_messages` and `load_generator`, which `fleet_testbed` combines; `scenario` reads the faults,
 `fleet_scenarios` and `discovery_scenarios` check `guarantees`, `gateway_benchmark` measures cost.
 """
--- a/shaletiller/lab/__main__.py
+++ b/shaletiller/lab/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m shaletiller.lab`: the laboratory's commands."""
+"""Entry point of `python -m shaletiller.lab`."""
 
 from __future__ import annotations
 
--- a/shaletiller/lab/cli.py
+++ b/shaletiller/lab/cli.py
@@ -1,6 +1,6 @@
-"""The laboratory's commands.
+"""Command line of the laboratory.
 
-Exit codes: 0 all guarantees hold; 1 one does not; 2 wrong usage; 3 the run could not be carried out.
+Exit codes: 0 if all guarantees hold, 1 if one is violated, 2 for wrong usage, 3 if it could not run.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
     add_completion=False,
     no_args_is_help=True,
     pretty_exceptions_enable=False,
-    help="The laboratory: fleets of gateways, with faults of their links, disks and processes.",
+    help="Test fleets of gateways under faults of their links, disks and processes.",
 )
-Json = Annotated[Path | None, typer.Option("--json", help="write the report to this file")]
-Seed = Annotated[int, typer.Option(help="seed of all random draws")]
+ReportPath = Annotated[Path | None, typer.Option("--json", help="write a JSON report to this file")]
+Seed = Annotated[int, typer.Option(help="seed of the random number generators")]
 
 
-def show(outcome: Outcome, path: Path | None) -> None:
-    """Print the outcome of a run, write its report, and end the command.
+def report_outcome(outcome: Outcome, path: Path | None) -> None:
+    """Print the outcome of a run, write its report, and exit.
 
-    :param path: of the report; None for none.
+    :param path: the file of the JSON report; None writes no file.
     :raises typer.Exit: always, with the exit code.
     """
     for line in [*outcome.course, *outcome.lines()]:
@@ -60,8 +60,8 @@
 def run_scenario(run: Callable[[], Coroutine[Any, Any, Outcome]]) -> Outcome:
     """Run a scenario on real processes.
 
-    :param run: loads the scenario and returns the run.
-    :raises typer.Exit: if the scenario cannot be read, or its fleet does not start.
+    :param run: loads the scenario, and returns the coroutine that runs it.
+    :raises typer.Exit: if the scenario cannot be read, or the fleet does not start.
     """
     try:
         return asyncio.run(run())
@@ -74,7 +74,7 @@
 
 
 def write_json(report: dict[str, Any], path: Path | None) -> None:
-    """Write a report; None for none."""
+    """Write a JSON report to a file, unless `path` is None."""
     if path is not None:
         path.write_text(json.dumps(report, indent=1) + "\n")
 
@@ -87,11 +87,11 @@
     faults: Annotated[str, typer.Option(help=f"{', '.join(scenario.names())}, or a file")] = "none",
     carrier: Annotated[str, typer.Option(help="datagrams or tcp")] = "datagrams",
     tables: Annotated[
-        bool, typer.Option("--tables", help="replicate the granters' tables; needs tcp")
+        bool, typer.Option("--tables", help="replicate the granters' lease tables; needs --carrier tcp")
     ] = False,
-    to: Json = None,
+    report_path: ReportPath = None,
 ) -> None:
-    """Run gateways that enforce a limit and share health data, with faults between them."""
+    """Run gateways that share a limit and health records, with faults between them."""
     if carrier not in ("datagrams", "tcp"):
         raise typer.BadParameter("must be datagrams or tcp", param_hint="--carrier")
     if tables and carrier != "tcp":
@@ -99,7 +99,7 @@
     outcome = run_scenario(
         lambda: fleet_scenarios.run(gateways, seconds, seed, scenario.load(faults), carrier, tables=tables)
     )
-    show(outcome, to)
+    report_outcome(outcome, report_path)
 
 
 @app.command()
@@ -109,9 +109,9 @@
     seed: Seed = 1,
     faults: Annotated[str, typer.Option(help=f"{', '.join(scenario.names('promises'))}, or a file")] = "none",
     rate: Annotated[
-        float, typer.Option(min=1, help="replicated writes of each gateway, in units a second")
+        float, typer.Option(min=1, help="replicated writes at each gateway, in units per second")
     ] = 40.0,
-    to: Json = None,
+    report_path: ReportPath = None,
 ) -> None:
     """Run gateways with stores that replicate writes, with faults between them."""
     outcome = run_scenario(
@@ -119,7 +119,7 @@
             gateways, seconds, seed, scenario.load(faults, "promises"), rate=rate
         )
     )
-    show(outcome, to)
+    report_outcome(outcome, report_path)
 
 
 @app.command()
@@ -130,27 +130,27 @@
     faults: Annotated[
         str, typer.Option(help=f"{', '.join(scenario.names('discovery'))}; or a file")
     ] = "none",
-    alone: Annotated[bool, typer.Option("--alone", help="run each gateway without the fleet part")] = False,
-    to: Json = None,
+    alone: Annotated[bool, typer.Option("--alone", help="run the gateways without a fleet")] = False,
+    report_path: ReportPath = None,
 ) -> None:
-    """Run gateways whose discovery fails, sends wrong lists, or loses changes."""
+    """Run gateways whose discovery service fails, sends wrong endpoint lists, or loses changes."""
     outcome = run_scenario(
         lambda: discovery_scenarios.run(
             gateways, seconds, seed, scenario.load(faults, "discovery"), fleet_enabled=not alone
         )
     )
-    show(outcome, to)
+    report_outcome(outcome, report_path)
 
 
 @app.command()
 def cut(
-    folder: Annotated[Path, typer.Argument(metavar="DIR", help="where the store is written")],
+    folder: Annotated[Path, typer.Argument(metavar="DIR", help="directory for the store")],
     seed: Seed = 1,
-    step: Annotated[int, typer.Option(min=1, help="try one byte in so many")] = 1,
-    to: Json = None,
+    step: Annotated[int, typer.Option(min=1, help="test only every Nth byte")] = 1,
+    report_path: ReportPath = None,
 ) -> None:
     """Truncate a store's files at every byte, flip bits in every byte, and interrupt a compaction."""
-    show(crash_cut.run(folder, seed, step), to)
+    report_outcome(crash_cut.run(folder, seed, step), report_path)
 
 
 @app.command("promises-sim")
@@ -159,9 +159,9 @@
     schedules: Annotated[int, typer.Option(min=0)] = 1000,
     seed: Seed = 1,
     small: Annotated[
-        bool, typer.Option(help="also explore every order of events of three members, in minutes")
+        bool, typer.Option(help="also explore every order of events among three members; takes minutes")
     ] = False,
-    to: Json = None,
+    report_path: ReportPath = None,
 ) -> None:
     """Test the replication protocol on a virtual clock, and explore small cases exhaustively."""
     report: dict[str, Any] = {}
@@ -173,81 +173,84 @@
             typer.echo(line)
     if small:
         explorations = state_space_explorer.explore_all(DEFAULT_TASKS)
-        report["small"] = [each.to_json() for each in explorations]
-        violated = violated or any(each.violation for each in explorations)
-        for line in [line for each in explorations for line in each.lines()]:
+        report["small"] = [exploration.to_json() for exploration in explorations]
+        violated = violated or any(exploration.violation for exploration in explorations)
+        for line in [line for exploration in explorations for line in exploration.lines()]:
             typer.echo(line)
-    write_json(report, to)
+    write_json(report, report_path)
     raise typer.Exit(EXIT_VIOLATED if violated else 0)
 
 
 @app.command("promises-cost")
 def promises_cost(
-    seconds: Annotated[float, typer.Option(min=2, max=600, help="of load in each turn")] = 8.0,
+    seconds: Annotated[float, typer.Option(min=2, max=600, help="seconds of load in each turn")] = 8.0,
     turns: Annotated[int, typer.Option(min=1)] = 3,
     seed: Seed = 1,
-    records: Annotated[int, typer.Option(help="the largest store that is opened")] = 1_000_000,
-    held: Annotated[int, typer.Option(help="outcomes in the fleet when a machine is lost")] = 5_000,
-    plot: Annotated[Path | None, typer.Option(help="draw the results to this file (PNG)")] = None,
-    to: Json = None,
+    records: Annotated[int, typer.Option(help="records in the largest store to open")] = 1_000_000,
+    held: Annotated[
+        int, typer.Option(help="write outcomes stored in the fleet when a machine is lost")
+    ] = 5_000,
+    plot: Annotated[Path | None, typer.Option(help="plot the results to this PNG file")] = None,
+    report_path: ReportPath = None,
 ) -> None:
-    """Measure the cost of replicated writes, group commit, recovery, and the repair of a lost machine."""
+    """Measure the cost of replicated writes, group commit, recovery, and the repair of a lost gateway."""
     report = asyncio.run(replication_benchmark.measure(seconds, seed, turns, records, held))
     for line in report.lines():
         typer.echo(line)
-    write_json(report.to_json(), to)
+    write_json(report.to_json(), report_path)
     if plot is not None:
-        replication_benchmark_report.draw(report, plot)
+        replication_benchmark_report.plot_report(report, plot)
 
 
 @app.command("fleet-sim")
-def sim(
+def fleet_sim(
     gateways: Annotated[int, typer.Option(min=3, max=2000)] = 5,
     schedules: Annotated[int, typer.Option(min=0)] = 1000,
     seed: Seed = 1,
     sizes: Annotated[
-        str, typer.Option(help="fleet sizes to measure traffic and propagation at, such as 5,40,200")
+        str,
+        typer.Option(help="fleet sizes for which to measure traffic and propagation time, such as 5,40,200"),
     ] = "",
     loss: Annotated[float, typer.Option(min=0, max=0.9)] = 0.0,
     plot: Annotated[
-        Path | None, typer.Option(help="draw traffic and propagation by size to this file (PNG)")
+        Path | None, typer.Option(help="plot traffic and propagation time by fleet size to this PNG file")
     ] = None,
-    to: Json = None,
+    report_path: ReportPath = None,
 ) -> None:
-    """Test the fleet code on a virtual clock: schedules of faults, and fleets of any size."""
-    found = fleet_simulation.study(
-        gateways, schedules, seed, [int(each) for each in sizes.split(",") if each], loss
+    """Test the fleet code on a virtual clock, with random faults and in fleets of any size."""
+    report = fleet_simulation.study(
+        gateways, schedules, seed, [int(size) for size in sizes.split(",") if size], loss
     )
-    for line in fleet_simulation.lines(found):
+    for line in fleet_simulation.lines(report):
         typer.echo(line)
-    write_json(found, to)
+    write_json(report, report_path)
     if plot is not None:
-        fleet_simulation.draw(found, plot)
-    raise typer.Exit(EXIT_VIOLATED if found["schedules"].get("broken") else 0)
+        fleet_simulation.plot_report(report, plot)
+    raise typer.Exit(EXIT_VIOLATED if report["schedules"].get("broken") else 0)
 
 
 @app.command("fleet-cost")
 def fleet_cost(
     gateways: Annotated[int, typer.Option(min=2, max=20)] = 5,
-    seconds: Annotated[float, typer.Option(min=1, max=600, help="of load in each turn")] = 4.0,
+    seconds: Annotated[float, typer.Option(min=1, max=600, help="seconds of load in each turn")] = 4.0,
     turns: Annotated[int, typer.Option(min=1)] = 3,
     seed: Seed = 1,
-    to: Json = None,
+    report_path: ReportPath = None,
 ) -> None:
-    """Measure what the fleet part costs a gateway, in alternating turns without and with it."""
-    found = asyncio.run(gateway_benchmark.measure(gateways, seconds, seed, turns))
-    for line in gateway_benchmark.lines(found):
+    """Measure the cost of the fleet code in a gateway, in alternating turns with it disabled and enabled."""
+    report = asyncio.run(gateway_benchmark.measure(gateways, seconds, seed, turns))
+    for line in gateway_benchmark.lines(report):
         typer.echo(line)
-    write_json(found, to)
+    write_json(report, report_path)
 
 
 @app.command("variant")
 def site_variant(
     base: Annotated[Path, typer.Option(help="the site file to vary (TOML)")],
-    out: Annotated[Path, typer.Option(help="where the variant is written")],
+    out: Annotated[Path, typer.Option(help="file for the variant")],
     seed: Seed = 1,
 ) -> None:
-    """Write a site file in which all that a customer may choose is drawn anew."""
+    """Write a variant of a site file, with random values for all settings that a customer may choose."""
     try:
         site_variants.write(base, seed, out)
     except (site_variants.VariantError, OSError) as error:
@@ -259,8 +262,8 @@
     """Run the command line, and return its exit code."""
     try:
         app(standalone_mode=True)
-    except SystemExit as ended:
-        return int(ended.code or 0)
+    except SystemExit as system_exit:
+        return int(system_exit.code or 0)
     return 0
 
 
--- a/shaletiller/lab/fleet_scenarios.py
+++ b/shaletiller/lab/fleet_scenarios.py
@@ -1,9 +1,9 @@
 """`lab fleet`: real gateway processes that share a limit and health records, with faults between them.
 
-One volume has a strict limit.  Its clients request more than that through one gateway (g1) all the time, and
-through the others in surges; other volumes have no limit and reach all nodes through all gateways.  An
-operator ejects one node at one gateway.  Only what stand-in nodes and clients recorded is checked; the
-gateways' own counters are shown.
+One volume has a strict limit.  Its clients continuously send more requests than the limit allows through one
+gateway (g1), and surges of requests through the others.  Other volumes have no limit and reach all nodes
+through all gateways.  An operator ejects one node at one gateway.  The checks use only the records of the
+stand-in nodes and the clients; the gateways' own counters are reported but not checked.
 """
 
 from __future__ import annotations
@@ -30,25 +30,28 @@
 from shaletiller.lab.scenario import FaultVerb, Scenario
 from shaletiller.lab.storage_nodes import Attempt
 
-# The gateway with most of the limited volume's requests.
-LEAD = "g1"
-# A health record reaches all connected gateways within the first, and within the second where three messages
-# in ten are lost.
-SPREAD_MS = 500.0
-LOSSY_SPREAD_MS = 2_000.0
-# The utilization of a limit is checked over no shorter time: a burst at either end would count too much.
-SHORTEST_SPAN_MS = 6_000.0
-# Bounds of the utilization, with losses and without.
+# The gateway that receives most of the limited volume's requests.
+BUSIEST_GATEWAY = "g1"
+# Maximum time until a health record reaches all connected gateways: without losses, and with 30% of the
+# messages lost.
+PROPAGATION_MS = 500.0
+LOSSY_PROPAGATION_MS = 2_000.0
+# Shortest span over which the utilization of a limit is checked: a burst at either end of a shorter one would
+# distort the result.
+MIN_SPAN_MS = 6_000.0
+# Minimum utilization of the limit, without and with message loss.
 MIN_UTILIZATION, MIN_LOSSY_UTILIZATION = 0.95, 0.6
-# Parts of the run between which the other gateways have surges, and the length of one.
-SURGES = 0.33, 0.54
+# The surges at the other gateways begin between these two fractions of the run.
+SURGE_FRACTIONS = 0.33, 0.54
+# Maximum length of a surge.
 SURGE_MS = 1_200.0
-# After the fleet's start, beyond the wait for pledges: gateways meet and get their first leases.
-MEET_MS = 1_000.0
-# A gateway that was down within this of a request need not have answered it.
+# Time after the pledge wait at startup in which the gateways join the fleet and receive their first leases.
+JOIN_MS = 1_000.0
+# A request may remain unanswered if its gateway was down within this time before or after it.
 DOWN_MARGIN_MS = 50.0
-# A partition leaves a gateway a usable own part for at least this, or its use is not checked.
-SHORTEST_PARTITION_MS = 1_000.0
+# Minimum time in which a partitioned gateway can use its own share; if it is shorter, the utilization is not
+# checked.
+MIN_PARTITION_MS = 1_000.0
 REPLICATED_TABLES = """store {
     dir "FOLDER/store"
 }
@@ -59,26 +62,36 @@
 """
 
 
-def streams(rig: FleetTestbed, surges: bool) -> list[Stream]:
-    """Return the limited volume's requests, and those of other volumes to all nodes through all gateways.
+def streams(testbed: FleetTestbed, surges: bool) -> list[Stream]:
+    """Return streams for the limited volume, and for other volumes on all nodes through all gateways.
 
-    :param surges: whether other gateways than the lead have requests of the limited volume.
+    :param surges: whether surges of requests for the limited volume also reach the other gateways.
     """
-    draw = random.Random(f"streams {rig.seed}")
-    end_ms = rig.seconds * 1000
-    found = [
-        Stream(LEAD, LIMITED_VOLUME, "capped", "read", 1.7 * LIMIT.rate, 0.0, end_ms, SHARDS, rig.gateways)
+    rng = random.Random(f"streams {testbed.seed}")
+    end_ms = testbed.seconds * 1000
+    result = [
+        Stream(
+            BUSIEST_GATEWAY,
+            LIMITED_VOLUME,
+            "capped",
+            "read",
+            1.7 * LIMIT.rate,
+            0.0,
+            end_ms,
+            SHARDS,
+            testbed.gateways,
+        )
     ]
-    for number, name in enumerate(rig.names):
-        found.append(Stream(name, 100 + number, "free", "read", 180.0, 0.0, end_ms, SHARDS + 1, 1))
-        found.append(Stream(name, 200 + number, "free", "write", 30.0, 0.0, end_ms, SHARDS, 1, write=True))
-        if name != LEAD and surges:
-            found += [_surge(rig, name, draw.uniform(*SURGES) * end_ms) for _ in range(2)]
-    return found
+    for number, name in enumerate(testbed.names):
+        result.append(Stream(name, 100 + number, "free", "read", 180.0, 0.0, end_ms, SHARDS + 1, 1))
+        result.append(Stream(name, 200 + number, "free", "write", 30.0, 0.0, end_ms, SHARDS, 1, write=True))
+        if name != BUSIEST_GATEWAY and surges:
+            result += [_surge(testbed, name, rng.uniform(*SURGE_FRACTIONS) * end_ms) for _ in range(2)]
+    return result
 
 
-def _surge(rig: FleetTestbed, name: str, begin_ms: float) -> Stream:
-    span_ms = min(SURGE_MS, 0.06 * rig.seconds * 1000)
+def _surge(testbed: FleetTestbed, name: str, begin_ms: float) -> Stream:
+    span_ms = min(SURGE_MS, 0.06 * testbed.seconds * 1000)
     return Stream(
         name,
         LIMITED_VOLUME,
@@ -88,7 +101,7 @@
         begin_ms,
         begin_ms + span_ms,
         SHARDS,
-        rig.gateways,
+        testbed.gateways,
     )
 
 
@@ -104,38 +117,40 @@
     """Run a fleet through a scenario, and check its guarantees.
 
     :param carrier: `datagrams` or `tcp`.
-    :param folder: for the gateways' files; by default a temporary one.
+    :param folder: directory for the gateways' files; by default a temporary one.
     :param tables: whether lease tables are replicated.
     """
     with tempfile.TemporaryDirectory() as temporary:
         operator = REPLICATED_TABLES if tables else ""
-        rig = FleetTestbed(gateways, seed, seconds, folder or Path(temporary), carrier, operator=operator)
+        testbed = FleetTestbed(gateways, seed, seconds, folder or Path(temporary), carrier, operator=operator)
         try:
-            await rig.start()
-            load = await rig.run(streams(rig, surges=scenario.span()[0] < 1), scenario.faults)
-            stats = await rig.stats()
-            usage = {name: process.usage() for name, process in rig.processes.items() if process.alive}
+            await testbed.start()
+            load = await testbed.run(streams(testbed, surges=scenario.span()[0] < 1), scenario.faults)
+            stats = await testbed.stats()
+            usage = {name: process.usage() for name, process in testbed.processes.items() if process.alive}
         finally:
-            await rig.stop()
-        return judge(rig, load, scenario, stats, usage)
+            await testbed.stop()
+        return check_guarantees(testbed, load, scenario, stats, usage)
 
 
-def judge(
-    rig: FleetTestbed,
+def check_guarantees(
+    testbed: FleetTestbed,
     load: LoadGenerator,
     scenario: Scenario,
     stats: dict[str, dict[str, int]],
     usage: dict[str, tuple[float, float]],
 ) -> Outcome:
-    """Check the guarantees from the records of nodes and clients.
+    """Check the guarantees against the records of nodes and clients.
 
-    :param stats: the counters of each gateway, which are only shown.
-    :param usage: CPU seconds and megabytes of each gateway, which are only shown.
+    :param stats: the counters of each gateway, which are reported but not checked.
+    :param usage: CPU seconds and megabytes of each gateway, which are reported but not checked.
     """
-    out = Outcome(f"fleet {scenario.name}", rig.seed)
-    attempts = sorted((each for node in rig.nodes for each in node.attempts), key=lambda each: each.at_ms)
-    spends = _spends_of_limited_volume(rig, load, attempts)
-    out.guarantees.append(
+    outcome = Outcome(f"fleet {scenario.name}", testbed.seed)
+    attempts = sorted(
+        (record for node in testbed.nodes for record in node.attempts), key=lambda record: record.at_ms
+    )
+    spends = _spends_of_limited_volume(testbed, load, attempts)
+    outcome.guarantees.append(
         Guarantee(
             "over the strict limit",
             0.0,
@@ -144,57 +159,61 @@
             note=f"{len(spends)} requests, {LIMIT.rate:g} units/s, burst {LIMIT.burst:g}",
         )
     )
-    phases = _Phases.of(rig, scenario)
-    _check_utilization(out, spends, phases)
-    _check_partitioned_lead(out, rig, spends)
-    _check_staleness(out, rig, attempts, LOSSY_SPREAD_MS if phases.lossy else SPREAD_MS)
-    _check_writes(out, rig, load)
-    unanswered = unanswered_requests(rig, load)
-    out.guarantees.append(check_unanswered(rig, load, unanswered))
-    out.figures = {
-        "statuses": count(str(each.status) for each in load.requests),
+    phases = _Phases.from_scenario(testbed, scenario)
+    _check_utilization(outcome, spends, phases)
+    _check_partitioned_gateway(outcome, testbed, spends)
+    _check_staleness(outcome, testbed, attempts, LOSSY_PROPAGATION_MS if phases.lossy else PROPAGATION_MS)
+    _check_writes(outcome, testbed, load)
+    unanswered = unanswered_requests(testbed, load)
+    outcome.guarantees.append(check_unanswered(testbed, load, unanswered))
+    outcome.figures = {
+        "statuses": count(str(record.status) for record in load.requests),
         "units_limited": sum(spend.units for spend in spends),
         "stats": stats,
         "cpu_s_and_mb": usage,
-        "silent": [f"{each.gateway} {each.why}" for each in unanswered[:5]],
+        "silent": [f"{record.gateway} {record.why}" for record in unanswered[:5]],
     }
-    out.course = rig.course_lines()
-    return out
+    outcome.course = testbed.course_lines()
+    return outcome
 
 
-def check_unanswered(rig: FleetTestbed, load: LoadGenerator, unanswered: list[ClientRequest]) -> Guarantee:
-    """Every request whose gateway is up gets an answer."""
+def check_unanswered(
+    testbed: FleetTestbed, load: LoadGenerator, unanswered: list[ClientRequest]
+) -> Guarantee:
+    """Check that every request whose gateway is up gets an answer."""
     return Guarantee(
         "unanswered",
         0,
         len(unanswered),
         note=f"{len(load.requests)} requests",
-        violations=tuple(each.story(rig.began_ms) for each in unanswered),
+        violations=tuple(request.story(testbed.began_ms) for request in unanswered),
     )
 
 
-def unanswered_requests(rig: FleetTestbed, load: LoadGenerator) -> list[ClientRequest]:
-    """Return the requests without an answer whose gateway was up all the time."""
+def unanswered_requests(testbed: FleetTestbed, load: LoadGenerator) -> list[ClientRequest]:
+    """Return the unanswered requests whose gateway was up during the entire request."""
     return [
-        each
-        for each in load.requests
-        if each.status == 0
-        and not rig.processes[each.gateway].was_down(
-            each.due_ms - DOWN_MARGIN_MS, each.ended_ms + DOWN_MARGIN_MS
+        request
+        for request in load.requests
+        if request.status == 0
+        and not testbed.processes[request.gateway].was_down(
+            request.due_ms - DOWN_MARGIN_MS, request.ended_ms + DOWN_MARGIN_MS
         )
     ]
 
 
-def _spends_of_limited_volume(rig: FleetTestbed, load: LoadGenerator, attempts: list[Attempt]) -> list[Spend]:
-    """Return the units of the limited volume; a request counts once, at its first attempt."""
-    requests = {each.request: each for each in load.requests}
+def _spends_of_limited_volume(
+    testbed: FleetTestbed, load: LoadGenerator, attempts: list[Attempt]
+) -> list[Spend]:
+    """Return the units spent by the limited volume; a request counts once, at its first attempt."""
+    requests = {client_request.request: client_request for client_request in load.requests}
     first_ms: dict[str, float] = {}
     for attempt in attempts:
         first_ms.setdefault(attempt.request, attempt.at_ms)
     return [
         Spend(
-            at_ms - rig.began_ms,
-            rig.names.index(requests[request].gateway),
+            at_ms - testbed.began_ms,
+            testbed.names.index(requests[request].gateway),
             "capped",
             float(requests[request].units),
         )
@@ -203,24 +222,24 @@
     ]
 
 
-def _check_writes(out: Outcome, rig: FleetTestbed, load: LoadGenerator) -> None:
-    """No write is executed more than once, on all nodes together."""
-    writes = {each.request for each in load.requests if each.stream.write}
+def _check_writes(outcome: Outcome, testbed: FleetTestbed, load: LoadGenerator) -> None:
+    """Check that no write is executed more than once, over all nodes."""
+    writes = {client_request.request for client_request in load.requests if client_request.stream.write}
     runs: dict[str, int] = {}
-    for node in rig.nodes:
+    for node in testbed.nodes:
         for request, times in node.runs.items():
             runs[request] = runs.get(request, 0) + times
     repeated = [request for request, times in runs.items() if times > 1 and request in writes]
-    out.guarantees.append(Guarantee("writes run twice", 0, len(repeated), note=f"{len(writes)} writes"))
+    outcome.guarantees.append(Guarantee("writes run twice", 0, len(repeated), note=f"{len(writes)} writes"))
 
 
 @dataclass(slots=True, frozen=True)
 class _Phases:
-    """Times of a run.
+    """Phases of a run, by their times in the run.
 
-    :param ready_ms: from then on the limit is distributed by demand.
-    :param first_fault_ms: the end of the run where there are no faults.
-    :param lossy: links lose messages for the entire run.
+    :param ready_ms: when the distribution of the limit by demand begins.
+    :param first_fault_ms: when the first fault begins; the end of the run if there are no faults.
+    :param lossy: whether links lose messages during the entire run.
     """
 
     ready_ms: float
@@ -230,43 +249,43 @@
     lossy: bool
 
     @classmethod
-    def of(cls, rig: FleetTestbed, scenario: Scenario) -> _Phases:
-        end_ms = rig.seconds * 1000
-        first_ms, last_ms = (part * end_ms for part in scenario.span())
-        ready_ms = LeaseTiming(TERM_MS, LEASE_MS, DRIFT).pledge_wait_ms + MEET_MS
+    def from_scenario(cls, testbed: FleetTestbed, scenario: Scenario) -> _Phases:
+        end_ms = testbed.seconds * 1000
+        first_ms, last_ms = (fraction * end_ms for fraction in scenario.span())
+        ready_ms = LeaseTiming(TERM_MS, LEASE_MS, DRIFT).pledge_wait_ms + JOIN_MS
         lossy = any(fault.verb is FaultVerb.WORSEN for fault in scenario.faults)
         return cls(ready_ms, min(first_ms, end_ms), last_ms, end_ms, lossy)
 
 
 def _utilization(spends: list[Spend], begin_ms: float, end_ms: float) -> float:
-    """Return the part of the limit that was spent in a span, 0 in an empty one."""
+    """Return the units spent in a span as a fraction of the limit."""
     units = sum(spend.units for spend in spends if begin_ms <= spend.at_ms < end_ms)
     return units / (LIMIT.rate * (end_ms - begin_ms) / 1000)
 
 
-def _check_utilization(out: Outcome, spends: list[Spend], phases: _Phases) -> None:
-    """The limit is used.
+def _check_utilization(outcome: Outcome, spends: list[Spend], phases: _Phases) -> None:
+    """Check that the limit is utilized.
 
-    Without faults, or with losses, the entire run is checked; otherwise the time from two lease terms after
-    the last fault on.
+    Without faults, or with message loss, the check covers the entire run; otherwise it begins two lease terms
+    after the last fault.
     """
     ready_ms, end_ms = phases.ready_ms, phases.end_ms
     at_least = MIN_LOSSY_UTILIZATION if phases.lossy else MIN_UTILIZATION
     if phases.lossy or phases.first_fault_ms >= end_ms:
-        if end_ms - ready_ms >= SHORTEST_SPAN_MS:
-            out.guarantees.append(
+        if end_ms - ready_ms >= MIN_SPAN_MS:
+            outcome.guarantees.append(
                 Guarantee(
                     f"use of the limit {'with losses' if phases.lossy else 'without faults'}",
                     at_least,
                     _utilization(spends, ready_ms, end_ms),
                     "at least",
-                    note="of even parts one gateway would use 0.2",
+                    note="with equal shares, one gateway would use 0.2",
                 )
             )
         return
-    healed_ms = max(SURGES[1] * end_ms + SURGE_MS, phases.last_fault_ms) + 2 * TERM_MS
-    if end_ms - healed_ms >= SHORTEST_SPAN_MS / 2:
-        out.guarantees.append(
+    healed_ms = max(SURGE_FRACTIONS[1] * end_ms + SURGE_MS, phases.last_fault_ms) + 2 * TERM_MS
+    if end_ms - healed_ms >= MIN_SPAN_MS / 2:
+        outcome.guarantees.append(
             Guarantee(
                 "use two terms after healing",
                 at_least,
@@ -276,86 +295,91 @@
         )
 
 
-def _check_partitioned_lead(out: Outcome, rig: FleetTestbed, spends: list[Spend]) -> None:
-    """The gateway with most of the traffic uses at least its own part while it is cut off.
+def _check_partitioned_gateway(outcome: Outcome, testbed: FleetTestbed, spends: list[Spend]) -> None:
+    """Check that the busiest gateway uses at least its own share of the limit while it is cut off.
 
-    From when what it had pledged of that part has expired.
+    The check begins when its pledges of that share have expired.
     """
     cut_ms = None
     settle_ms = LeaseTiming(TERM_MS, LEASE_MS, DRIFT).pledge_wait_ms + 200.0
-    for at_ms, text in rig.course:
-        if LEAD in _gateways_cut(rig, text) and cut_ms is None:
+    for at_ms, text in testbed.course:
+        if BUSIEST_GATEWAY in _gateways_cut(testbed, text) and cut_ms is None:
             cut_ms = at_ms
         elif (
             text.split()[0] == FaultVerb.HEAL
             and cut_ms is not None
-            and at_ms - cut_ms - settle_ms >= SHORTEST_PARTITION_MS
+            and at_ms - cut_ms - settle_ms >= MIN_PARTITION_MS
         ):
-            own = [spend for spend in spends if rig.names[spend.member] == LEAD]
-            out.guarantees.append(
+            own = [spend for spend in spends if testbed.names[spend.member] == BUSIEST_GATEWAY]
+            outcome.guarantees.append(
                 Guarantee(
-                    f"use through {LEAD} while cut off",
-                    MIN_UTILIZATION / rig.gateways,
+                    f"use through {BUSIEST_GATEWAY} while cut off",
+                    MIN_UTILIZATION / testbed.gateways,
                     _utilization(own, cut_ms + settle_ms, at_ms),
                     "at least",
-                    note="its own part, less 5%",
+                    note="its own share, less 5%",
                 )
             )
             return
 
 
-def _gateways_cut(rig: FleetTestbed, text: str) -> set[str]:
-    """Return the gateways that a fault of the course cuts off."""
+def _gateways_cut(testbed: FleetTestbed, text: str) -> set[str]:
+    """Return the gateways that a fault, as recorded in the course, cuts off."""
     verb, *words = text.split()
-    return {rig.gateway_named(word) for word in words if "=" not in word} if verb == FaultVerb.CUT else set()
+    return (
+        {testbed.gateway_named(word) for word in words if "=" not in word} if verb == FaultVerb.CUT else set()
+    )
 
 
-def _check_staleness(out: Outcome, rig: FleetTestbed, attempts: list[Attempt], bound_ms: float) -> None:
-    """No gateway sends to a node for longer than a bound after an operator's command ejected it.
+def _check_staleness(
+    outcome: Outcome, testbed: FleetTestbed, attempts: list[Attempt], bound_ms: float
+) -> None:
+    """Check that gateways stop sending to a node within a bound after an operator's command ejects it.
 
-    A gateway that was cut off or down in the time after the command is not judged.
+    Gateways that were cut off or down within the bound are not checked.
     """
-    for ban in rig.bans:
+    for ban in testbed.bans:
         bound_end_ms = ban.since_ms + bound_ms
         down = {
             name
-            for name in rig.names
-            if rig.processes[name].was_down(ban.since_ms, min(ban.until_ms, bound_end_ms))
+            for name in testbed.names
+            if testbed.processes[name].was_down(ban.since_ms, min(ban.until_ms, bound_end_ms))
         }
-        apart = down | _cut_during(rig, ban.since_ms, bound_end_ms)
-        late_ms = _late_ms(rig, ban, attempts)
-        judged = [late_ms[name] for name in rig.names if name not in apart]
-        out.guarantees.append(
+        excluded = down | _cut_during(testbed, ban.since_ms, bound_end_ms)
+        late_ms = _late_ms(testbed, ban, attempts)
+        checked_ms = [late_ms[name] for name in testbed.names if name not in excluded]
+        outcome.guarantees.append(
             Guarantee(
                 f"staleness of the ban of {ban.node}",
                 bound_ms,
-                max(judged, default=0.0),
+                max(checked_ms, default=0.0),
                 unit="ms",
-                note=f"{len(judged)} gateways" + (f", apart {sorted(apart)}" if apart else ""),
+                note=f"{len(checked_ms)} gateways"
+                + (f", cut off or down: {sorted(excluded)}" if excluded else ""),
             )
         )
 
 
-def _late_ms(rig: FleetTestbed, ban: Ban, attempts: list[Attempt]) -> dict[str, float]:
-    """Return, for each gateway, how long after the command it still sent to the node."""
-    late_ms = dict.fromkeys(rig.names, 0.0)
+def _late_ms(testbed: FleetTestbed, ban: Ban, attempts: list[Attempt]) -> dict[str, float]:
+    """Return, for each gateway, the time from the command to the last attempt that it sent to the node."""
+    late_ms = dict.fromkeys(testbed.names, 0.0)
     for attempt in attempts:
         if attempt.node == ban.node and ban.since_ms <= attempt.at_ms < ban.until_ms:
             late_ms[attempt.gateway] = max(late_ms[attempt.gateway], attempt.at_ms - ban.since_ms)
     return late_ms
 
 
-def _cut_during(rig: FleetTestbed, begin_ms: float, end_ms: float) -> set[str]:
-    """Return the gateways that were cut off at some time of a span."""
-    found: set[str] = set()
+def _cut_during(testbed: FleetTestbed, begin_ms: float, end_ms: float) -> set[str]:
+    """Return the gateways that were cut off at any time in a span."""
+    affected: set[str] = set()
     cut: set[str] = set()
-    for at_ms, text in rig.course:
-        if rig.began_ms + at_ms > end_ms:
+    for at_ms, text in testbed.course:
+        if testbed.began_ms + at_ms > end_ms:
             break
         if text.split()[0] == FaultVerb.CUT:
-            cut = _gateways_cut(rig, text)
+            cut = _gateways_cut(testbed, text)
         elif text.split()[0] == FaultVerb.HEAL:
-            if rig.began_ms + at_ms > begin_ms:
-                found |= cut
+            if testbed.began_ms + at_ms > begin_ms:
+                affected |= cut
             cut = set()
-    return found | cut
+    return affected | cut
--- a/shaletiller/lab/replication_benchmark.py
+++ b/shaletiller/lab/replication_benchmark.py
@@ -1,7 +1,7 @@
-"""`lab promises-cost`: the cost of replicated writes, compared within one run.
+"""`lab promises-cost`: the cost of replicated writes, with all comparisons made in one run.
 
-Writes with the level "local" against "copied"; a sync for each record against group commit; the time to open
-a store; and the repair of a gateway whose machine was lost, beside running requests.
+Measures writes with the levels "local" and "copied", commits with one sync per record and with group commit,
+the time to open a store, and the repair of a gateway that lost its machine while requests continue.
 """
 
 from __future__ import annotations
@@ -34,28 +34,30 @@
 )
 
 GATEWAYS = 5
-UNITS_PER_S = 60.0  # replicated writes of each gateway; empirical: many samples against a busy machine
+# Replicated writes at each gateway.  A larger value gives more samples, but loads the machine more.
+UNITS_PER_S = 60.0
 LOST_GATEWAY = "g1"
-LOSS_AT, REPLACED_AFTER = 1 / 3, 1 / 6  # parts of a run: when the machine is lost, and until it is replaced
-MIN_REPAIR_RUN_S = 12.0  # so that requests before, during and after the repair are enough for percentiles
-POLL_S = 0.01  # the resolution of the measured repair
+# Fractions of a run: from its start to the loss of the machine, and from the loss to the replacement.
+LOSS_FRACTION, REPLACEMENT_FRACTION = 1 / 3, 1 / 6
+MIN_REPAIR_RUN_S = 12.0  # leaves enough requests before, during and after the repair for percentiles
+POLL_S = 0.01  # resolution of the measured repair time
 COMMIT_RUN_S = 3.0
 RECOVERY_SIZES = (10_000, 100_000, 1_000_000)  # records
-SETUP_CLIENTS = 4  # of each gateway, that write the outcomes a lost machine has to recover
+SETUP_CLIENTS = 4  # clients per gateway that write the outcomes which the replaced machine has to recover
 
 
 async def measure_writes(level: str, seconds: float, seed: int) -> WriteRun:
-    """Measure a fleet under replicated writes.
+    """Measure replicated writes.
 
-    :param level: "copied" or "local".
+    :param level: replication level of the writes, "copied" or "local".
     """
     with tempfile.TemporaryDirectory() as directory:
         testbed = create_testbed(GATEWAYS, seconds, seed, Path(directory), level)
         try:
             load = await _start(testbed)
             testbed.began_ms = now_ms() + START_DELAY_MS
-            await load.play(_draw(testbed, load, testbed.names), testbed.began_ms)
-            run = _write_run(load)
+            await load.play(_draw_requests(testbed, load, testbed.names), testbed.began_ms)
+            run = _summarize_run(load)
             if level == "copied":
                 run.disk = await _disk_usage(testbed, load)
         finally:
@@ -64,9 +66,9 @@
 
 
 async def measure_repair(seconds: float, seed: int, outcomes: int) -> WriteRun:
-    """Measure a fleet under replicated writes while one machine is lost and replaced by an empty one.
+    """Measure replicated writes while one machine is lost and replaced by an empty one.
 
-    :param outcomes: how many outcomes the fleet holds by then.
+    :param outcomes: number of write outcomes in the fleet before the run.
     """
     with tempfile.TemporaryDirectory() as directory:
         testbed = create_testbed(GATEWAYS, seconds, seed, Path(directory))
@@ -76,11 +78,11 @@
             load.requests.clear()
             testbed.began_ms = now_ms() + START_DELAY_MS
             remaining = [name for name in testbed.names if name != LOST_GATEWAY]
-            requests = _draw(testbed, load, remaining)
+            requests = _draw_requests(testbed, load, remaining)
             _, repair = await asyncio.gather(
-                load.play(requests, testbed.began_ms), _lose_and_replace(testbed, seconds)
+                load.play(requests, testbed.began_ms), _lose_and_replace_machine(testbed, seconds)
             )
-            run = _write_run(load)
+            run = _summarize_run(load)
             repair.add_latencies(load.requests, testbed.began_ms)
             run.repair, run.disk = repair, await _disk_usage(testbed, load)
         finally:
@@ -94,12 +96,12 @@
     return LoadGenerator({name: process.port for name, process in testbed.processes.items()}, testbed.seed)
 
 
-def _draw(testbed: FleetTestbed, load: LoadGenerator, gateways: list[str]) -> list[ClientRequest]:
+def _draw_requests(testbed: FleetTestbed, load: LoadGenerator, gateways: list[str]) -> list[ClientRequest]:
     end_ms = testbed.seconds * 1000
     return load.draw([replicated_writes(name, UNITS_PER_S, end_ms) for name in gateways])
 
 
-def _write_run(load: LoadGenerator) -> WriteRun:
+def _summarize_run(load: LoadGenerator) -> WriteRun:
     statuses = {request.status for request in load.requests}
     counts = {str(status): sum(request.status == status for request in load.requests) for status in statuses}
     return WriteRun(counts, Percentiles.of_writes(load.requests))
@@ -107,41 +109,41 @@
 
 async def _disk_usage(testbed: FleetTestbed, load: LoadGenerator) -> DiskUsage:
     stats = [await process.stats() for process in testbed.processes.values()]
-    commits = sum(each["edge.store.commits"] for each in stats)
+    commits = sum(counters["edge.store.commits"] for counters in stats)
     return DiskUsage(
-        log_bytes=sum(each["edge.store.log_bytes"] for each in stats),
-        live_bytes=sum(each["edge.store.live_bytes"] for each in stats),
+        log_bytes=sum(counters["edge.store.log_bytes"] for counters in stats),
+        live_bytes=sum(counters["edge.store.live_bytes"] for counters in stats),
         outcome_bytes=sum(
             len(request.key) + len(request.body) for request in load.requests if request.status == 200
         ),
-        rows_a_commit=sum(each["edge.store.rows"] for each in stats) / max(1, commits),
+        rows_a_commit=sum(counters["edge.store.rows"] for counters in stats) / max(1, commits),
     )
 
 
 async def _write_outcomes(testbed: FleetTestbed, load: LoadGenerator, outcomes: int) -> None:
-    """Write so many outcomes, as fast as the fleet takes them."""
-    draw, remaining = random.Random("hold"), outcomes
+    """Write a number of outcomes, as fast as the fleet executes the writes."""
+    rng, remaining = random.Random("hold"), outcomes
     stream = replicated_writes("", 1.0, 1.0)
 
     async def client(gateway: str) -> None:
         nonlocal remaining
         while remaining > 0:
             remaining -= 1
-            request = f"{draw.getrandbits(64):016x}"
-            shard = draw.randrange(SHARDS)
-            key = f"{draw.getrandbits(64):016x}"
-            await load.send(ClientRequest(now_ms(), gateway, request, stream, 1, shard, key))
+            request_id = f"{rng.getrandbits(64):016x}"
+            shard = rng.randrange(SHARDS)
+            key = f"{rng.getrandbits(64):016x}"
+            await load.send(ClientRequest(now_ms(), gateway, request_id, stream, 1, shard, key))
 
     await asyncio.gather(*(client(name) for name in testbed.names for _ in range(SETUP_CLIENTS)))
 
 
-async def _lose_and_replace(testbed: FleetTestbed, seconds: float) -> RepairTimes:
+async def _lose_and_replace_machine(testbed: FleetTestbed, seconds: float) -> RepairTimes:
     process = testbed.processes[LOST_GATEWAY]
-    await asyncio.sleep(seconds * LOSS_AT)
+    await asyncio.sleep(seconds * LOSS_FRACTION)
     lost_ms = now_ms() - testbed.began_ms
     await process.kill()
     process.wipe()
-    await asyncio.sleep(seconds * REPLACED_AFTER)
+    await asyncio.sleep(seconds * REPLACEMENT_FRACTION)
     await process.start(testbed.known(LOST_GATEWAY))
     replaced_ms = now_ms() - testbed.began_ms
     while (stats := await process.stats())["edge.promises.filled"] != 1:
@@ -153,9 +155,9 @@
 async def measure(seconds: float, seed: int, turns: int, max_records: int, outcomes: int) -> BenchmarkReport:
     """Run all benchmarks.
 
-    :param seconds: of load in each turn.
-    :param max_records: the largest store that is opened.
-    :param outcomes: how many outcomes the fleet holds when a machine is lost.
+    :param seconds: duration of the load in each turn.
+    :param max_records: maximum number of records in a store that is opened.
+    :param outcomes: number of write outcomes in the fleet when a machine is lost.
     """
     report = BenchmarkReport()
     for turn in range(turns):
--- a/shaletiller/lab/replication_benchmark_report.py
+++ b/shaletiller/lab/replication_benchmark_report.py
@@ -1,4 +1,4 @@
-"""The results of `lab promises-cost`: as JSON, as lines to print, and as a picture."""
+"""Results of `lab promises-cost`, in JSON, as printed lines, and as plots."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Percentiles:
-    """Percentiles of latencies in milliseconds; NaN where there are none."""
+    """Percentiles of latencies in milliseconds; NaN without latencies."""
 
     p50: float
     p90: float
@@ -25,20 +25,22 @@
     highest: float
 
     @classmethod
-    def of(cls, values: Iterable[float]) -> Percentiles:
-        """Return the percentiles of these values, by the nearest rank."""
+    def of_latencies(cls, values: Iterable[float]) -> Percentiles:
+        """Return the percentiles of latencies in milliseconds, by the nearest-rank method."""
         ranked = sorted(values) or [float("nan")]
-        return cls(*(ranked[min(len(ranked) - 1, int(part * len(ranked)))] for part in (0.5, 0.9, 0.99, 1.0)))
+        return cls(
+            *(ranked[min(len(ranked) - 1, int(fraction * len(ranked)))] for fraction in (0.5, 0.9, 0.99, 1.0))
+        )
 
     @classmethod
     def of_writes(
         cls, requests: list[ClientRequest], begin_ms: float = 0.0, end_ms: float = float("inf")
     ) -> Percentiles:
-        """Return the latencies of the replicated writes due in a span that were served.
+        """Return the percentiles of the latencies of the served replicated writes that were due in a span.
 
-        They count from when each was due, so that a late start counts as latency.
+        A latency counts from the time when the write was due, so that it includes a delayed start.
         """
-        return cls.of(
+        return cls.of_latencies(
             request.ended_ms - request.due_ms
             for request in requests
             if request.status == 200 and request.stream.keyed and begin_ms <= request.due_ms < end_ms
@@ -51,11 +53,12 @@
 
 @dataclass(slots=True)
 class RepairTimes:
-    """The loss and the repair of a machine, in milliseconds of the run.
+    """Times of the loss and the repair of a machine, in milliseconds of the run.
 
-    `synced_ms`: when the new machine votes on all keys again; it has received `records` by then.
-    `latencies`: of the writes through the other gateways, before the loss, while the machine was away, and
-    during the repair.
+    :param synced_ms: when the new machine votes on all keys again.
+    :param records: number of records that it received until then.
+    :param latencies: latencies of the writes through the other gateways: before the loss, before the
+        replacement, and during the repair.
     """
 
     lost_ms: float
@@ -65,7 +68,7 @@
     latencies: dict[str, Percentiles] = field(default_factory=dict)
 
     def add_latencies(self, requests: list[ClientRequest], began_ms: float) -> None:
-        """Set the latencies.
+        """Set the latencies from the requests of the run.
 
         :param began_ms: when the run began.
         """
@@ -86,13 +89,13 @@
             "back_ms": self.replaced_ms,
             "filled_ms": self.synced_ms,
             "records_filled": self.records,
-            **{f"ms_{name}": each.to_json() for name, each in self.latencies.items()},
+            **{f"ms_{name}": percentiles.to_json() for name, percentiles in self.latencies.items()},
         }
 
 
 @dataclass(slots=True, frozen=True)
 class DiskUsage:
-    """Bytes in the stores of all gateways, and of the outcomes that clients were answered with."""
+    """Bytes in the stores of all gateways, and bytes of the outcomes that clients received."""
 
     log_bytes: int
     live_bytes: int
@@ -111,7 +114,7 @@
 
 @dataclass(slots=True)
 class WriteRun:
-    """One run of writes: how many had each status, and the latencies of those that were served."""
+    """A run of writes: the number of responses by status, and the latencies of the served writes."""
 
     statuses: dict[str, int]
     latencies: Percentiles
@@ -161,7 +164,7 @@
         return lines
 
     def _store_lines(self) -> list[str]:
-        lines = [f"{name}: {rate:.0f} records a second" for name, rate in self.commits_a_second.items()]
+        lines = [f"{name}: {rate:.0f} records/s" for name, rate in self.commits_a_second.items()]
         lines += [
             f"recovery of {times.records} records, {times.log_bytes / 1e6:.1f} MB: "
             f"{times.from_log_s:.2f} s from the log, {times.from_snapshot_s:.2f} s from a snapshot"
@@ -171,7 +174,7 @@
         if disk is not None:
             lines.append(
                 f"disk: {disk.log_bytes} bytes in all logs, {disk.live_bytes} of them live, for "
-                f"{disk.outcome_bytes} bytes promised; {disk.rows_a_commit:.1f} rows a commit"
+                f"{disk.outcome_bytes} bytes of outcomes; {disk.rows_a_commit:.1f} rows per commit"
             )
         return lines
 
@@ -181,16 +184,16 @@
             return []
         return [
             f"repair: {repair.records} records in "
-            f"{repair.synced_ms - repair.replaced_ms:.0f} ms after the new machine served",
+            f"{repair.synced_ms - repair.replaced_ms:.0f} ms after the new machine started",
             *(
-                f"  writes {name:7}: p50 {ms.p50:.1f}, p99 {ms.p99:.1f}, most {ms.highest:.1f} ms"
+                f"  writes {name:7}: p50 {ms.p50:.1f}, p99 {ms.p99:.1f}, max {ms.highest:.1f} ms"
                 for name, ms in repair.latencies.items()
             ),
         ]
 
 
-def draw(report: BenchmarkReport, path: Path) -> None:
-    """Draw latencies of writes, commits a second and recovery times, as a PNG file."""
+def plot_report(report: BenchmarkReport, path: Path) -> None:
+    """Plot latencies of writes, commits per second and recovery times to a PNG file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -204,8 +207,8 @@
     left.set_xticks([position + 0.2 for position in positions], PLOTTED_PERCENTILES)
     left.set(ylabel="ms from when a write was due", title="writes")
     left.legend()
-    middle.bar(["a sync\nfor each", "group\ncommit"], list(report.commits_a_second.values()))
-    middle.set(ylabel="records a second", title="commits")
+    middle.bar(["one sync\nper record", "group\ncommit"], list(report.commits_a_second.values()))
+    middle.set(ylabel="records/s", title="commits")
     sizes = [times.records for times in report.recovery]
     right.plot(sizes, [times.from_log_s for times in report.recovery], marker="o", label="log")
     right.plot(sizes, [times.from_snapshot_s for times in report.recovery], marker="o", label="snapshot")
--- a/shaletiller/lab/store_benchmark.py
+++ b/shaletiller/lab/store_benchmark.py
@@ -1,4 +1,4 @@
-"""Benchmarks of the store alone: commits with and without group commit, and the time to open a store."""
+"""Benchmarks of the store: commits with and without group commit, and the time to open a store."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 
 CLIENTS = 64  # concurrent writers with group commit
 VALUE = b"x" * 200  # about as large as the record of a write's outcome
-KEYS = 1000  # without group commit; keys are replaced, as registers are
-KEYS_A_CLIENT = 20
-UPDATES_A_COMMIT = 5_000  # to fill a store: few syncs, and little memory at a time
-OUTCOME_BODY = b"x" * 100  # body of the answer in each record of the recovery benchmark
+KEYS = 1000  # distinct keys without group commit; records are overwritten, as in registers
+KEYS_PER_CLIENT = 20  # distinct keys of each client with group commit
+# Updates per commit while a store is filled.  A smaller value needs more syncs; a larger one, more memory.
+UPDATES_PER_COMMIT = 5_000
+OUTCOME_BODY = b"x" * 100  # response body in each record of the recovery benchmark
 
 
 @dataclass(slots=True, frozen=True)
 class RecoveryTimes:
-    """How long a store takes to open, from its log and from a snapshot."""
+    """Time in seconds to open a store, from its log and from a snapshot."""
 
     records: int
     log_bytes: int
@@ -42,7 +43,7 @@
 
 
 def measure_single_commits(directory: Path, seconds: float) -> float:
-    """Return the commits a second of one writer that syncs for each record."""
+    """Return the commits per second of one writer that syncs after each record."""
     commits, end_s = 0, time.monotonic() + seconds
     store = SegmentStore(directory)
     while time.monotonic() < end_s:
@@ -53,7 +54,7 @@
 
 
 async def measure_group_commits(directory: Path, seconds: float) -> float:
-    """Return the records a second of concurrent clients, each of which waits for its last record."""
+    """Return the records per second of concurrent clients; each waits until its record is durable."""
     commits, end_s = 0, time.monotonic() + seconds
     writer = StoreWriter(SegmentStore(directory))
     writer.start()
@@ -63,7 +64,7 @@
         nonlocal commits
         while time.monotonic() < end_s:
             durable: asyncio.Future[bool] = loop.create_future()
-            key = f"k{number} {commits % KEYS_A_CLIENT}".encode()
+            key = f"k{number} {commits % KEYS_PER_CLIENT}".encode()
             writer.submit([(REGISTER, key, VALUE)], durable.set_result)
             await durable
             commits += 1
@@ -74,7 +75,7 @@
 
 
 def measure_recovery(directory: Path, records: int) -> RecoveryTimes:
-    """Measure how long a store with so many outcomes of writes takes to open."""
+    """Measure how long a store with a number of write outcomes takes to open."""
     shutil.rmtree(directory, ignore_errors=True)
     store = SegmentStore(directory)
     _fill(store, records)
@@ -90,8 +91,8 @@
 def _fill(store: SegmentStore, records: int) -> None:
     outcome = pack(WriteOutcome(True, OUTCOME_BODY, 1, 2))
     row = pack(Row(Ballot(2, 1, 9), Ballot(2, 1, 9), 1, outcome, 99))
-    for first in range(0, records, UPDATES_A_COMMIT):
-        numbers = range(first, min(first + UPDATES_A_COMMIT, records))
+    for first in range(0, records, UPDATES_PER_COMMIT):
+        numbers = range(first, min(first + UPDATES_PER_COMMIT, records))
         store.commit([(REGISTER, f"w:once:volume:{number:016x}".encode(), row) for number in numbers])
 
 
--- a/shaletiller/lab/virtual_fleet.py
+++ b/shaletiller/lab/virtual_fleet.py
@@ -1,7 +1,7 @@
 """A fleet of gateways in one process, on a virtual clock and a simulated network.
 
-Each gateway runs the product's own fleet code (shaletiller.fleet).  The network can lose, delay, duplicate
-and reorder what goes from one gateway to another, and cut either direction alone.
+Each gateway runs the production fleet code (shaletiller.fleet).  The network can lose, delay, duplicate and
+reorder the messages between gateways, and cut a link in one direction only.
 """
 
 from __future__ import annotations
@@ -19,14 +19,16 @@
 
 @dataclass
 class VirtualFleet:
-    """A fleet, its network, and the record of what happened in it.
+    """A simulated fleet, its network, and the events recorded during a run.
 
     :param members: number of gateways.
-    :param drift: the largest relative error of a gateway's clock, the same that leases allow for.
-    :param skew_ms: the largest difference of a gateway's clock from true time at the start.
+    :param drift: maximum relative error of a gateway's clock rate; leases allow for the same error.
+    :param skew_ms: maximum difference between a gateway's clock and true time at the start.
+    :param excess: maximum units by which the sum of all gateways' quotas exceeded a limit, by limit.
+    :param sent: number of messages sent by all gateways.
     :param tables: whether lease tables are replicated (`VirtualLeaseTable`).
-    :param excess: by limit, the most by which the quotas of all gateways together exceeded it.
-    :param incarnations: of each gateway's process, by gateway and start.
+    :param incarnations: incarnation of each gateway process, by gateway and start.
+    :param lease_tables: the replicated lease table of each limit.
     """
 
     members: int
@@ -46,22 +48,22 @@
     lease_tables: dict[str, LeaseTableEntry] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Create the links and the gateways, which are not yet started."""
+        """Create the links and the gateways, without starting them."""
         self.random = random.Random(self.seed)
         self.links = {(a, b): Link() for a in range(self.members) for b in range(self.members) if a != b}
         self.names = [f"g{number}" for number in range(self.members)]
         self.gateways = [
             VirtualGateway(
-                self, number, *(self.random.uniform(-1, 1) * most for most in (self.drift, self.skew_ms))
+                self, number, *(self.random.uniform(-1, 1) * bound for bound in (self.drift, self.skew_ms))
             )
             for number in range(self.members)
         ]
 
     def check_quota_sum(self, limit: str) -> None:
-        """Record by how much the quotas of all gateways together exceed a limit at this moment.
+        """Record by how much the sum of all gateways' quotas exceeds a limit at this time.
 
-        A suspended process still has what it may spend when it continues, by its clock then; a killed one has
-        nothing.
+        The quota of a suspended process counts, because the process can spend it after it resumes; the quota
+        of a killed process does not.
         """
         allowance = self.limits[limit].allowance
         total = NO_ALLOWANCE
@@ -73,7 +75,7 @@
             self.excess[limit] = max(self.excess.get(limit, 0.0), excess)
 
     def transmit(self, sender: int, receiver: int, data: bytes) -> None:
-        """Carry a message from one gateway to another, with the faults of the link."""
+        """Transmit a message from one gateway to another, subject to the faults of the link."""
         self.sent += 1
         self.sent_bytes += len(data)
         link = self.links[sender, receiver]
@@ -81,7 +83,7 @@
             return
         for _ in range(1 + (link.doubled > 0 and self.random.random() < link.doubled)):
             when_ms = self.time.now_ms + self.random.uniform(link.least_ms, link.most_ms)
-            # A link that has been cut meanwhile delivers nothing more.
+            # A link that is cut after the message was sent does not deliver it.
             self.time.at(when_ms, lambda: None if link.cut else self.gateways[receiver].receive(data))
 
     def load(
@@ -95,28 +97,29 @@
     ) -> None:
         """Schedule the requests of a Poisson stream through one gateway.
 
-        :param rate: units a second.
-        :param hosts: gateways through which the limit's clients send.
+        :param rate: units per second.
+        :param hosts: number of gateways through which the limit's clients send.
         """
         self.limits[limit.name] = limit
-        draw = random.Random(f"{self.seed} load {member} {limit.name} {begin_ms}")
+        rng = random.Random(f"{self.seed} load {member} {limit.name} {begin_ms}")
         mean_units = (1 + limit.max_request_units) / 2
         at_ms = begin_ms
         while True:
-            at_ms += draw.expovariate(rate / mean_units) * 1000
+            at_ms += rng.expovariate(rate / mean_units) * 1000
             if at_ms >= end_ms:
                 return
-            units = float(draw.randint(1, int(limit.max_request_units)))
+            units = float(rng.randint(1, int(limit.max_request_units)))
             self.time.at(at_ms, functools.partial(self.gateways[member].request, limit, units, hosts))
 
     def all_links(self) -> list[Link]:
-        """Return both directions between all gateways."""
+        """Return the links between all gateways, in both directions."""
         return list(self.links.values())
 
     def cut(self, side: set[int], one_way: bool = False) -> None:
-        """Cut a side off from the others.
+        """Cut the links between a group of gateways and all others.
 
-        :param one_way: only what the side sends is lost.
+        :param side: numbers of the gateways in the group.
+        :param one_way: cut only the links from the group to the others.
         """
         for (sender, receiver), link in self.links.items():
             if (sender in side) != (receiver in side) and (not one_way or sender in side):
--- a/shaletiller/lab/virtual_network.py
+++ b/shaletiller/lab/virtual_network.py
@@ -1,8 +1,8 @@
 """A virtual clock and the simulated links of a network.
 
-After the model of FoundationDB's simulation (Zhou et al., "FoundationDB: A Distributed Unbundled
-Transactional Key Value Store", SIGMOD 2021): time passes only from one scheduled call to the next, so all
-that happens in a run follows from its seed.
+The simulation is deterministic, as in FoundationDB (Zhou et al., "FoundationDB: A Distributed Unbundled
+Transactional Key Value Store", SIGMOD 2021): time advances only from one scheduled call to the next, so the
+seed determines all events of a run.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 @dataclass(slots=True)
 class Link:
-    """One direction between two gateways.
+    """A link between two gateways, in one direction.
 
     :param loss: probability that a message is lost.
-    :param least_ms: shortest delay; each message has its own, so messages can be reordered.
-    :param most_ms: longest delay.
-    :param doubled: probability that a message arrives twice.
-    :param cut: nothing arrives.
+    :param least_ms: minimum delay; the delay is random for each message, so messages can be reordered.
+    :param most_ms: maximum delay.
+    :param doubled: probability that a message is duplicated.
+    :param cut: whether all messages are lost.
     """
 
     loss: float = 0.0
@@ -32,19 +32,19 @@
 
 
 class VirtualClock:
-    """Runs calls in the order of their times; calls of equal times run in the order in which they came."""
+    """Runs calls in the order of their times; calls for the same time run in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
         self._calls: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._sequence_numbers = itertools.count()
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
-        """Schedule a call; one whose time has passed runs next."""
-        heapq.heappush(self._calls, (max(self.now_ms, when_ms), next(self._numbers), call))
+        """Schedule a call; a call for a time in the past is scheduled for now."""
+        heapq.heappush(self._calls, (max(self.now_ms, when_ms), next(self._sequence_numbers), call))
 
     def run(self, until_ms: float) -> None:
-        """Run all calls that are due up to a time, and set the clock to it."""
+        """Run all calls that are due by a time, and advance the clock to that time."""
         while self._calls and self._calls[0][0] <= until_ms:
             self.now_ms, _, call = heapq.heappop(self._calls)
             call()
