--- a/shaletiller/lab/fleet_simulation.py
+++ b/shaletiller/lab/fleet_simulation.py
@@ -56,13 +56,13 @@
     over: float = 0.0
 
 
-def measure_size(gateways: int, seed: int, loss: float = 0.0, news: int = 8) -> FleetMeasurement:
+def measure_size(gateways: int, seed: int, loss: float = 0.0, record_count: int = 8) -> FleetMeasurement:
     """Measure a fleet in which random gateways eject nodes, one after the other.
 
     One gateway requests more than an entire limit during this time.
 
     :param loss: probability that a message is lost.
-    :param news: number of nodes ejected, each of them by one health record.
+    :param record_count: number of nodes ejected, each of them by one health record.
     """
     virtual_fleet = VirtualFleet(gateways, seed, FleetOptions())
     for link in virtual_fleet.all_links():
@@ -74,13 +74,13 @@
     limited = gateways <= MAX_GATEWAYS_WITH_LIMIT
     # A gateway's own share is unavailable for a term after its start, and the term grows with the fleet.
     settle_ms = JOIN_MS + (LeaseTiming.for_members(gateways).pledge_wait_ms if limited else 0.0)
-    end_ms = settle_ms + news * RECORD_INTERVAL_MS
+    end_ms = settle_ms + record_count * RECORD_INTERVAL_MS
     if limited:
         virtual_fleet.load(0, limit, 600.0, settle_ms - JOIN_MS / 2, end_ms, gateways)
     virtual_fleet.time.run(settle_ms)
     sent, sent_bytes = virtual_fleet.sent, virtual_fleet.sent_bytes
     measurement = FleetMeasurement(gateways, loss, 0.0, 0.0)
-    for number in range(news):
+    for number in range(record_count):
         at_ms = settle_ms + number * RECORD_INTERVAL_MS
         measurement.spread_ms.append(_propagation_ms(virtual_fleet, rng, f"s-{number}", at_ms))
     span_s = (virtual_fleet.time.now_ms - settle_ms) / 1000
--- a/tests/fleet/test_fleet_guards.py
+++ b/tests/fleet/test_fleet_guards.py
@@ -177,7 +177,7 @@
     Gateways of the larger fleet send less than twice as many messages as those of the smaller one.  Every
     record reaches all gateways in time, and the limit is used and not exceeded.
     """
-    small, large = measure_size(5, 1, loss, news=3), measure_size(30, 1, loss, news=3)
+    small, large = measure_size(5, 1, loss, record_count=3), measure_size(30, 1, loss, record_count=3)
     assert large.messages_a_second < 2.0 * small.messages_a_second
     bound_ms = 500.0 if not loss else 2_000.0
     assert max(small.spread_ms + large.spread_ms) < bound_ms
