--- a/shaletiller/lab/replication_benchmark.py
+++ b/shaletiller/lab/replication_benchmark.py
@@ -34,7 +34,7 @@
 )
 
 GATEWAYS = 5
-# Replicated writes at each gateway.  A larger value gives more samples, but loads the machine more.
+# Units per second of replicated writes at each gateway.  A larger value gives more samples, but more load.
 UNITS_PER_S = 60.0
 LOST_GATEWAY = "g1"
 # Fractions of a run: from its start to the loss of the machine, and from the loss to the replacement.
--- a/shaletiller/lab/virtual_gateway.py
+++ b/shaletiller/lab/virtual_gateway.py
@@ -41,7 +41,7 @@
     :param owner: number of the gateway that last wrote the table or took it over.
     :param owner_start: number of that gateway's process start, counted from 1.
     :param leased: total of the leases of the limit.
-    :param written_ms: time of the last write, by the writer's clock.
+    :param written_ms: when the last write of `leased` was requested, by the writer's clock.
     """
 
     owner: int
@@ -115,7 +115,7 @@
         self.virtual_fleet.time.at(self.virtual_fleet.time.now_ms + TICK_MS, lambda: self._tick(start))
 
     def run_in_process(self, call: Callable[[], None]) -> None:
-        """Run a call in the process: now, or on `resume` if the process is suspended."""
+        """Run a call in the process, or after `resume` if it is suspended; drop the call if it was killed."""
         if self.fleet is None:
             return
         if self.stopped:
