--- a/shaletiller/lab/replication_scenarios.py
+++ b/shaletiller/lab/replication_scenarios.py
@@ -1,8 +1,8 @@
-"""`lab promises`: real gateway processes with stores, which replicate writes with idempotency keys.
+"""`lab promises`: replicated writes with idempotency keys through real gateway processes with stores.
 
 Clients write with keys, and retry with the same key through other gateways: immediately, after a short delay,
 and once more after all faults.  An operator disables a storage node at one gateway.  The storage nodes do not
-deduplicate: a write that reaches them twice runs twice.  What must hold is in replication_guarantees.py.
+deduplicate: a write that reaches them twice runs twice.  replication_guarantees.py checks the guarantees.
 """
 
 from __future__ import annotations
@@ -21,19 +21,21 @@
 from shaletiller.lab.scenario import Scenario
 from shaletiller.lab.storage_nodes import now_ms
 
-# Delays of retries after the first request: from concurrent ones to those after a gateway's restart.
+# Delays of retries after the first request: from concurrent retries to retries after a gateway's restart.
 RETRY_DELAYS_MS = (0.0, 10.0, 60.0, 1_000.0, 3_000.0, 8_000.0)
-RETRY_CHANCE = 0.5  # of each further retry
-LAST_RETRIES_MS = 3_000.0  # at the end of a run, in which each key is written once more
-SETTLE_MS = LAST_RETRIES_MS + 1_000.0  # new writes end so long before the end of the run
-START_DELAY_MS = 100.0  # the load begins so long after its requests have been drawn
-SYNC_TIMEOUT_S = 20.0  # empirical: a busy machine's start against the wait for a fleet that fails
+RETRY_PROBABILITY = 0.5  # Probability of each further retry.
+LAST_RETRIES_MS = 3_000.0  # Final part of a run, in which each key is written once more.
+SETTLE_MS = LAST_RETRIES_MS + 1_000.0  # Time between the last new write and the end of the run.
+START_DELAY_MS = 100.0  # Time between the generation of the requests and the start of the load.
+# A larger value tolerates a slow start on a busy machine; a smaller value reports a failed start sooner.
+SYNC_TIMEOUT_S = 20.0
 SYNC_POLL_S = 0.05
-RETENTION_S = 600  # longer than the usual runs: no outcome expires in them
-READ_UNITS_PER_S, WRITE_UNITS_PER_S = 90.0, 20.0  # of each gateway, besides the replicated writes
-DEFAULT_REPLICATED_UNITS_PER_S = 40.0  # of each gateway; empirical: many keys against a busy machine
-REPLICATED_VOLUME = 300
-OPERATOR = """store {{
+RETENTION_S = 600  # Longer than the usual runs, so that no outcome expires during a run.
+READ_UNITS_PER_S, WRITE_UNITS_PER_S = 90.0, 20.0  # Load per gateway in addition to the replicated writes.
+# Replicated writes per gateway. A larger value tests more keys; a smaller value loads the machine less.
+DEFAULT_REPLICATED_UNITS_PER_S = 40.0
+REPLICATED_VOLUME = 300  # Number of the volume that receives the replicated writes.
+OPERATOR_FILE_TEMPLATE = """store {{
     dir "FOLDER/store"
     drill "FOLDER/drill.json"
 }}
@@ -46,7 +48,7 @@
 
 
 def settings() -> dict[str, Any]:
-    """Return the settings: a class of replicated writes, one of other writes, and one of reads."""
+    """Return gateway settings with one class each for reads, replicated writes and other writes."""
     classes = [
         {"name": name, "target-ms": 300.0, "hard-limit-ms": 900.0, "importance": 1.0, "effect": effect}
         for name, effect in (("read", "read_like"), ("once", "non_idempotent"), ("write", "non_idempotent"))
@@ -65,16 +67,16 @@
 def create_testbed(
     gateways: int, seconds: float, seed: int, directory: Path, level: str = "copied"
 ) -> FleetTestbed:
-    """Return a fleet of gateways with stores, not yet started.
+    """Return a fleet of gateways with stores; the fleet is not started yet.
 
     :param level: replication level of the class "once": "copied" or "local".
     """
-    operator_file = OPERATOR.format(keep=RETENTION_S, level=level)
+    operator_file = OPERATOR_FILE_TEMPLATE.format(keep=RETENTION_S, level=level)
     return FleetTestbed(gateways, seed, seconds, directory, "tcp", settings(), operator_file)
 
 
 def replicated_writes(gateway: str, units_per_s: float, end_ms: float) -> Stream:
-    """Return a stream of writes with idempotency keys through one gateway."""
+    """Return a stream of writes with idempotency keys, sent through one gateway."""
     return Stream(
         gateway,
         REPLICATED_VOLUME,
@@ -89,10 +91,10 @@
     )
 
 
-def draw_requests(
+def generate_requests(
     testbed: FleetTestbed, load: LoadGenerator, replicated_units_per_s: float
 ) -> list[ClientRequest]:
-    """Draw reads of all nodes, other writes, and replicated writes with their retries, in order of time."""
+    """Generate reads of all nodes, replicated writes with retries, and other writes, in the order of time."""
     end_ms = testbed.seconds * 1000 - SETTLE_MS
     streams = []
     for index, name in enumerate(testbed.names):
@@ -104,22 +106,22 @@
     requests = load.draw(streams)
     draw = random.Random(f"repeats {testbed.seed}")
     for first in [request for request in requests if request.key]:
-        requests += _draw_retries(testbed, draw, first, end_ms)
+        requests += _generate_retries(testbed, draw, first, end_ms)
     return sorted(requests, key=lambda request: request.due_ms)
 
 
-def _draw_retries(
-    testbed: FleetTestbed, draw: random.Random, first: ClientRequest, end_ms: float
+def _generate_retries(
+    testbed: FleetTestbed, rng: random.Random, first: ClientRequest, end_ms: float
 ) -> list[ClientRequest]:
     times_ms = []
-    while draw.random() < RETRY_CHANCE:
-        times_ms.append(min(end_ms, first.due_ms + draw.choice(RETRY_DELAYS_MS)))
-    times_ms.append(testbed.seconds * 1000 - draw.uniform(0.0, LAST_RETRIES_MS))
+    while rng.random() < RETRY_PROBABILITY:
+        times_ms.append(min(end_ms, first.due_ms + rng.choice(RETRY_DELAYS_MS)))
+    times_ms.append(testbed.seconds * 1000 - rng.uniform(0.0, LAST_RETRIES_MS))
     return [
         ClientRequest(
             due_ms,
-            draw.choice(testbed.names),
-            f"{draw.getrandbits(64):016x}",
+            rng.choice(testbed.names),
+            f"{rng.getrandbits(64):016x}",
             first.stream,
             first.units,
             first.shard,
@@ -138,10 +140,10 @@
     directory: Path | None = None,
     rate: float = DEFAULT_REPLICATED_UNITS_PER_S,
 ) -> Outcome:
-    """Run a scenario and check its guarantees.
+    """Run a scenario and check the guarantees.
 
-    :param directory: where the gateways' files are kept; a temporary one by default.
-    :param rate: replicated writes of each gateway, in units a second.
+    :param directory: directory of the gateways' files; a temporary directory by default.
+    :param rate: replicated writes per gateway, in units per second.
     :raises LabError: if the fleet does not start.
     """
     with tempfile.TemporaryDirectory() as temporary:
@@ -151,7 +153,7 @@
             await wait_until_synced(testbed)
             load = LoadGenerator({name: process.port for name, process in testbed.processes.items()}, seed)
             testbed.began_ms = now_ms() + START_DELAY_MS
-            requests = draw_requests(testbed, load, rate)
+            requests = generate_requests(testbed, load, rate)
             units = {request.request: float(request.units) for request in requests}
             for node in testbed.nodes:
                 node.units_of = lambda request: units.get(request, 1.0)
@@ -164,9 +166,9 @@
 
 
 async def wait_until_synced(testbed: FleetTestbed, timeout_s: float = SYNC_TIMEOUT_S) -> None:
-    """Wait until every gateway votes on all its keys and sees all the others.
+    """Wait until every gateway votes on all its keys and knows all other gateways.
 
-    :raises LabError: if that takes longer than the timeout.
+    :raises LabError: if the fleet is not synced within the timeout.
     """
     deadline_ms = now_ms() + timeout_s * 1000
     for process in testbed.processes.values():
@@ -175,5 +177,5 @@
             if stats.get("edge.promises.filled") == 1 and stats["edge.fleet.members"] == testbed.gateways:
                 break
             if now_ms() > deadline_ms:
-                raise LabError(f"{process.name}: its replicas are not synced after {timeout_s:.0f} s")
+                raise LabError(f"gateway {process.name}: replicas are not synced after {timeout_s:.0f} s")
             await asyncio.sleep(SYNC_POLL_S)
--- a/shaletiller/lab/replication_sim_faults.py
+++ b/shaletiller/lab/replication_sim_faults.py
@@ -10,15 +10,21 @@
 from shaletiller.lab.replication_sim_fleet import FAULTS_BEGIN_MS, FAULTS_END_MS, SimulatedFleet
 from shaletiller.lab.replication_sim_gateway import SLOW_SYNC_MS, SYNC_MS
 
-MAX_FAULTS = 4  # empirical: faults that overlap, against time in which writes are served
-LAST_FAULT_BEFORE_END_MS = 1_500.0  # the last fault begins so long before all are over
-DURATION_MS = (100.0, 4_000.0)  # from less than a request's timeout to several of them
-INTENSITY = (0.05, 0.4)  # share of the messages that are lost or duplicated
-SLOW_LINK_MS = 500.0  # the longest delay of a link that is slow with intensity 1
+# Maximum faults in one schedule. A larger value makes more faults overlap; a smaller value leaves more time
+# without faults, in which writes are served.
+MAX_FAULTS = 4
+# Minimum time between the begin of a fault and `FAULTS_END_MS`, at which all faults have ended.
+MIN_BEGIN_BEFORE_FAULTS_END_MS = 1_500.0
+DURATION_RANGE_MS = (100.0, 4_000.0)  # From less than one request timeout to several request timeouts.
+INTENSITY_RANGE = (0.05, 0.4)  # Probability that a message is lost or duplicated.
+SLOW_LINK_MS = 500.0  # Maximum delay of a slow link with intensity 1.
 
 
 class FaultKind(StrEnum):
-    """A kind of fault; the value is its name in reports.  The order is that of the draws of a seed."""
+    """A kind of fault; the value is its name in reports.
+
+    The order of the members determines which fault a seed selects.
+    """
 
     LOSS = "loss"
     SLOW_LINKS = "slow"
@@ -38,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault: of all links, of the links between one side and the others, or of one member."""
+    """One fault of all links, of the links between `side` and the other members, or of one member."""
 
     kind: FaultKind
     begin_ms: float
@@ -48,36 +54,36 @@
     intensity: float
 
     def __str__(self) -> str:
-        whom = sorted(self.side) if self.kind in _PARTITIONS else self.member
-        return f"{self.kind} {whom} {self.begin_ms:.0f}-{self.end_ms:.0f} ms"
+        target = sorted(self.side) if self.kind in _PARTITIONS else self.member
+        return f"{self.kind} {target} {self.begin_ms:.0f}-{self.end_ms:.0f} ms"
 
 
-def draw_faults(draw: random.Random, members: int) -> list[Fault]:
-    """Draw the faults of a schedule, all over by `FAULTS_END_MS`.
+def generate_faults(rng: random.Random, members: int) -> list[Fault]:
+    """Generate the random faults of one schedule; all of them end by `FAULTS_END_MS`.
 
-    At most one disk is lost: the protocol survives the loss of one copy, and promises nothing for two.
+    At most one disk is lost, because the protocol tolerates the loss of one copy only.
     """
     faults: list[Fault] = []
-    for _ in range(draw.randint(1, MAX_FAULTS)):
-        kind = draw.choice(list(FaultKind))
+    for _ in range(rng.randint(1, MAX_FAULTS)):
+        kind = rng.choice(list(FaultKind))
         if kind is FaultKind.DISK_LOSS and any(fault.kind is FaultKind.DISK_LOSS for fault in faults):
             kind = FaultKind.CRASH
-        begin_ms = draw.uniform(FAULTS_BEGIN_MS, FAULTS_END_MS - LAST_FAULT_BEFORE_END_MS)
-        end_ms = min(FAULTS_END_MS, begin_ms + draw.uniform(*DURATION_MS))
-        member = draw.randrange(members)
-        side = frozenset(draw.sample(range(members), draw.randint(1, members // 2)))
-        faults.append(Fault(kind, begin_ms, end_ms, member, side, draw.uniform(*INTENSITY)))
+        begin_ms = rng.uniform(FAULTS_BEGIN_MS, FAULTS_END_MS - MIN_BEGIN_BEFORE_FAULTS_END_MS)
+        end_ms = min(FAULTS_END_MS, begin_ms + rng.uniform(*DURATION_RANGE_MS))
+        member = rng.randrange(members)
+        side = frozenset(rng.sample(range(members), rng.randint(1, members // 2)))
+        faults.append(Fault(kind, begin_ms, end_ms, member, side, rng.uniform(*INTENSITY_RANGE)))
     return faults
 
 
 def schedule_faults(fleet: SimulatedFleet, faults: list[Fault]) -> None:
-    """Schedule the begin and the end of each fault."""
+    """Schedule the beginning and the end of each fault on the fleet's clock."""
     for fault in faults:
-        fleet.clock.at(fault.begin_ms, partial(_begin, fleet, fault))
-        fleet.clock.at(fault.end_ms, partial(_end, fleet, fault))
+        fleet.clock.at(fault.begin_ms, partial(_handle_fault_begin, fleet, fault))
+        fleet.clock.at(fault.end_ms, partial(_handle_fault_end, fleet, fault))
 
 
-def _begin(fleet: SimulatedFleet, fault: Fault) -> None:
+def _handle_fault_begin(fleet: SimulatedFleet, fault: Fault) -> None:
     gateway = fleet.gateways[fault.member]
     match fault.kind:
         case FaultKind.CRASH:
@@ -98,8 +104,8 @@
 
 def _partition(fleet: SimulatedFleet, fault: Fault) -> None:
     for (sender, recipient), link in fleet.links.items():
-        crosses = (sender in fault.side) != (recipient in fault.side)
-        if crosses and (fault.kind is FaultKind.PARTITION or sender in fault.side):
+        crosses_partition = (sender in fault.side) != (recipient in fault.side)
+        if crosses_partition and (fault.kind is FaultKind.PARTITION or sender in fault.side):
             link.cut = True
 
 
@@ -113,7 +119,7 @@
             link.doubled = fault.intensity
 
 
-def _end(fleet: SimulatedFleet, fault: Fault) -> None:
+def _handle_fault_end(fleet: SimulatedFleet, fault: Fault) -> None:
     gateway = fleet.gateways[fault.member]
     if fault.kind in _LINK_FAULTS:
         fleet.repair_links()
--- a/shaletiller/lab/replication_sim_fleet.py
+++ b/shaletiller/lab/replication_sim_fleet.py
@@ -13,20 +13,20 @@
 from shaletiller.replication.messages import AnyMessage
 from shaletiller.replication.node import ReplicationNode
 
-# Times of a run: by FAULTS_END_MS all faults are over; at LAST_RETRY_MS each key is written once more, when
-# even an operation that began during the last fault has ended.
+# Times of a run on the virtual clock. All faults have ended by FAULTS_END_MS. Each key is written once more
+# at LAST_RETRY_MS, when every operation that began during a fault has ended.
 FIRST_WRITE_MS, FAULTS_BEGIN_MS, FAULTS_END_MS = 600.0, 1_500.0, 9_000.0
 LAST_RETRY_MS, END_MS = 12_500.0, 14_000.0
-MAX_CLOCK_OFFSET_MS = 200.0  # so that no two clocks differ by the second that the protocol allows
-RETRY_CHANCE = 0.6  # of each further retry of a write
-# Delays of retries: at once, while the first is under way, around its timeout, and long after it.
+MAX_CLOCK_OFFSET_MS = 200.0  # Two clocks differ by less than the 1,000 ms that the protocol tolerates.
+RETRY_PROBABILITY = 0.6  # Probability of each further retry of a write.
+# Delays of retries after the first request: none, during that request, around its timeout, and long after.
 RETRY_DELAYS_MS = (0.0, 5.0, 50.0, 950.0, 2_000.0, 6_000.0)
 
 NodeFactory = Callable[[int, ReplicaGroups, list[tuple[int, bytes, bytes]], float], ReplicationNode]
 
 
 class SimulatedFleet:
-    """The environment of the simulated gateways."""
+    """The simulated gateways and their environment: clock, network, storage nodes and clients."""
 
     def __init__(
         self,
@@ -35,10 +35,10 @@
         node_factory: NodeFactory = ReplicationNode,
         zones: tuple[str, ...] = (),
     ) -> None:
-        """Create a fleet whose gateways are down.
+        """Create a fleet whose gateways are not running.
 
-        :param node_factory: creates a member's node; tests pass nodes with a guard removed.
-        :param zones: of the members; empty for a fleet without zones.
+        :param node_factory: creates a member's replication node; tests pass nodes without a safety check.
+        :param zones: the zone of each member; empty for a fleet without zones.
         """
         self.members = members
         self.clock = VirtualClock()
@@ -62,41 +62,41 @@
     def create_node(
         self, member: int, stored: list[tuple[int, bytes, bytes]], now_ms: float
     ) -> ReplicationNode:
-        """Create the replication node of a member that starts."""
+        """Create the replication node of a starting member."""
         return self._node_factory(member, self.groups, stored, now_ms)
 
     def send(self, sender: int, recipient: int, message: AnyMessage) -> None:
-        """Send a message: it may be lost or duplicated, and arrives after a random delay."""
+        """Send a message, which may be lost or duplicated and is delivered after a random delay."""
         link = self.links[sender, recipient]
         if link.cut or (link.loss and self.random.random() < link.loss):
             return
         for _ in range(1 + (link.doubled > 0 and self.random.random() < link.doubled)):
-            arrives_ms = self.clock.now_ms + self.random.uniform(link.least_ms, link.most_ms)
-            self.clock.at(arrives_ms, partial(self._arrive, link, sender, recipient, message))
+            delivery_ms = self.clock.now_ms + self.random.uniform(link.least_ms, link.most_ms)
+            self.clock.at(delivery_ms, partial(self._handle_delivery, link, sender, recipient, message))
 
-    def _arrive(self, link: Link, sender: int, recipient: int, message: AnyMessage) -> None:
+    def _handle_delivery(self, link: Link, sender: int, recipient: int, message: AnyMessage) -> None:
         if not link.cut:
             self.gateways[recipient].receive(sender, message)
 
     def repair_links(self) -> None:
-        """Replace all links by healthy ones; what is in transit on a link that is cut is lost."""
+        """Replace all links by healthy ones; messages in transit on a partitioned link are lost."""
         for pair in self.links:
             self.links[pair] = Link()
 
-    def schedule_writes(self, draw: random.Random, writes_per_second: float, end_ms: float) -> None:
-        """Schedule the clients' writes, with retries through random gateways, some of them concurrent."""
-        at_ms, number = FIRST_WRITE_MS, 0
-        while at_ms < end_ms:
-            at_ms += draw.expovariate(writes_per_second) * 1000
+    def schedule_writes(self, rng: random.Random, writes_per_second: float, end_ms: float) -> None:
+        """Schedule the clients' writes and their retries, some of them concurrent, via random gateways."""
+        first_sent_ms, number = FIRST_WRITE_MS, 0
+        while first_sent_ms < end_ms:
+            first_sent_ms += rng.expovariate(writes_per_second) * 1000
             number += 1
-            times_ms = [at_ms]
-            while draw.random() < RETRY_CHANCE:
-                times_ms.append(at_ms + draw.choice(RETRY_DELAYS_MS))
+            times_ms = [first_sent_ms]
+            while rng.random() < RETRY_PROBABILITY:
+                times_ms.append(first_sent_ms + rng.choice(RETRY_DELAYS_MS))
             for sent_ms in times_ms:
                 if sent_ms < LAST_RETRY_MS - REQUEST_TIMEOUT_MS:
-                    self._schedule(ClientRequest(f"k{number}", draw.randrange(self.members), sent_ms))
-            self._schedule(ClientRequest(f"k{number}", draw.randrange(self.members), LAST_RETRY_MS))
+                    self._schedule_request(ClientRequest(f"k{number}", rng.randrange(self.members), sent_ms))
+            self._schedule_request(ClientRequest(f"k{number}", rng.randrange(self.members), LAST_RETRY_MS))
 
-    def _schedule(self, request: ClientRequest) -> None:
+    def _schedule_request(self, request: ClientRequest) -> None:
         self.requests.append(request)
         self.clock.at(request.sent_ms, partial(self.gateways[request.gateway].submit, request))
--- a/shaletiller/lab/replication_sim_gateway.py
+++ b/shaletiller/lab/replication_sim_gateway.py
@@ -1,8 +1,8 @@
 """A simulated gateway of the replication simulation: its process, its disk and its clock.
 
-The process runs the gateway's own `ReplicationNode` and `ReplicatedWrites`.  It may crash, or be paused while
-its messages wait.  The disk outlives the process; a batch that is being synced is lost with the process, and
-the disk may be lost with the machine.
+The process runs the `ReplicationNode` and `ReplicatedWrites` of the real gateway.  It may crash, or be paused
+while its messages are queued.  The contents of the disk survive a crash of the process, except for a batch
+whose sync has not ended.  The disk may be lost with the machine.
 """
 
 from __future__ import annotations
@@ -23,37 +23,37 @@
 from shaletiller.replication.node import ReplicationNode
 from shaletiller.replication.writes import ReplicatedWrites, WriteDecision, WriteVerdict
 
-EPOCH_MS = 1_764_000_000_000.0  # Unix time at the start of a run: like the clocks of real gateways
-TICK_MS = 5.0  # as often as a gateway calls its node while operations are under way
-REQUEST_TIMEOUT_MS = 900.0  # as the load of the tests with real processes
-RETENTION_MS = 3_600_000.0  # outlasts a run: no outcome expires in it
-MAX_PAUSED_MESSAGES = 4096  # as a socket's buffer, what comes to a paused process is bounded
-SYNC_MS = 1.0  # the longest sync of a healthy disk
-SLOW_SYNC_MS = 100.0  # of a slow one: several ticks and retransmissions of the protocol
-NODE_ANSWER_MS = (2.0, 80.0)  # a storage node's answer takes so long, within the requests' timeout
-FULL_NODE_SHARE = 0.05  # of the attempts, while faults are injected: the node rejects the write
-LOST_ANSWER_SHARE = 0.05  # of the attempts: the write runs, and its answer is lost
+START_UNIX_MS = 1_764_000_000_000.0  # Unix time at the start of a run, as on the clocks of real gateways.
+TICK_MS = 5.0  # A real gateway ticks its node at this interval while operations are in progress.
+REQUEST_TIMEOUT_MS = 900.0  # Equal to the request timeout in the tests with real processes.
+RETENTION_MS = 3_600_000.0  # Longer than a run, so that no outcome expires.
+MAX_PAUSED_MESSAGES = 4096  # Calls queued for a paused process are bounded, as by a socket buffer.
+SYNC_MS = 1.0  # Maximum sync time of a healthy disk.
+SLOW_SYNC_MS = 100.0  # Maximum sync time of a slow disk: several ticks and retransmissions of the protocol.
+NODE_RESPONSE_RANGE_MS = (2.0, 80.0)  # Response time of a storage node, shorter than the request timeout.
+REJECTION_PROBABILITY = 0.05  # A storage node rejects an attempt while faults are injected.
+LOST_RESPONSE_PROBABILITY = 0.05  # The write of an attempt runs, but its response is lost.
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's write through one gateway, and the answer.
+    """A client's write through one gateway, and its response.
 
-    `answer` is None where none came, since the gateway was down or paused, or crashed.
+    `response` is None if the gateway was down or paused, or crashed before it responded.
     """
 
     key: str
     gateway: int
     sent_ms: float
-    answer: WriteVerdict | None = None
+    response: WriteVerdict | None = None
     body: bytes = b""
-    answered_ms: float = 0.0
+    responded_ms: float = 0.0
 
 
 class Environment(Protocol):
-    """What surrounds a gateway: time, the network, the storage nodes and randomness.
+    """The environment of a gateway: clock, network, storage nodes and random number generator.
 
-    `executions` counts how often the write of each key has run at a storage node.
+    `executions` counts for each key how often its write ran at a storage node.
     """
 
     members: int
@@ -66,18 +66,18 @@
     def create_node(
         self, member: int, stored: list[tuple[int, bytes, bytes]], now_ms: float
     ) -> ReplicationNode:
-        """Create the replication node of a member that starts."""
+        """Create the replication node of a starting member."""
 
     def send(self, sender: int, recipient: int, message: AnyMessage) -> None:
-        """Send a message to another member."""
+        """Send a message to another member of the fleet."""
 
 
 @dataclass(slots=True)
 class _Process:
-    """A gateway's process: all that is lost when it crashes.
+    """A gateway's process: the state that is lost when it crashes.
 
-    `unsynced` holds the records that wait for the sync under way; `delayed_calls` what came while it was
-    paused; `forwarded` the requests that reached a storage node.
+    `unsynced` holds the records that wait for the end of the current sync, `queued_calls` the calls queued
+    while the process was paused, and `forwarded` the numbers of the requests that reached a storage node.
     """
 
     node: ReplicationNode
@@ -85,7 +85,7 @@
     paused: bool = False
     syncing: bool = False
     unsynced: list[PersistRecords] = field(default_factory=list)
-    delayed_calls: list[Callable[[], None]] = field(default_factory=list)
+    queued_calls: list[Callable[[], None]] = field(default_factory=list)
     requests: dict[int, ClientRequest] = field(default_factory=dict)
     forwarded: set[int] = field(default_factory=set)
 
@@ -94,9 +94,9 @@
     """One member of the simulated fleet."""
 
     def __init__(self, environment: Environment, member: int, clock_offset_ms: float) -> None:
-        """Create a gateway that is down, with an empty disk.
+        """Create a gateway that is not running and has an empty disk.
 
-        :param clock_offset_ms: by how much its clock is ahead of true time.
+        :param clock_offset_ms: how far its clock is ahead of the virtual clock.
         """
         self.member = member
         self.sync_ms = SYNC_MS
@@ -104,101 +104,98 @@
         self._environment, self._clock_offset_ms = environment, clock_offset_ms
         self._disk: dict[tuple[int, bytes], bytes] = {}
         self._process: _Process | None = None
-        self._requests = 0
-
-    # ---- the process
+        self._request_count = 0
 
     @property
     def running(self) -> bool:
-        """Whether the process is up, paused or not."""
+        """Whether the process is running; a paused process counts as running."""
         return self._process is not None
 
     @property
     def fully_synced(self) -> bool:
-        """Whether the process is up and votes on all keys of its groups."""
+        """Whether the process is running and votes on all keys of its groups."""
         return self._process is not None and self._process.node.fully_synced
 
     def start(self) -> None:
-        """Start the process on what the disk holds."""
+        """Start the process with the records on the disk."""
         stored = [(kind, key, value) for (kind, key), value in self._disk.items()]
         now_ms = self._now_ms()
         node = self._environment.create_node(self.member, stored, now_ms)
         process = _Process(node, ReplicatedWrites(node, int(now_ms), RETENTION_MS))
         self._process = process
-        self._tick(process)
+        self._handle_tick(process)
 
     def crash(self) -> None:
-        """End the process: records that were not yet synced are lost."""
+        """Terminate the process; records that were not yet synced are lost."""
         self._process = None
 
     def lose_disk(self) -> None:
-        """End the process, and empty the disk."""
+        """Terminate the process and erase the disk."""
         self.crash()
         self._disk = {}
 
     def pause(self) -> None:
-        """Stop the process: messages and timers wait until `resume`."""
+        """Pause the process; messages and timers are queued until `resume`."""
         if self._process is not None:
             self._process.paused = True
 
     def resume(self) -> None:
-        """Continue a paused process with all that came meanwhile."""
+        """Resume a paused process, and run the calls that were queued during the pause."""
         process = self._process
         if process is None or not process.paused:
             return
         process.paused = False
-        calls, process.delayed_calls = process.delayed_calls, []
+        calls, process.queued_calls = process.queued_calls, []
         for call in calls:
-            self._run(process, call)
+            self._run_or_queue(process, call)
 
     def receive(self, sender: int, message: AnyMessage) -> None:
-        """Handle a message of another member; one to a process that is down is lost."""
+        """Handle a message from another member; it is lost if the process is down."""
         process = self._process
         if process is not None:
-            self._run(process, lambda: process.node.receive(sender, message, self._now_ms()))
+            self._run_or_queue(process, lambda: process.node.receive(sender, message, self._now_ms()))
 
     def submit(self, request: ClientRequest) -> None:
-        """Handle a client's write; at a process that is down or paused it gets no answer."""
+        """Handle a client's write; it gets no response if the process is down or paused."""
         process = self._process
         if process is None or process.paused:
             return
-        self._requests += 1
-        number = self._requests
+        self._request_count += 1
+        number = self._request_count
         process.requests[number] = request
         now_ms = self._now_ms()
         request_hash = xxhash.xxh3_64_intdigest(request.key.encode())
         process.writes.begin(number, request.key, request_hash, now_ms + REQUEST_TIMEOUT_MS, now_ms)
-        self._after(REQUEST_TIMEOUT_MS, partial(self._run, process, partial(self._time_out, process, number)))
+        self._schedule_after(
+            REQUEST_TIMEOUT_MS,
+            partial(self._run_or_queue, process, partial(self._handle_request_timeout, process, number)),
+        )
         self._apply_effects(process)
 
-    # ---- time
-
     def _now_ms(self) -> float:
-        return EPOCH_MS + self._clock_offset_ms + self._environment.clock.now_ms
+        return START_UNIX_MS + self._clock_offset_ms + self._environment.clock.now_ms
 
-    def _after(self, delay_ms: float, call: Callable[[], None]) -> None:
+    def _schedule_after(self, delay_ms: float, call: Callable[[], None]) -> None:
         clock = self._environment.clock
         clock.at(clock.now_ms + delay_ms, call)
 
-    def _run(self, process: _Process, call: Callable[[], None]) -> None:
+    def _run_or_queue(self, process: _Process, call: Callable[[], None]) -> None:
         if process is not self._process:
-            return  # of a process that has crashed
+            return  # The call belongs to a process that has crashed.
         if process.paused:
-            if len(process.delayed_calls) < MAX_PAUSED_MESSAGES:
-                process.delayed_calls.append(call)
+            if len(process.queued_calls) < MAX_PAUSED_MESSAGES:
+                process.queued_calls.append(call)
             return
         call()
         self._apply_effects(process)
 
-    def _tick(self, process: _Process) -> None:
+    def _handle_tick(self, process: _Process) -> None:
         if process is not self._process:
             return
         if not process.paused:
             process.node.tick(self._now_ms(), tuple(range(self._environment.members)))
             self._apply_effects(process)
-        self._after(TICK_MS, partial(self._tick, process))
-
-    # ---- effects
+        self._schedule_after(TICK_MS, partial(self._handle_tick, process))
 
     def _apply_effects(self, process: _Process) -> None:
         for effect in process.node.take_effects():
@@ -217,7 +214,7 @@
         if decision.verdict is WriteVerdict.FORWARD:
             self._forward(process, decision.number)
         else:
-            self._answer(process, decision.number, decision.verdict, decision.body)
+            self._respond(process, decision.number, decision.verdict, decision.body)
 
     def _persist(self, process: _Process, records: PersistRecords) -> None:
         process.unsynced.append(records)
@@ -225,25 +222,25 @@
             self._begin_sync(process)
 
     def _begin_sync(self, process: _Process) -> None:
-        """Sync all records that wait, as the store's group commit does."""
+        """Sync all waiting records in one batch, as the group commit of the store does."""
         batch, process.unsynced = process.unsynced, []
         process.syncing = True
         delay_ms = self.sync_ms * self._environment.random.uniform(0.2, 1.0)
-        self._after(delay_ms, lambda: self._end_sync(process, batch))
+        self._schedule_after(delay_ms, lambda: self._handle_sync_end(process, batch))
 
-    def _end_sync(self, process: _Process, batch: list[PersistRecords]) -> None:
+    def _handle_sync_end(self, process: _Process, batch: list[PersistRecords]) -> None:
         if process is not self._process:
-            return  # it crashed before the sync: none of the batch is durable
+            return  # The process crashed before the sync ended: no record of the batch is durable.
         failed = self.disk_full and any(records.updates for records in batch)
         if not failed:
-            self._write(batch)
+            self._write_to_disk(batch)
         process.syncing = False
         if process.unsynced:
             self._begin_sync(process)
         for records in batch:
-            self._run(process, partial(self._notify_persisted, process, records.token, failed))
+            self._run_or_queue(process, partial(self._notify_persisted, process, records.token, failed))
 
-    def _write(self, batch: list[PersistRecords]) -> None:
+    def _write_to_disk(self, batch: list[PersistRecords]) -> None:
         for records in batch:
             for kind, key, value in records.updates:
                 if value is None:
@@ -257,47 +254,47 @@
         else:
             process.node.on_persisted(token, self._now_ms())
 
-    # ---- client requests
-
-    def _time_out(self, process: _Process, number: int) -> None:
-        """Answer a request at its deadline: failed where it was forwarded and so may have run."""
-        if process.requests[number].answer is None:
+    def _handle_request_timeout(self, process: _Process, number: int) -> None:
+        """Respond to a request at its deadline: FAILED if it was forwarded and may have run, or REJECTED."""
+        if process.requests[number].response is None:
             verdict = WriteVerdict.FAILED if number in process.forwarded else WriteVerdict.REJECTED
-            self._end(process, number, verdict)
+            self._finish(process, number, verdict)
 
     def _forward(self, process: _Process, number: int) -> None:
-        """Forward a write to a storage node, which may reject it, or whose answer may be lost."""
+        """Forward a write to a storage node, which may reject it; its response may be lost."""
         request, environment = process.requests[number], self._environment
         now_ms = environment.clock.now_ms
-        if now_ms >= request.sent_ms + REQUEST_TIMEOUT_MS or request.answer is not None:
+        if now_ms >= request.sent_ms + REQUEST_TIMEOUT_MS or request.response is not None:
             process.writes.end(number, WriteVerdict.REJECTED, b"", self._now_ms())
             return
-        chance = environment.random.random()
-        if chance < FULL_NODE_SHARE and now_ms < environment.nodes_reject_until_ms:
-            self._end(process, number, WriteVerdict.REJECTED)
+        sample = environment.random.random()
+        if sample < REJECTION_PROBABILITY and now_ms < environment.nodes_reject_until_ms:
+            self._finish(process, number, WriteVerdict.REJECTED)
             return
         process.forwarded.add(number)
         body = f"{request.key} run {environment.executions[request.key]}".encode()
         environment.executions[request.key] += 1
-        lost = chance < FULL_NODE_SHARE + LOST_ANSWER_SHARE
-        call = partial(self._node_answered, process, number, None if lost else body)
-        self._after(environment.random.uniform(*NODE_ANSWER_MS), partial(self._run, process, call))
-
-    def _node_answered(self, process: _Process, number: int, body: bytes | None) -> None:
-        """Handle the answer of a storage node; None: the connection failed instead."""
-        if process.requests[number].answer is not None:
+        lost = sample < REJECTION_PROBABILITY + LOST_RESPONSE_PROBABILITY
+        call = partial(self._handle_node_response, process, number, None if lost else body)
+        self._schedule_after(
+            environment.random.uniform(*NODE_RESPONSE_RANGE_MS), partial(self._run_or_queue, process, call)
+        )
+
+    def _handle_node_response(self, process: _Process, number: int, body: bytes | None) -> None:
+        """Handle the response of a storage node; `body` is None if the connection failed."""
+        if process.requests[number].response is not None:
             return
         if body is None:
-            self._end(process, number, WriteVerdict.FAILED)
-        else:  # its client is answered once the outcome is committed
+            self._finish(process, number, WriteVerdict.FAILED)
+        else:  # The client gets its response when the outcome is committed.
             process.writes.end(number, WriteVerdict.SERVED, body, self._now_ms())
 
-    def _end(self, process: _Process, number: int, verdict: WriteVerdict) -> None:
-        self._answer(process, number, verdict)
+    def _finish(self, process: _Process, number: int, verdict: WriteVerdict) -> None:
+        self._respond(process, number, verdict)
         process.writes.end(number, verdict, b"", self._now_ms())
 
-    def _answer(self, process: _Process, number: int, verdict: WriteVerdict, body: bytes = b"") -> None:
+    def _respond(self, process: _Process, number: int, verdict: WriteVerdict, body: bytes = b"") -> None:
         request = process.requests[number]
-        if request.answer is None:
-            request.answer, request.body = verdict, body
-            request.answered_ms = self._environment.clock.now_ms
+        if request.response is None:
+            request.response, request.body = verdict, body
+            request.responded_ms = self._environment.clock.now_ms
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -654,7 +654,7 @@
     result = run_schedule(seed)
     assert not result.violations, (result.faults, result.violations)
     assert result.committed_keys > 10
-    assert result.repeated_answers > 10
+    assert result.repeated_responses > 10
 
 
 # ---- removal of single safety checks
