--- a/shaletiller/lab/crash_cut.py
+++ b/shaletiller/lab/crash_cut.py
@@ -1,13 +1,14 @@
 """The crash-cut test of a store: `lab cut DIR`.
 
-A store is written with a snapshot, several segments, and keys that were replaced and deleted.  After each
-commit it is noted what was acknowledged.  Then, on copies:
+The test writes a store with a snapshot, several segments, and replaced and deleted keys, and records the
+acknowledged contents after each commit.  Then it modifies copies of the store:
 
-- Each file is truncated at each of its bytes.  For the last segment this is what a crash may leave: all that
-  was acknowledged by then must be found, and no incomplete record.  For the other files it is damage, which
-  must be reported.
-- A bit is flipped in each byte of each file, which must be reported as damage of that file.
-- A compaction is interrupted before each of its calls to the file system: nothing acknowledged may be lost.
+- Each file is truncated at each of its bytes.  A crash may truncate the last segment in this way: the
+  recovery must find all records that were acknowledged by then, and no incomplete record.  For the other
+  files, truncation is damage, which must be reported.
+- One bit is flipped in each byte of each file.  This must be reported as damage of that file.
+- A compaction is interrupted before each of its calls to the file system.  No acknowledged record may be
+  lost.
 """
 
 from __future__ import annotations
@@ -21,15 +22,16 @@
 from shaletiller.lab.crash_cut_store import store_files, write_reference_store
 from shaletiller.lab.guarantees import Guarantee, Outcome
 
-MEMORY_DIRECTORY = Path("/dev/shm")  # the copies go there if it exists: tens of thousands of them are written
-MAX_REPORTED = 10  # findings of each sort in the report
+# Directory of the copies if it exists: the test writes tens of thousands of copies.
+MEMORY_DIRECTORY = Path("/dev/shm")
+MAX_REPORTED = 10  # Maximum findings of each kind in the report.
 
 
 def run(directory: Path, seed: int = 1, every_bytes: int = 1) -> Outcome:
-    """Run all parts of the test.
+    """Run the truncations, the bit flips and the interrupted compactions.
 
-    :param directory: where the store is written.
-    :param every_bytes: above 1, only one byte in so many is tried.
+    :param directory: directory in which the store is written.
+    :param every_bytes: step between the tested byte offsets; 1 tests every byte.
     """
     store = directory / "store"
     shutil.rmtree(store, ignore_errors=True)
@@ -51,13 +53,13 @@
             "acknowledged and lost, or half-written and believed",
             0,
             len(findings.lost),
-            note=f"{findings.cuts} cuts, {findings.interruptions} stops in a compaction",
+            note=f"{findings.cuts} truncations, {findings.interruptions} interrupted compactions",
         ),
         Guarantee(
             "damage not named",
             0,
             len(findings.undetected),
-            note=f"{findings.flips} flips, {findings.cuts} cuts",
+            note=f"{findings.flips} bit flips, {findings.cuts} truncations",
         ),
     ]
     outcome.figures = {
--- a/shaletiller/lab/crash_cut_checks.py
+++ b/shaletiller/lab/crash_cut_checks.py
@@ -1,4 +1,4 @@
-"""Truncations and bit flips: what a store must recover from, and what it must report as damage."""
+"""Checks of truncated files and flipped bits: a store must recover, or must report the damage."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 from shaletiller.store.recovery import RecoveredContents
 from shaletiller.store.segment_store import SegmentStore
 
-COMMIT_AFTER_EVERY_BYTES = 7  # a commit after recovery is tried at a sample of the cuts: it costs two syncs
-FILE_NUMBER_DIGITS = 10  # a file's name begins with its number
+# A commit after recovery costs two syncs, so it is tested only at truncations to a multiple of this size.
+COMMIT_AFTER_EVERY_BYTES = 7
+FILE_NUMBER_DIGITS = 10  # Each file name begins with the file number.
 
 
 @dataclass
 class Findings:
-    """How much was tried, and what went wrong.
+    """The number of tests, and descriptions of the faults that they found.
 
-    `lost`: acknowledged records that were not found, or incomplete ones that were.  `undetected`: damage that
-    was not reported, or reported for another file.
+    `lost`: acknowledged records that were not found, or incomplete records that were found.  `undetected`:
+    damage that was not reported, or was reported for another file.
     """
 
     cuts: int = 0
@@ -32,7 +33,7 @@
 
 
 def commit_and_reopen(directory: Path) -> bool:
-    """Return whether a recovered store accepts a commit, and holds it when it is opened again."""
+    """Return whether a recovered store accepts a commit and still holds it after it is reopened."""
     store = SegmentStore(directory)
     store.commit([(KIND, b"after", b"more")])
     store.close()
@@ -42,7 +43,7 @@
 def check_truncations(
     reference: ReferenceStore, scratch: Path, findings: Findings, every_bytes: int = 1
 ) -> None:
-    """Cut each file at every byte, or at every so many, as a crash may do to the last segment only."""
+    """Truncate each file at every `every_bytes`-th byte; a crash may do this to the last segment only."""
     last_segment = reference.last_segment
     for path in store_files(reference.directory):
         data = path.read_bytes()
@@ -51,50 +52,54 @@
             copy = reference.copy_to(scratch)
             (copy / path.name).write_bytes(data[:size])
             if path.name == last_segment:
-                _check_torn_segment(reference, copy, size, findings)
+                _check_truncated_segment(reference, copy, size, findings)
             else:
-                _check_cut_is_reported(copy, path.name, size, findings)
+                _check_truncation_is_reported(copy, path.name, size, findings)
 
 
-def _check_torn_segment(reference: ReferenceStore, directory: Path, size: int, findings: Findings) -> None:
-    cut = f"{reference.last_segment} cut at {size}"
+def _check_truncated_segment(
+    reference: ReferenceStore, directory: Path, size: int, findings: Findings
+) -> None:
+    case = f"{reference.last_segment} truncated to {size} bytes"
     try:
         found = contents_of(RecoveredContents(directory, FileSystem()))
     except DamagedStoreError as error:
-        findings.lost.append(f"{cut}: reported as damaged: {error}")
+        findings.lost.append(f"{case}: expected recovery, received: {error}")
         return
-    if not _holds_what_was_acknowledged(reference, size, found):
-        findings.lost.append(f"{cut}: what was acknowledged is not found")
+    if not _holds_acknowledged_records(reference, size, found):
+        findings.lost.append(f"{case}: acknowledged records are not found")
     if size % COMMIT_AFTER_EVERY_BYTES == 0 and not commit_and_reopen(directory):
-        findings.lost.append(f"{cut}: a commit after the recovery is lost")
+        findings.lost.append(f"{case}: a commit after the recovery is lost")
 
 
-def _holds_what_was_acknowledged(reference: ReferenceStore, size: int, found: Contents) -> bool:
-    """Return whether a store whose last segment has `size` bytes holds what was acknowledged by then.
+def _holds_acknowledged_records(reference: ReferenceStore, size: int, found: Contents) -> bool:
+    """Return whether a store holds the records acknowledged when its last segment had `size` bytes.
 
-    The records of a commit are durable one by one: between two commits, a key may have the value of a later
-    commit already.
+    The records of a commit become durable one after the other, so a key may already have the value of a
+    commit that was not yet acknowledged.
     """
-    durable = [each.contents for each in reference.acknowledgements if each.segment_bytes <= size]
+    durable = [entry.contents for entry in reference.acknowledgements if entry.segment_bytes <= size]
     if not durable:
         return True
     acknowledged = durable[-1]
     return all(
         found.get(key) == acknowledged.get(key)
-        or any(each.contents.get(key) == found.get(key) for each in reference.acknowledgements)
+        or any(entry.contents.get(key) == found.get(key) for entry in reference.acknowledgements)
         for key in found.keys() | acknowledged.keys()
     )
 
 
-def _check_cut_is_reported(directory: Path, name: str, size: int, findings: Findings) -> None:
-    """Check that a cut of another file than the last segment is reported for it, or for one that follows."""
+def _check_truncation_is_reported(directory: Path, name: str, size: int, findings: Findings) -> None:
+    """Check that a truncation of a file that is not the last segment is reported for it or a later file."""
     try:
         RecoveredContents(directory, FileSystem())
     except DamagedStoreError as error:
         if error.path != name and _file_number(error.path) <= _file_number(name):
-            findings.undetected.append(f"{name} cut at {size}: reported instead: {error}")
+            findings.undetected.append(
+                f"{name} truncated to {size} bytes: damage reported for another file: {error}"
+            )
     else:
-        findings.undetected.append(f"{name} cut at {size}: not detected")
+        findings.undetected.append(f"{name} truncated to {size} bytes: damage not detected")
 
 
 def _file_number(name: str) -> int:
@@ -104,20 +109,22 @@
 def check_bit_flips(
     reference: ReferenceStore, scratch: Path, findings: Findings, seed: int, every_bytes: int = 1
 ) -> None:
-    """Flip a bit in every byte of each file, or in every so many: it must be reported for that file."""
-    draw = random.Random(f"flip {seed}")
+    """Flip one bit in every `every_bytes`-th byte of each file; the damage must be reported for that file."""
+    rng = random.Random(f"flip {seed}")
     for path in store_files(reference.directory):
         data = path.read_bytes()
         for offset in range(0, len(data), every_bytes):
             findings.flips += 1
             copy = reference.copy_to(scratch)
             damaged = bytearray(data)
-            damaged[offset] ^= 1 << draw.randrange(8)
+            damaged[offset] ^= 1 << rng.randrange(8)
             (copy / path.name).write_bytes(bytes(damaged))
             try:
                 RecoveredContents(copy, FileSystem())
             except DamagedStoreError as error:
                 if error.path != path.name:
-                    findings.undetected.append(f"{path.name} byte {offset}: reported instead: {error}")
+                    findings.undetected.append(
+                        f"{path.name} bit flip in byte {offset}: damage reported for another file: {error}"
+                    )
             else:
-                findings.undetected.append(f"{path.name} byte {offset}: not detected")
+                findings.undetected.append(f"{path.name} bit flip in byte {offset}: damage not detected")
--- a/shaletiller/lab/state_space_bounds.py
+++ b/shaletiller/lab/state_space_bounds.py
@@ -1,15 +1,15 @@
-"""What an exploration of the replication protocol covers: client operations, and bounds on faults."""
+"""The scope of an exploration of the replication protocol: client operations, and bounds on faults."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, fields
 from enum import StrEnum
 
-MEMBERS = range(3)  # the smallest group with a majority that survives the loss of a member
+MEMBERS = range(3)  # The smallest group that keeps a majority after the loss of one member.
 
 
 class FaultKind(StrEnum):
-    """A fault whose number in one history is bounded; the value is its name in reports."""
+    """A kind of fault whose number in one history is bounded; the value is its name in reports."""
 
     LATE_REQUEST = "late"
     LOST_MESSAGE = "lost"
@@ -21,10 +21,10 @@
 
 @dataclass(slots=True, frozen=True)
 class FaultBounds:
-    """How often each kind of fault may happen in one history, at most; in the order of `FaultKind`.
+    """The maximum number of faults of each kind in one history; the fields are in the order of `FaultKind`.
 
-    `late_requests` bounds the requests that arrive after their proposer has stopped waiting for a reply;
-    beyond the bound such requests are dropped.
+    `late_requests` bounds the requests that arrive when their proposer no longer waits for a reply; further
+    requests of this kind are dropped.
     """
 
     late_requests: int = 0
@@ -38,18 +38,18 @@
         return ", ".join(f"{kind} {self.limit(kind)}" for kind in FaultKind)
 
     def limit(self, kind: FaultKind) -> int:
-        """Return the bound on faults of a kind."""
-        return int(getattr(self, _FIELD_OF[kind]))
+        """Return the maximum number of faults of a kind."""
+        return int(getattr(self, _FIELD_BY_KIND[kind]))
 
 
-_FIELD_OF = dict(zip(FaultKind, (field.name for field in fields(FaultBounds)), strict=True))
+_FIELD_BY_KIND = dict(zip(FaultKind, (field.name for field in fields(FaultBounds)), strict=True))
 
 
 @dataclass(slots=True, frozen=True)
 class ClientWrite:
-    """A write that a client sends to a member at the start.
+    """A write that a client sends to a member in the initial state.
 
-    The member claims the key; if it wins the claim and `outcome` is not empty, it writes that outcome.
+    The member claims the key.  If the claim is committed and `outcome` is not empty, it writes the outcome.
     """
 
     member: int
@@ -58,15 +58,15 @@
 
     @property
     def claim(self) -> bytes:
-        """The value that the member proposes as its claim of the key."""
+        """The value that the member proposes to claim the key."""
         return f"claim of {self.member}".encode()
 
 
 @dataclass(slots=True, frozen=True)
 class Script:
-    """The client writes of one exploration, all started at once.
+    """The client writes of one exploration, which all start at the same time.
 
-    `absent_member` is disconnected at first, and may come back at any moment.
+    `absent_member` is disconnected in the initial state and may reconnect at any time.
     """
 
     name: str
@@ -75,15 +75,15 @@
 
 
 CONFLICTING_CLAIMS = Script(
-    "two claim one key, and the winner writes its outcome",
+    "two members claim one key, the winner writes its outcome",
     (ClientWrite(0, "a", b"out0"), ClientWrite(1, "a")),
 )
 TWO_KEYS = Script(
-    "two keys, one claimed and settled, one claimed",
+    "two keys: one is claimed and gets an outcome, one is claimed",
     (ClientWrite(0, "a", b"out0"), ClientWrite(1, "b")),
 )
 ABSENT_MEMBER = Script(
-    "one is away at first, one claims and settles",
+    "one member is absent at first, one claims a key and writes its outcome",
     (ClientWrite(0, "a", b"out0"),),
     absent_member=2,
 )
@@ -91,13 +91,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ExplorationTask:
-    """One exploration: a script, with bounds on faults."""
+    """The parameters of one exploration: a script, and bounds on faults."""
 
     bounds: FaultBounds
     script: Script
 
 
-# Covers each kind of fault at least once, in a few minutes on eight cores.
+# Each kind of fault occurs at least once. All tasks take a few minutes on eight cores.
 DEFAULT_TASKS = (
     ExplorationTask(FaultBounds(timeouts=1), TWO_KEYS),
     ExplorationTask(FaultBounds(timeouts=1), ABSENT_MEMBER),
--- a/shaletiller/lab/state_space_explorer.py
+++ b/shaletiller/lab/state_space_explorer.py
@@ -1,8 +1,8 @@
 """An explicit-state model checker of the replication protocol.
 
-It visits every state that is reachable within bounds on faults, depth first, on the gateways' own code, and
-checks the invariants in each; see Clarke, Grumberg and Peled, "Model Checking", on explicit-state
-exploration.  States with equal fingerprints are visited once.
+It runs the code of the real gateways, visits every state that is reachable within the bounds on faults in
+depth-first order, and checks the invariants in each state; see Clarke, Grumberg and Peled, "Model Checking",
+on explicit-state exploration.  Of several states with equal fingerprints, only one is visited.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from shaletiller.lab.state_space_model import Event, EventKind, ProtocolModel, SystemState
 from shaletiller.lab.state_space_reduction import fingerprint, remove_obsolete_messages
 
-DEFAULT_MAX_STATES = 2_000_000  # their fingerprints fit in the memory of a developer's machine
+DEFAULT_MAX_STATES = 2_000_000  # The fingerprints fit in the memory of a developer's machine.
 
 
 @dataclass
 class Exploration:
-    """What an exploration covered, and the violation that ended it, if any.
+    """The result of an exploration, with the violation that ended it, if any.
 
-    `complete` is False where the bound on states was reached first.  `trace` lists the events that lead to
+    `complete` is False if the maximum number of states was reached.  `trace` lists the events that lead to
     the violation.
     """
 
@@ -42,7 +42,7 @@
     trace: list[str] = field(default_factory=list)
 
     def to_json(self) -> dict[str, Any]:
-        """Return the exploration under the keys of the report."""
+        """Return the exploration with the keys of the JSON report."""
         return {
             "bounds": self.bounds,
             "script": self.script,
@@ -57,11 +57,11 @@
 
     def lines(self) -> list[str]:
         """Return the exploration as lines to print."""
-        mark = "!!" if self.violation else "ok" if self.complete else "--"
-        incomplete = "" if self.complete else ", NOT WHOLE"
+        status = "!!" if self.violation else "ok" if self.complete else "--"
+        incomplete = "" if self.complete else ", INCOMPLETE"
         first = (
-            f"{mark} {self.script}; {self.bounds}: {self.states} states, {self.transitions} steps, "
-            f"{self.final_states} ends, {self.seconds:.0f} s{incomplete}"
+            f"{status} {self.script}; {self.bounds}: {self.states} states, {self.transitions} transitions, "
+            f"{self.final_states} final states, {self.seconds:.0f} s{incomplete}"
         )
         if not self.violation:
             return [first]
@@ -70,15 +70,15 @@
 
 @dataclass(slots=True)
 class _Visit:
-    """A state on the path of the depth-first search, with the events that are still to be tried."""
+    """A state on the stack of the depth-first search, with the events that have not been applied yet."""
 
-    state: bytes  # pickled
+    state: bytes  # A pickled `SystemState`.
     events: list[Event]
     trace: list[Event]
 
 
 class _Search:
-    """One depth-first search."""
+    """A depth-first search of the states of a model."""
 
     def __init__(self, model: ProtocolModel, max_states: int) -> None:
         self._model, self._max_states = model, max_states
@@ -86,9 +86,9 @@
         self.result = Exploration(str(model.bounds), model.script.name)
 
     def run(self) -> None:
-        """Visit all reachable states, up to the bound or to the first violation."""
+        """Visit all reachable states; stop at the maximum number of states or at the first violation."""
         state = self._model.initial_state()
-        self._visit_once(state)
+        self._mark_visited(state)
         stack = [_Visit(pickle.dumps(state), list(self._model.events(state)), [])]
         while stack:
             visit = stack[-1]
@@ -97,37 +97,37 @@
                 continue
             event = visit.events.pop()
             try:
-                following = self._follow(visit, event)
+                next_visit = self._apply_event(visit, event)
             except InvariantViolationError as error:
                 self.result.violation = str(error)
-                self.result.trace = [str(each) for each in [*visit.trace, event]]
+                self.result.trace = [str(step) for step in [*visit.trace, event]]
                 break
             if len(self._visited) >= self._max_states:
                 self.result.complete = False
                 break
-            if following is not None:
-                stack.append(following)
+            if next_visit is not None:
+                stack.append(next_visit)
         self.result.states = len(self._visited)
 
-    def _visit_once(self, state: SystemState) -> bool:
-        """Reduce a state and note it; return whether it is a new one."""
+    def _mark_visited(self, state: SystemState) -> bool:
+        """Reduce a state and store its fingerprint; return whether it was not visited before."""
         remove_obsolete_messages(state, self._model.bounds)
-        mark = fingerprint(state)
-        if mark in self._visited:
+        digest = fingerprint(state)
+        if digest in self._visited:
             return False
-        self._visited.add(mark)
+        self._visited.add(digest)
         return True
 
-    def _follow(self, visit: _Visit, event: Event) -> _Visit | None:
-        """Apply an event; return the visit of the state it leads to, None where that is visited already."""
+    def _apply_event(self, visit: _Visit, event: Event) -> _Visit | None:
+        """Apply an event; return the visit of the next state, or None if that state was visited before."""
         state: SystemState = pickle.loads(visit.state)
         self._model.apply(state, event)
         self.result.transitions += 1
-        if not self._visit_once(state):
+        if not self._mark_visited(state):
             return None
         check_state(state)
         events = list(self._model.events(state))
-        if not any(each.kind in (EventKind.DELIVER, EventKind.PERSIST) for each in events):
+        if not any(enabled.kind in (EventKind.DELIVER, EventKind.PERSIST) for enabled in events):
             self.result.final_states += 1
             check_final_state(self._model, state)
         return _Visit(pickle.dumps(state), events, [*visit.trace, event])
@@ -136,7 +136,7 @@
 def explore(model: ProtocolModel, max_states: int = DEFAULT_MAX_STATES) -> Exploration:
     """Visit all reachable states of a model.
 
-    :param max_states: the exploration ends, incomplete, when it has visited so many.
+    :param max_states: the exploration stops, incomplete, after this number of states.
     """
     started = time.monotonic()
     search = _Search(model, max_states)
@@ -150,6 +150,6 @@
 
 
 def explore_all(tasks: Iterable[ExplorationTask], max_states: int = DEFAULT_MAX_STATES) -> list[Exploration]:
-    """Run explorations on all processor cores, and return their results in the order of the tasks."""
+    """Run explorations on all processor cores; the results are in the order of the tasks."""
     with ProcessPoolExecutor() as pool:
         return list(pool.map(partial(_explore_task, max_states=max_states), tasks))
--- a/shaletiller/lab/state_space_invariants.py
+++ b/shaletiller/lab/state_space_invariants.py
@@ -1,21 +1,21 @@
-"""What must hold in each reachable state of the replication protocol, and in its final states."""
+"""Invariants of the replication protocol, checked in each reachable state and in the final states."""
 
 from __future__ import annotations
 
 from shaletiller.lab.state_space_model import (
     WINNERS,
-    Answer,
     ClientOperation,
+    ClientResponse,
     ProtocolModel,
     SystemState,
 )
 
 
 class InvariantViolationError(Exception):
-    """An invariant does not hold; the message names the key and the members."""
+    """Raised when an invariant is violated; the message names the key and the members."""
 
 
-def _operations_by_key(state: SystemState) -> dict[str, list[ClientOperation]]:
+def _group_operations_by_key(state: SystemState) -> dict[str, list[ClientOperation]]:
     by_key: dict[str, list[ClientOperation]] = {}
     for operation in state.operations:
         by_key.setdefault(operation.write.key, []).append(operation)
@@ -23,54 +23,59 @@
 
 
 def check_state(state: SystemState) -> None:
-    """Check that answers agree: one claim of a key wins, its outcome is committed, and others find it.
+    """Check that the responses to all writes of a key agree.
 
-    :raises InvariantViolationError: where they do not.
+    At most one claim of a key is committed, its outcome is not lost, and other writes find its claim or its
+    outcome.
+
+    :raises InvariantViolationError: if an invariant is violated.
     """
-    for key, operations in _operations_by_key(state).items():
-        winners = [operation for operation in operations if operation.answer in WINNERS]
+    for key, operations in _group_operations_by_key(state).items():
+        winners = [operation for operation in operations if operation.response in WINNERS]
         if len(winners) > 1:
             members = [operation.write.member for operation in winners]
-            raise InvariantViolationError(f"key {key}: claims of {members} were both kept")
+            raise InvariantViolationError(
+                f"key {key}: claims of members {members} were both kept, expected at most one"
+            )
         for operation in operations:
-            if operation.answer is Answer.OUTCOME_LOST:
+            if operation.response is ClientResponse.OUTCOME_LOST:
                 raise InvariantViolationError(
-                    f"key {key}: the outcome of {operation.write.member} was lost to another value"
+                    f"key {key}: member {operation.write.member} committed its claim, but lost its outcome"
                 )
-            if operation.answer is Answer.OTHER_VALUE and winners:
-                _check_value_is_of(winners[0], operation)
+            if operation.response is ClientResponse.OTHER_VALUE and winners:
+                _check_value_belongs_to_winner(winners[0], operation)
 
 
-def _check_value_is_of(winner: ClientOperation, loser: ClientOperation) -> None:
+def _check_value_belongs_to_winner(winner: ClientOperation, loser: ClientOperation) -> None:
     if loser.value not in (winner.write.claim, winner.write.outcome):
         raise InvariantViolationError(
-            f"key {loser.write.key}: {loser.write.member} found {loser.value!r}, "
-            f"but the claim of {winner.write.member} is committed"
+            f"key {loser.write.key}: member {loser.write.member} found {loser.value!r}, "
+            f"but the claim of member {winner.write.member} is committed"
         )
 
 
 def check_final_state(model: ProtocolModel, state: SystemState) -> None:
-    """Check that a read after all events finds what clients were answered.
+    """Check that a read in a final state finds the values that clients received as committed.
 
-    A value that was answered is on a majority, and any two majorities share a member; so the read must find
-    it whichever members reply.
+    A committed value is stored by a majority, and any two majorities share a member.  The read must therefore
+    find the value, whichever members reply.
 
-    :raises InvariantViolationError: where it finds another value.
+    :raises InvariantViolationError: if the read finds another value.
     """
-    for key, operations in _operations_by_key(state).items():
-        answered = [
+    for key, operations in _group_operations_by_key(state).items():
+        committed = [
             operation
             for operation in operations
-            if operation.answer in (Answer.CLAIMED, Answer.OUTCOME_COMMITTED)
+            if operation.response in (ClientResponse.CLAIMED, ClientResponse.OUTCOME_COMMITTED)
         ]
-        if not answered:
+        if not committed:
             continue
-        winner = answered[0]
+        winner = committed[0]
         expected = {winner.write.outcome}
-        if winner.answer is Answer.CLAIMED:  # the outcome may have been written without an answer
+        if winner.response is ClientResponse.CLAIMED:  # The outcome may have been written without a response.
             expected = {winner.write.claim, winner.write.outcome} - {b""}
         found = model.read(state.copy(), key)
         if found is not None and found not in expected:
             raise InvariantViolationError(
-                f"key {key}: {sorted(expected)} was answered, {found!r} is found afterwards"
+                f"key {key}: expected one of {sorted(expected)}, but {found!r} is found afterwards"
             )
--- a/shaletiller/lab/state_space_model.py
+++ b/shaletiller/lab/state_space_model.py
@@ -1,8 +1,8 @@
 """The replication protocol as a transition system: states, events, and what each event does.
 
-Three members run the gateway's own `ReplicationNode`.  Messages arrive in any order, and may be lost or
-duplicated; a member may crash at any moment, with its disk or with the loss of it; its timers may fire at any
-moment.  `FaultBounds` limits how often each of these may happen.
+Three members run the `ReplicationNode` of the real gateway.  Messages arrive in any order, and may be lost or
+duplicated.  At any time a member may crash, with or without the loss of its disk, and its timers may fire.
+`FaultBounds` limits the number of these faults.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from shaletiller.replication.proposer import Precondition
 from shaletiller.replication.records import META, pack
 
-BEGIN_MS = 1_000_000.0  # any time far enough from 0 for incarnations before it
-NEVER_MS = 9e12  # later than any time of an exploration
-TIMEOUT_STEP_MS = 100.0  # longer than any wait of the protocol: each timer event is one timeout
-RESTART_STEP_MS = 10.0  # sets the incarnations of restarted members apart
-FIRST_INCARNATION = 1_000  # of member 0, in the state that the members start from
-READ_ROUNDS = 60  # empirical: several times what a read by three members takes
+BEGIN_MS = 1_000_000.0  # Initial time, late enough that the initial incarnations lie before it.
+NEVER_MS = 9e12  # Later than any time in an exploration.
+TIMEOUT_STEP_MS = 100.0  # Longer than any wait of the protocol, so that each timer event is one timeout.
+RESTART_STEP_MS = 10.0  # Gives restarted members different incarnations.
+FIRST_INCARNATION = 1_000  # Incarnation of member 0 in the initial state.
+MAX_READ_EVENTS = 60  # Several times the number of events of a read by three members.
 ONE_ZONE = ReplicaGroups(("",) * len(MEMBERS))
 
 NodeFactory = Callable[[int, ReplicaGroups, list[tuple[int, bytes, bytes]], float], ReplicationNode]
@@ -42,11 +42,11 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Envelope:
-        """Decode an envelope from its form in `SystemState.in_transit`."""
+        """Decode an envelope that was encoded for `SystemState.in_transit`."""
         return cls(*pickle.loads(data))
 
     def encode(self) -> bytes:
-        """Encode the envelope: equal messages count as one, and sort."""
+        """Encode the envelope, so that equal messages can be counted and all messages sorted."""
         return pickle.dumps(tuple(self))
 
     def __str__(self) -> str:
@@ -54,7 +54,7 @@
 
 
 class EventKind(StrEnum):
-    """What can happen next; the value is its name in reports."""
+    """A kind of transition; the value is its name in reports."""
 
     DELIVER = "deliver"
     LOSE = "lose"
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """One transition: of a member, or of an encoded envelope for the events of messages."""
+    """A transition of a member, or of a message, whose encoded envelope it holds."""
 
     kind: EventKind
     member: int = -1
@@ -78,39 +78,40 @@
         return f"{self.kind} {Envelope.decode(self.envelope) if self.envelope else self.member}"
 
 
-class Answer(StrEnum):
-    """What a client was answered about its write."""
+class ClientResponse(StrEnum):
+    """The response to a client's write."""
 
     NONE = "none"
-    CLAIMED = "claimed"  # its claim is committed
-    OTHER_VALUE = "other value"  # another value is committed
+    CLAIMED = "claimed"  # The claim is committed.
+    OTHER_VALUE = "other value"  # Another value is committed.
     INDETERMINATE = "indeterminate"
     OUTCOME_COMMITTED = "outcome committed"
-    OUTCOME_LOST = "outcome lost"  # the claim was committed, and its outcome was refused
+    OUTCOME_LOST = "outcome lost"  # The claim was committed, but the outcome was rejected.
 
 
-WINNERS = frozenset({Answer.CLAIMED, Answer.OUTCOME_COMMITTED, Answer.OUTCOME_LOST})
+WINNERS = frozenset({ClientResponse.CLAIMED, ClientResponse.OUTCOME_COMMITTED, ClientResponse.OUTCOME_LOST})
 
 
 @dataclass(slots=True)
 class ClientOperation:
-    """A client's write, the member's operation that serves it, and its answer.
+    """A client's write, the replication operation of the member for it, and its response.
 
-    `abandoned`: the member crashed before the write ended; no further answer comes.
+    `abandoned`: the member crashed before the write ended, so that the response no longer changes.
     """
 
     write: ClientWrite
     operation: int = 0
-    answer: Answer = Answer.NONE
+    response: ClientResponse = ClientResponse.NONE
     value: bytes = b""
     abandoned: bool = False
 
 
 @dataclass
 class SystemState:
-    """All that bears on what can follow.
+    """The complete state of the system, which determines the events that can follow.
 
-    `persisting` holds what is on its way to each disk, in order; `in_transit` the encoded envelopes.
+    `persisting` holds the records that wait to become durable on each disk, in order; `in_transit` counts the
+    encoded envelopes.
     """
 
     nodes: dict[int, ReplicationNode] = field(default_factory=dict)
@@ -124,19 +125,19 @@
     absent_member: int | None = None
 
     def copy(self) -> SystemState:
-        """Return an independent copy."""
+        """Return a deep copy."""
         copied: SystemState = pickle.loads(pickle.dumps(self))
         return copied
 
     def remove_from_transit(self, envelope: bytes) -> None:
-        """Remove one instance of a message."""
+        """Remove one copy of a message."""
         self.in_transit[envelope] -= 1
         if not self.in_transit[envelope]:
             del self.in_transit[envelope]
 
 
 def is_late_request(state: SystemState, envelope: Envelope) -> bool:
-    """Return whether this is a request whose proposer no longer waits for a reply to it."""
+    """Return whether a message is a request whose proposer no longer waits for a reply."""
     message = envelope.message
     return (
         isinstance(message, Prepare | Accept)
@@ -154,25 +155,25 @@
         create_node: NodeFactory = ReplicationNode,
         groups: ReplicaGroups = ONE_ZONE,
     ) -> None:
-        """Configure the model.
+        """Create the model.
 
-        :param create_node: creates a member; tests pass nodes with a guard removed.
+        :param create_node: creates a member's replication node; tests pass nodes without a safety check.
         """
         self.bounds, self.script = bounds, script
         self._create_node, self._groups = create_node, groups
         self._handlers: dict[EventKind, Callable[[SystemState, Event], None]] = {
-            EventKind.DELIVER: self._deliver,
-            EventKind.LOSE: self._lose,
-            EventKind.DUPLICATE: self._duplicate,
-            EventKind.REJOIN: self._rejoin,
+            EventKind.DELIVER: self._handle_delivery,
+            EventKind.LOSE: self._handle_loss,
+            EventKind.DUPLICATE: self._handle_duplication,
+            EventKind.REJOIN: self._handle_rejoin,
             EventKind.PERSIST: lambda state, event: self._persist_next(state, event.member),
-            EventKind.CRASH: self._crash,
-            EventKind.LOSE_DISK: self._crash,
-            EventKind.TIMEOUT: self._time_out,
+            EventKind.CRASH: self._handle_crash,
+            EventKind.LOSE_DISK: self._handle_crash,
+            EventKind.TIMEOUT: self._handle_timeout,
         }
 
     def initial_state(self) -> SystemState:
-        """Return the state after the start: the members have synced, and each write has been proposed."""
+        """Return the initial state: the members are synced, and the claim of each write has been proposed."""
         state = SystemState(absent_member=self.script.absent_member)
         incarnations = [FIRST_INCARNATION + member for member in MEMBERS]
         for member in MEMBERS:
@@ -190,10 +191,8 @@
             self._propose_claim(state, write)
         return state
 
-    # ---- events
-
     def events(self, state: SystemState) -> Iterator[Event]:
-        """Yield all that can happen next."""
+        """Yield all events that are possible in a state."""
         for envelope in state.in_transit:
             yield Event(EventKind.DELIVER, envelope=envelope)
             if self._allows(state, FaultKind.LOST_MESSAGE):
@@ -222,47 +221,48 @@
         return state.faults[kind] < self.bounds.limit(kind)
 
     def apply(self, state: SystemState, event: Event) -> None:
-        """Change the state by an event."""
+        """Apply an event to the state in place."""
         self._handlers[event.kind](state, event)
 
-    def _deliver(self, state: SystemState, event: Event) -> None:
+    def _handle_delivery(self, state: SystemState, event: Event) -> None:
         state.remove_from_transit(event.envelope)
         self._receive(state, event.envelope)
 
-    def _lose(self, state: SystemState, event: Event) -> None:
+    def _handle_loss(self, state: SystemState, event: Event) -> None:
         state.remove_from_transit(event.envelope)
         state.faults[FaultKind.LOST_MESSAGE] += 1
 
-    def _duplicate(self, state: SystemState, event: Event) -> None:
+    def _handle_duplication(self, state: SystemState, event: Event) -> None:
         state.faults[FaultKind.DUPLICATED_MESSAGE] += 1
         self._receive(state, event.envelope)
 
-    def _rejoin(self, state: SystemState, event: Event) -> None:
+    def _handle_rejoin(self, state: SystemState, event: Event) -> None:
         state.absent_member = None
 
-    def _crash(self, state: SystemState, event: Event) -> None:
+    def _handle_crash(self, state: SystemState, event: Event) -> None:
         if event.kind is EventKind.LOSE_DISK:
             state.faults[FaultKind.DISK_LOSS] += 1
             state.disks[event.member] = {}
         else:
             state.faults[FaultKind.CRASH] += 1
         for operation in state.operations:
-            if operation.write.member == event.member and operation.answer in (Answer.NONE, Answer.CLAIMED):
+            if operation.write.member == event.member and operation.response in (
+                ClientResponse.NONE,
+                ClientResponse.CLAIMED,
+            ):
                 operation.abandoned = True
         self._start(state, event.member)
 
-    def _time_out(self, state: SystemState, event: Event) -> None:
+    def _handle_timeout(self, state: SystemState, event: Event) -> None:
         state.faults[FaultKind.TIMEOUT] += 1
         self._advance_clock(state, event.member)
 
-    # ---- members
-
     def _start(self, state: SystemState, member: int) -> None:
         state.restarts += 1
         state.clocks_ms[member] += RESTART_STEP_MS * state.restarts
         stored = [(kind, key, value) for (kind, key), value in state.disks[member].items()]
         node = self._create_node(member, self._groups, stored, state.clocks_ms[member])
-        node.anti_entropy._compared_ms = NEVER_MS  # anti-entropy is no part of the model
+        node.anti_entropy._compared_ms = NEVER_MS  # The model does not include anti-entropy.
         state.nodes[member] = node
         state.persisting[member] = []
         node.tick(state.clocks_ms[member], ())
@@ -299,14 +299,12 @@
             elif isinstance(effect, PersistRecords):
                 state.persisting[member].append(effect)
             else:
-                self._operation_finished(state, member, effect)
-        # Partial-order reduction: where no member crashes, nobody can observe when exactly a record becomes
-        # durable; and a barrier without updates becomes durable with what precedes it.
+                self._on_operation_finished(state, member, effect)
+        # Partial-order reduction: without crashes, the time at which a record becomes durable cannot be
+        # observed; a barrier without updates becomes durable together with the records before it.
         while state.persisting[member] and not (self.bounds.crashes and state.persisting[member][0].updates):
             self._persist_next(state, member)
 
-    # ---- client operations
-
     def _propose_claim(self, state: SystemState, write: ClientWrite) -> None:
         member = write.member
         number = state.nodes[member].propose(
@@ -315,30 +313,34 @@
         state.operations.append(ClientOperation(write, number))
         self._apply_effects(state, member)
 
-    def _operation_finished(self, state: SystemState, member: int, result: OperationResult) -> None:
+    def _on_operation_finished(self, state: SystemState, member: int, result: OperationResult) -> None:
         operation = next(
             (
-                each
-                for each in state.operations
-                if each.write.member == member and each.operation == result.operation
+                candidate
+                for candidate in state.operations
+                if candidate.write.member == member and candidate.operation == result.operation
             ),
             None,
         )
         if operation is None or operation.abandoned:
             return
-        if operation.answer is Answer.NONE:
-            self._claim_finished(state, operation, result)
-        elif operation.answer is Answer.CLAIMED and operation.write.outcome:
-            operation.answer = Answer.OUTCOME_COMMITTED if result.committed else Answer.OUTCOME_LOST
+        if operation.response is ClientResponse.NONE:
+            self._on_claim_finished(state, operation, result)
+        elif operation.response is ClientResponse.CLAIMED and operation.write.outcome:
+            operation.response = (
+                ClientResponse.OUTCOME_COMMITTED if result.committed else ClientResponse.OUTCOME_LOST
+            )
 
-    def _claim_finished(
+    def _on_claim_finished(
         self, state: SystemState, operation: ClientOperation, result: OperationResult
     ) -> None:
         operation.value = result.value
         if not result.committed:
-            operation.answer = Answer.INDETERMINATE if result.indeterminate else Answer.OTHER_VALUE
+            operation.response = (
+                ClientResponse.INDETERMINATE if result.indeterminate else ClientResponse.OTHER_VALUE
+            )
             return
-        operation.answer = Answer.CLAIMED
+        operation.response = ClientResponse.CLAIMED
         write = operation.write
         if write.outcome:
             operation.operation = state.nodes[write.member].propose(
@@ -354,12 +356,12 @@
             self._apply_effects(state, write.member)
 
     def read(self, state: SystemState, key: str) -> bytes | None:
-        """Read a key in a state in which no member fails any more; changes the state.
+        """Read a key without further faults; modifies the state.
 
-        All messages in transit are lost first.  The reader is a member that has still to be synced, if there
-        is one: it depends on the others most.
+        First, all messages in transit are dropped.  The reader is a member that is not synced yet, if there
+        is one, because it depends most on the other members.
 
-        :returns: the committed value; None where no majority can be reached.
+        :returns: the committed value, or None if no majority can be reached.
         """
         state.in_transit.clear()
         state.absent_member = None
@@ -369,9 +371,9 @@
         )
         read = ClientOperation(ClientWrite(reader, key), number)
         state.operations = [read]
-        for _ in range(READ_ROUNDS):
+        for _ in range(MAX_READ_EVENTS):
             self._persist_all(state)
-            if read.answer is not Answer.NONE:
+            if read.response is not ClientResponse.NONE:
                 return read.value
             if state.in_transit:
                 envelope = next(iter(state.in_transit))
--- a/shaletiller/lab/state_space_reduction.py
+++ b/shaletiller/lab/state_space_reduction.py
@@ -1,4 +1,4 @@
-"""Reductions of the state space: messages without effect are removed, and equal states recognized."""
+"""Reductions of the state space: removal of messages without effect, and fingerprints of states."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 def remove_obsolete_messages(state: SystemState, bounds: FaultBounds) -> None:
-    """Remove messages from transit that change nothing, whenever they arrive.
+    """Remove messages in transit that have no effect, whenever they arrive.
 
-    These are replies that nobody waits for, and requests of earlier incarnations.  Late requests are removed
-    too once their bound is reached.
+    These are replies that no proposer or state transfer waits for, and requests of earlier incarnations.
+    Late requests are removed too when their maximum number is reached.
     """
-    late_requests_over = state.faults[FaultKind.LATE_REQUEST] >= bounds.late_requests
+    drops_late_requests = state.faults[FaultKind.LATE_REQUEST] >= bounds.late_requests
     for encoded in list(state.in_transit):
         envelope = Envelope.decode(encoded)
-        if _is_obsolete(state, envelope) or (late_requests_over and is_late_request(state, envelope)):
+        if _is_obsolete(state, envelope) or (drops_late_requests and is_late_request(state, envelope)):
             del state.in_transit[encoded]
 
 
@@ -34,17 +34,23 @@
     if isinstance(message, Reply):
         return message.nonce not in node.proposer._nonces
     if isinstance(message, StateTransferPage):
-        return message.nonce not in [each.nonce for each in node.state_transfer._progress.values()]
+        return message.nonce not in [progress.nonce for progress in node.state_transfer._progress.values()]
     if isinstance(message, StateTransferRequest):
         return message.incarnation < node.acceptor.incarnations[sender]
     return False
 
 
 def fingerprint(state: SystemState) -> bytes:
-    """Return a hash that is equal for states from which the same can follow."""
+    """Return a hash of the state; states with equal hashes have the same continuations."""
     members = [_member_key(state, member) for member in MEMBERS]
     operations = [
-        (each.answer.value, each.abandoned, each.value, each.operation) for each in state.operations
+        (
+            client_operation.response.value,
+            client_operation.abandoned,
+            client_operation.value,
+            client_operation.operation,
+        )
+        for client_operation in state.operations
     ]
     faults = sorted((kind.value, count) for kind, count in state.faults.items())
     key = (
