--- a/shaletiller/lab/crash_cut.py
+++ b/shaletiller/lab/crash_cut.py
@@ -27,11 +27,11 @@
 MAX_REPORTED = 10  # Maximum findings of each kind in the report.
 
 
-def run(directory: Path, seed: int = 1, every_bytes: int = 1) -> Outcome:
+def run(directory: Path, seed: int = 1, byte_step: int = 1) -> Outcome:
     """Run the truncations, the bit flips and the interrupted compactions.
 
     :param directory: directory in which the store is written.
-    :param every_bytes: step between the tested byte offsets; 1 tests every byte.
+    :param byte_step: step between the tested byte offsets; 1 tests every byte.
     """
     store = directory / "store"
     shutil.rmtree(store, ignore_errors=True)
@@ -40,8 +40,8 @@
     parent = MEMORY_DIRECTORY if MEMORY_DIRECTORY.is_dir() else directory
     with tempfile.TemporaryDirectory(dir=parent) as temporary:
         scratch = Path(temporary) / "copy"
-        check_truncations(reference, scratch, findings, every_bytes)
-        check_bit_flips(reference, scratch, findings, seed, every_bytes)
+        check_truncations(reference, scratch, findings, byte_step)
+        check_bit_flips(reference, scratch, findings, seed, byte_step)
         check_interrupted_compactions(reference, scratch, findings)
     return _report(seed, store, findings)
 
@@ -53,13 +53,13 @@
             "acknowledged and lost, or half-written and believed",
             0,
             len(findings.lost),
-            note=f"{findings.cuts} truncations, {findings.interruptions} interrupted compactions",
+            note=f"{findings.truncations} truncations, {findings.interruptions} interrupted compactions",
         ),
         Guarantee(
             "damage not named",
             0,
             len(findings.undetected),
-            note=f"{findings.flips} bit flips, {findings.cuts} truncations",
+            note=f"{findings.bit_flips} bit flips, {findings.truncations} truncations",
         ),
     ]
     outcome.figures = {
--- a/shaletiller/lab/crash_cut_checks.py
+++ b/shaletiller/lab/crash_cut_checks.py
@@ -25,8 +25,8 @@
     damage that was not reported, or was reported for another file.
     """
 
-    cuts: int = 0
-    flips: int = 0
+    truncations: int = 0
+    bit_flips: int = 0
     interruptions: int = 0
     lost: list[str] = field(default_factory=list)
     undetected: list[str] = field(default_factory=list)
@@ -41,14 +41,14 @@
 
 
 def check_truncations(
-    reference: ReferenceStore, scratch: Path, findings: Findings, every_bytes: int = 1
+    reference: ReferenceStore, scratch: Path, findings: Findings, byte_step: int = 1
 ) -> None:
-    """Truncate each file at every `every_bytes`-th byte; a crash may do this to the last segment only."""
+    """Truncate each file at every `byte_step`-th byte; a crash may do this to the last segment only."""
     last_segment = reference.last_segment
     for path in store_files(reference.directory):
         data = path.read_bytes()
-        for size in range(0, len(data), every_bytes):
-            findings.cuts += 1
+        for size in range(0, len(data), byte_step):
+            findings.truncations += 1
             copy = reference.copy_to(scratch)
             (copy / path.name).write_bytes(data[:size])
             if path.name == last_segment:
@@ -107,14 +107,14 @@
 
 
 def check_bit_flips(
-    reference: ReferenceStore, scratch: Path, findings: Findings, seed: int, every_bytes: int = 1
+    reference: ReferenceStore, scratch: Path, findings: Findings, seed: int, byte_step: int = 1
 ) -> None:
-    """Flip one bit in every `every_bytes`-th byte of each file; the damage must be reported for that file."""
+    """Flip one bit in every `byte_step`-th byte of each file; the damage must be reported for that file."""
     rng = random.Random(f"flip {seed}")
     for path in store_files(reference.directory):
         data = path.read_bytes()
-        for offset in range(0, len(data), every_bytes):
-            findings.flips += 1
+        for offset in range(0, len(data), byte_step):
+            findings.bit_flips += 1
             copy = reference.copy_to(scratch)
             damaged = bytearray(data)
             damaged[offset] ^= 1 << rng.randrange(8)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -230,7 +230,7 @@
 
     No acknowledged record may be lost, and all damage must be reported.
     """
-    outcome = crash_cut.run(tmp_path, seed=2, every_bytes=5)
+    outcome = crash_cut.run(tmp_path, seed=2, byte_step=5)
     assert outcome.kept, "\n".join([*outcome.lines(), str(outcome.figures)])
 
 
@@ -240,7 +240,7 @@
 ) -> None:
     """With constant checksums, damage goes undetected: the checker must report a violation."""
     monkeypatch.setattr(record_format.xxhash, "xxh3_64_intdigest", lambda raw, seed=0: 0)
-    outcome = crash_cut.run(tmp_path, every_bytes=29)
+    outcome = crash_cut.run(tmp_path, byte_step=29)
     assert not outcome.guarantees[1].kept
 
 
