--- a/shaletiller/lab/crash_cut.py
+++ b/shaletiller/lab/crash_cut.py
@@ -1,13 +1,13 @@
 """The crash-cut test of a store: `lab cut DIR`.
 
 The test writes a store with a snapshot, several segments, and replaced and deleted keys, and records the
-acknowledged contents after each commit.  Then it modifies copies of the store:
+acknowledged contents after each commit. Then it modifies copies of the store:
 
-- Each file is truncated at each of its bytes.  A crash may truncate the last segment in this way: the
-  recovery must find all records that were acknowledged by then, and no incomplete record.  For the other
+- Each file is truncated at each of its bytes. A crash may truncate the last segment in this way: the
+  recovery must find all records that were acknowledged by then, and no incomplete record. For the other
   files, truncation is damage, which must be reported.
-- One bit is flipped in each byte of each file.  This must be reported as damage of that file.
-- A compaction is interrupted before each of its calls to the file system.  No acknowledged record may be
+- One bit is flipped in each byte of each file. This must be reported as damage of that file.
+- A compaction is interrupted before each of its calls to the file system. No acknowledged record may be
   lost.
 """
 
--- a/shaletiller/lab/crash_cut_checks.py
+++ b/shaletiller/lab/crash_cut_checks.py
@@ -21,7 +21,7 @@
 class Findings:
     """The number of tests, and descriptions of the faults that they found.
 
-    `lost`: acknowledged records that were not found, or incomplete records that were found.  `undetected`:
+    `lost`: acknowledged records that were not found, or incomplete records that were found. `undetected`:
     damage that was not reported, or was reported for another file.
     """
 
--- a/shaletiller/lab/replication_scenarios.py
+++ b/shaletiller/lab/replication_scenarios.py
@@ -1,7 +1,7 @@
 """`lab promises`: replicated writes with idempotency keys through real gateway processes with stores.
 
 Clients write with keys, and retry with the same key through other gateways: immediately, after a short delay,
-and once more after all faults.  An operator disables a storage node at one gateway.  The storage nodes do not
+and once more after all faults. An operator disables a storage node at one gateway. The storage nodes do not
 deduplicate: a write that reaches them twice runs twice.  replication_guarantees.py checks the guarantees.
 """
 
--- a/shaletiller/lab/replication_sim_gateway.py
+++ b/shaletiller/lab/replication_sim_gateway.py
@@ -1,8 +1,8 @@
 """A simulated gateway of the replication simulation: its process, its disk and its clock.
 
-The process runs the `ReplicationNode` and `ReplicatedWrites` of the real gateway.  It may crash, or be paused
-while its messages are queued.  The contents of the disk survive a crash of the process, except for a batch
-whose sync has not ended.  The disk may be lost with the machine.
+The process runs the `ReplicationNode` and `ReplicatedWrites` of the real gateway. It may crash, or be paused
+while its messages are queued. The contents of the disk survive a crash of the process, except for a batch
+whose sync has not ended. The disk may be lost with the machine.
 """
 
 from __future__ import annotations
--- a/shaletiller/lab/replication_simulation.py
+++ b/shaletiller/lab/replication_simulation.py
@@ -1,7 +1,7 @@
 """Simulation of replication on a virtual clock: seeded schedules of faults, and checks of the guarantees.
 
-The code of the real gateways runs with simulated clocks, disks, links and storage nodes.  Clients write with
-idempotency keys, and retry with the same key through other gateways.  The checks use only externally visible
+The code of the real gateways runs with simulated clocks, disks, links and storage nodes. Clients write with
+idempotency keys, and retry with the same key through other gateways. The checks use only externally visible
 behavior: the responses to the clients, and how often each write ran at a storage node.
 """
 
--- a/shaletiller/lab/state_space_bounds.py
+++ b/shaletiller/lab/state_space_bounds.py
@@ -49,7 +49,7 @@
 class ClientWrite:
     """A write that a client sends to a member in the initial state.
 
-    The member claims the key.  If the claim is committed and `outcome` is not empty, it writes the outcome.
+    The member claims the key. If the claim is committed and `outcome` is not empty, it writes the outcome.
     """
 
     member: int
--- a/shaletiller/lab/state_space_explorer.py
+++ b/shaletiller/lab/state_space_explorer.py
@@ -2,7 +2,7 @@
 
 It runs the code of the real gateways, visits every state that is reachable within the bounds on faults in
 depth-first order, and checks the invariants in each state; see Clarke, Grumberg and Peled, "Model Checking",
-on explicit-state exploration.  Of several states with equal fingerprints, only one is visited.
+on explicit-state exploration. Of several states with equal fingerprints, only one is visited.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 class Exploration:
     """The result of an exploration, with the violation that ended it, if any.
 
-    `complete` is False if the maximum number of states was reached.  `trace` lists the events that lead to
+    `complete` is False if the maximum number of states was reached. `trace` lists the events that lead to
     the violation.
     """
 
--- a/shaletiller/lab/state_space_invariants.py
+++ b/shaletiller/lab/state_space_invariants.py
@@ -57,7 +57,7 @@
 def check_final_state(model: ProtocolModel, state: SystemState) -> None:
     """Check that a read in a final state finds the values that clients received as committed.
 
-    A committed value is stored by a majority, and any two majorities share a member.  The read must therefore
+    A committed value is stored by a majority, and any two majorities share a member. The read must therefore
     find the value, whichever members reply.
 
     :raises InvariantViolationError: if the read finds another value.
--- a/shaletiller/lab/state_space_model.py
+++ b/shaletiller/lab/state_space_model.py
@@ -1,7 +1,7 @@
 """The replication protocol as a transition system: states, events, and what each event does.
 
-Three members run the `ReplicationNode` of the real gateway.  Messages arrive in any order, and may be lost or
-duplicated.  At any time a member may crash, with or without the loss of its disk, and its timers may fire.
+Three members run the `ReplicationNode` of the real gateway. Messages arrive in any order, and may be lost or
+duplicated. At any time a member may crash, with or without the loss of its disk, and its timers may fire.
 `FaultBounds` limits the number of these faults.
 """
 
@@ -358,7 +358,7 @@
     def read(self, state: SystemState, key: str) -> bytes | None:
         """Read a key without further faults; modifies the state.
 
-        First, all messages in transit are dropped.  The reader is a member that is not synced yet, if there
+        First, all messages in transit are dropped. The reader is a member that is not synced yet, if there
         is one, because it depends most on the other members.
 
         :returns: the committed value, or None if no majority can be reached.
