--- a/shaletiller/lab/replication_sim_faults.py
+++ b/shaletiller/lab/replication_sim_faults.py
@@ -13,7 +13,7 @@
 # Maximum faults in one schedule. A larger value makes more faults overlap; a smaller value leaves more time
 # without faults, in which writes are served.
 MAX_FAULTS = 4
-# Minimum time between the begin of a fault and `FAULTS_END_MS`, at which all faults have ended.
+# Minimum time between the start of a fault and `FAULTS_END_MS`, at which all faults have ended.
 MIN_BEGIN_BEFORE_FAULTS_END_MS = 1_500.0
 DURATION_RANGE_MS = (100.0, 4_000.0)  # From less than one request timeout to several request timeouts.
 INTENSITY_RANGE = (0.05, 0.4)  # Probability that a message is lost or duplicated.
