--- a/shaletiller/lab/faulty_links.py
+++ b/shaletiller/lab/faulty_links.py
@@ -1,9 +1,10 @@
 """Links between real gateway processes with faults in each direction: loss, delay, duplication, partition.
 
-Datagrams pass through a pair of sockets for each two gateways: what one sends to the address that it knows
-for the other arrives there from the address that the other knows for it.  TCP links pass through a listener
-for each direction, which knows the frames and treats each as a message.  A cut TCP link is not reset: what it
-carries is delivered once it is healed, far too late, as behind a switch that hangs.
+Each pair of gateways exchanges datagrams through a pair of relay sockets.  A gateway sends to the relay
+socket that is configured as its peer's address; the peer receives the datagram from the relay socket that is
+configured as the sender's address.  TCP links pass through a relay for each direction, which applies faults
+to whole frames.  A cut TCP link is not reset: its frames are delivered when the link is healed, as after a
+switch has hung for a while.
 """
 
 from __future__ import annotations
@@ -23,10 +24,10 @@
     """The faults of one direction.
 
     :param loss: probability that a message is lost.
-    :param doubled: probability that a message arrives twice.
-    :param least_ms: shortest delay; each message has its own, so messages can be reordered.
-    :param most_ms: longest delay.
-    :param cut: nothing arrives.
+    :param doubled: probability that a message is delivered twice.
+    :param least_ms: minimum delay; each message has its own delay, so messages can be reordered.
+    :param most_ms: maximum delay.
+    :param cut: whether no message is delivered.
     """
 
     loss: float = 0.0
@@ -44,8 +45,8 @@
 class FaultyLinks:
     """All links of a fleet.
 
-    `faults` has the faults by sender and receiver; `udp_ports` and `tcp_ports` have the port at which a
-    sender reaches a receiver.
+    `faults` contains the faults by sender and receiver.  `udp_ports` and `tcp_ports` contain the relay's port
+    to which a sender sends messages for a receiver, by sender and receiver.
     """
 
     def __init__(self, names: list[str], seed: int) -> None:
@@ -57,10 +58,13 @@
         self._sockets: dict[tuple[str, str], asyncio.DatagramTransport] = {}
         self._delayed: dict[tuple[str, str], list[Callable[[], None]]] = {}
 
-    def _carry(self, pair: tuple[str, str], deliver: Callable[[], None], delayed_by_cut: bool) -> None:
-        """Carry one message with the faults of its direction.
+    def _transmit(self, pair: tuple[str, str], deliver: Callable[[], None], delayed_by_cut: bool) -> None:
+        """Deliver one message subject to the faults of its direction.
 
-        :param delayed_by_cut: a message on a cut link is delivered when it heals, and not lost.
+        :param pair: sender and receiver.
+        :param deliver: delivers the message; called once, twice or not at all.
+        :param delayed_by_cut: whether a message on a cut link is delivered after healing; otherwise it is
+            lost.
         """
         faults = self.faults[pair]
         if faults.cut and delayed_by_cut:
@@ -75,12 +79,10 @@
             else:
                 deliver()
 
-    # ---- datagrams
-
     async def start_udp(self, listening_ports: dict[str, int]) -> None:
-        """Open the sockets of all datagram links.
+        """Open the relay sockets of all datagram links.
 
-        :param listening_ports: the port on which each gateway takes its peers' datagrams.
+        :param listening_ports: the port on which each gateway receives its peers' datagrams.
         """
         for pair in self.faults:
             await self._start_udp_link(pair, listening_ports)
@@ -89,10 +91,10 @@
         sender, receiver = pair
 
         def forward(data: bytes) -> None:
-            # From the socket that the receiver knows as the sender's address.
+            # The receiver expects the sender's datagrams from the socket at the sender's configured address.
             source = self._sockets[receiver, sender]
             destination = (LOOPBACK, listening_ports[receiver])
-            self._carry(pair, lambda: source.sendto(data, destination), delayed_by_cut=False)
+            self._transmit(pair, lambda: source.sendto(data, destination), delayed_by_cut=False)
 
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: _DatagramReceiver(forward), local_addr=(LOOPBACK, 0)
@@ -100,21 +102,19 @@
         self._sockets[pair] = transport
         self.udp_ports[pair] = transport.get_extra_info("sockname")[1]
 
-    # ---- TCP
-
     async def start_tcp(self, listening_ports: dict[str, int]) -> None:
-        """Open the listeners of all TCP links.
+        """Start the relays of all TCP links.
 
-        :param listening_ports: the port on which each gateway takes its peers' connections.
+        :param listening_ports: the port on which each gateway accepts its peers' connections.
         """
         for pair in self.faults:
             await self._start_tcp_link(pair, listening_ports[pair[1]])
 
     async def _start_tcp_link(self, pair: tuple[str, str], port: int) -> None:
-        async def relay(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def on_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await self._relay(pair, reader, writer, port)
 
-        server = await asyncio.start_server(relay, LOOPBACK, 0)
+        server = await asyncio.start_server(on_connection, LOOPBACK, 0)
         self.tcp_ports[pair] = server.sockets[0].getsockname()[1]
 
     async def _relay(
@@ -130,12 +130,12 @@
             writer.transport.abort()
             return
 
-        def carry(frame: bytes) -> None:
+        def transmit_frame(frame: bytes) -> None:
             def deliver() -> None:
                 if not receiver.transport.is_closing():
                     receiver.write(frame)
 
-            self._carry(pair, deliver, delayed_by_cut=True)
+            self._transmit(pair, deliver, delayed_by_cut=True)
 
         try:
             while True:
@@ -143,18 +143,17 @@
                 frame = header + await reader.readexactly(FRAME_HEADER.unpack(header)[0])
                 if receiver.transport.is_closing():
                     break
-                carry(frame)
+                transmit_frame(frame)
         except (asyncio.IncompleteReadError, OSError):
-            pass  # either gateway has closed the link, or was killed
+            pass  # one of the gateways has closed the connection, or was killed
         receiver.transport.abort()
         writer.transport.abort()
 
-    # ---- faults
-
     def cut(self, side: set[str], one_way: bool = False) -> None:
-        """Cut a side off from the others.
+        """Partition some gateways from the others.
 
-        :param one_way: only what the side sends is lost.
+        :param side: names of the gateways on one side of the partition.
+        :param one_way: whether only messages sent by `side` are affected.
         """
         for (sender, receiver), faults in self.faults.items():
             if (sender in side) != (receiver in side) and (not one_way or sender in side):
@@ -166,12 +165,12 @@
             faults.loss, faults.doubled, faults.most_ms = loss, doubled, most_ms
 
     def heal(self) -> None:
-        """End the faults of all links, and deliver what cut TCP links have delayed."""
+        """End the faults of all links, and deliver the frames delayed on cut TCP links."""
         for faults in self.faults.values():
             faults.heal()
         delayed, self._delayed = self._delayed, {}
-        for calls in delayed.values():
-            for deliver in calls:
+        for deliveries in delayed.values():
+            for deliver in deliveries:
                 deliver()
 
 
--- a/shaletiller/lab/fleet_testbed.py
+++ b/shaletiller/lab/fleet_testbed.py
@@ -1,4 +1,4 @@
-"""A fleet of real gateway processes with stand-in storage nodes, discovery and faulty links around it."""
+"""A fleet of real gateway processes, with stand-in storage nodes, a stand-in discovery and faulty links."""
 
 from __future__ import annotations
 
@@ -20,19 +20,21 @@
 from shaletiller.lab.stand_in_discovery import StandInDiscovery
 from shaletiller.lab.storage_nodes import StorageNode, now_ms
 
-# The volume with the limit under test, and its limit in units a second and units.
+# The volume with the limit under test.
 LIMITED_VOLUME = 1
+# The limit under test: rate in units per second, and burst in units.
 LIMIT = Allowance(200.0, 80.0)
-# Timings of the fleet's leases: short, so that several terms fit into a run of seconds.
+# Timings of the fleet's leases, short enough for several terms in a run of some seconds.
 TERM_MS, LEASE_MS = 1_500.0, 500.0
-# Relative error of clocks that leases allow for.
+# Maximum relative error of clock rates that leases tolerate.
 DRIFT = 0.01
-# Shards of the limited volume; there is one more, whose node operators eject.
+# Number of shards of the limited volume.  The fleet has one more shard, whose node operators eject.
 SHARDS = 3
-# How often it is looked whether this process stands still, and from when on that is recorded.
+# Interval at which the testbed checks whether its own process has stalled.
 STALL_POLL_MS = 20.0
+# Shortest stall that is recorded.
 MIN_STALL_MS = 100.0
-# Between the start of the clients' tasks and the first request: drawing the requests takes less.
+# Delay from the call of `run` to time 0 of the run; drawing all requests takes less.
 LOAD_DELAY_MS = 100.0
 EMPTY_LIST = {"version": 0, "full": True, "servers": []}
 SETTINGS: dict[str, Any] = {
@@ -74,7 +76,7 @@
 class AppliedFault(NamedTuple):
     """A fault as it was applied.
 
-    :param at_ms: the time of the run.
+    :param at_ms: when it was applied, in milliseconds of the run.
     :param text: the fault as text.
     """
 
@@ -83,10 +85,11 @@
 
 
 class Ban(NamedTuple):
-    """A node that an operator ejected.
+    """An ejection of a node by an operator.
 
-    :param since_ms: when the command was answered with `done`.
-    :param until_ms: when the command that lifts it was sent; it may take effect elsewhere before its answer.
+    :param since_ms: when the response `done` to the operator's command was received.
+    :param until_ms: when the command that readmits the node was sent; other gateways may apply it before its
+        response arrives.
     """
 
     node: str
@@ -96,14 +99,17 @@
 
 @dataclass
 class FleetTestbed:
-    """A fleet of processes, with all that it needs around it.
+    """A fleet of gateway processes and the servers and links that it needs.
 
     :param gateways: number of gateways.
     :param seconds: length of the run.
-    :param carrier: how gateways reach each other: `datagrams` or `tcp`.
-    :param operator: more lines for the operators' file; FOLDER in them is the gateway's folder.
-    :param fleet_lines: more lines for the fleet's node of that file.
-    :param fleet_enabled: whether the gateways form a fleet; otherwise each is alone.
+    :param carrier: transport between gateways, `datagrams` or `tcp`.
+    :param operator: additional content of the operators' files; FOLDER is replaced by the gateway's folder.
+    :param fleet_lines: additional lines of the `fleet` node of the operators' files.
+    :param fleet_enabled: whether the gateways form a fleet; otherwise each works on its own.
+
+    `course` contains the faults applied so far, `bans` the ejections by operators, and `began_ms` the time at
+    which the run began.
     """
 
     gateways: int
@@ -117,7 +123,7 @@
     fleet_enabled: bool = True
 
     def __post_init__(self) -> None:
-        """Create all parts; none is started."""
+        """Create nodes, discovery and links, without starting them."""
         self.names = [f"g{number}" for number in range(self.gateways)]
         self.nodes = [StorageNode(f"n{shard + 1}", shard) for shard in range(SHARDS + 1)]
         self.discovery = StandInDiscovery(self.nodes)
@@ -126,9 +132,9 @@
         self.course: list[AppliedFault] = []
         self.began_ms = 0.0
         self.bans: list[Ban] = []
-        self._struck_granter: str | None = None
+        self._resolved_granter: str | None = None
         self._stall_recorder: asyncio.Task[None] | None = None
-        self._appliers: dict[FaultVerb, Callable[[Fault, list[str]], Awaitable[None]]] = {
+        self._fault_handlers: dict[FaultVerb, Callable[[Fault, list[str]], Awaitable[None]]] = {
             FaultVerb.CUT: self._cut,
             FaultVerb.HEAL: self._heal,
             FaultVerb.WORSEN: self._worsen,
@@ -146,8 +152,6 @@
             FaultVerb.DISK: self._disk,
         }
 
-    # ---- start and end
-
     async def start(self) -> None:
         """Start nodes, discovery, links and gateways, and wait until all gateways are ready."""
         self._stall_recorder = asyncio.ensure_future(self._record_stalls())
@@ -171,7 +175,7 @@
         await asyncio.gather(*(process.start(self.known(process.name)) for process in processes))
 
     async def stop(self) -> None:
-        """Shut all gateways down, then the nodes."""
+        """Shut down all gateways, then close the nodes."""
         if self._stall_recorder is not None:
             self._stall_recorder.cancel()
         await asyncio.gather(*(process.stop() for process in self.processes.values()))
@@ -179,7 +183,7 @@
             node.close()
 
     def known(self, name: str) -> dict[str, Any]:
-        """Return discovery's present list, as a gateway can be started with it."""
+        """Return discovery's current list, in the form of a gateway's `known` setting."""
         return {"version": self.discovery.version, "full": True, "servers": self.discovery.rows(name)}
 
     def _config(self, number: int, name: str, listening_ports: dict[str, int]) -> dict[str, Any]:
@@ -207,24 +211,25 @@
             for other in self.names:
                 port = listening_ports[name] if other == name else self.links.tcp_ports[name, other]
                 lines.append(f'member "{other}" address="127.0.0.1:{port}"')
-        own = self.operator.replace("FOLDER", str(self.folder / name))
-        return "fleet {\n    " + "\n    ".join(filter(None, lines)) + "\n}\n" + own
-
-    # ---- a run
+        additional = self.operator.replace("FOLDER", str(self.folder / name))
+        return "fleet {\n    " + "\n    ".join(filter(None, lines)) + "\n}\n" + additional
 
     async def run(self, streams: Iterable[Stream], faults: tuple[Fault, ...]) -> LoadGenerator:
-        """Send the requests of streams while faults are applied; return what became of the requests."""
+        """Send the requests of streams while faults are applied.
+
+        :returns: the load generator, with the requests and their results.
+        """
         load = LoadGenerator({name: process.port for name, process in self.processes.items()}, self.seed)
         self.began_ms = now_ms() + LOAD_DELAY_MS
         requests = load.draw(list(streams))
-        units = {each.request: float(each.units) for each in requests}
+        units = {client_request.request: float(client_request.units) for client_request in requests}
         for node in self.nodes:
             node.units_of = lambda request: units.get(request, 1.0)
         await asyncio.gather(load.play(requests, self.began_ms), self.play(faults))
         return load
 
     async def _record_stalls(self) -> None:
-        """Record when this process stood still: nodes, discovery and the links between gateways did, too."""
+        """Record stalls of this process, during which nodes, discovery and links stall as well."""
         while True:
             before_ms = now_ms()
             await asyncio.sleep(STALL_POLL_MS / 1000)
@@ -234,45 +239,46 @@
                 self.course.append(AppliedFault(now_ms() - self.began_ms - stalled_ms, text))
 
     async def stats(self) -> dict[str, dict[str, int]]:
-        """Return the counters of all gateways that are alive."""
+        """Return the counters of all gateways whose process is alive."""
         return {name: await process.stats() for name, process in self.processes.items() if process.alive}
 
     def course_lines(self) -> list[str]:
-        """Return the faults as they were applied, one a line, for the report."""
+        """Return one line for each fault applied, for the report."""
         return [f"{fault.at_ms / 1000:7.2f} s  {fault.text}" for fault in self.course]
 
-    # ---- faults
-
     @property
     def granter(self) -> str:
-        """The gateway that grants the limit under test, in the view of the gateways that are alive."""
+        """The granter of the limit under test, among the gateways whose process is alive."""
         alive = [number for number, name in enumerate(self.names) if self.processes[name].alive]
         granter = highest_ranked(f"v:{LIMITED_VOLUME:016x}", alive)
         return self.names[granter if granter is not None else 0]
 
     def gateway_named(self, name: str) -> str:
-        """Return the gateway that a scenario names; `granter` stays the one that it was when first used."""
+        """Return the gateway for a name in a scenario.
+
+        `granter` is resolved when it is first used, and means the same gateway for the rest of the run.
+        """
         if name != "granter":
             return name
-        if self._struck_granter is None:
-            self._struck_granter = self.granter
-        return self._struck_granter
+        if self._resolved_granter is None:
+            self._resolved_granter = self.granter
+        return self._resolved_granter
 
     async def play(self, faults: tuple[Fault, ...]) -> None:
-        """Apply each fault at its time."""
+        """Apply each fault at its scheduled time."""
         for fault in faults:
-            wait_ms = self.began_ms + fault.at * self.seconds * 1000 - now_ms()
+            wait_ms = self.began_ms + fault.run_fraction * self.seconds * 1000 - now_ms()
             if wait_ms > 0:
                 await asyncio.sleep(wait_ms / 1000)
             await self.apply(fault)
 
     async def apply(self, fault: Fault) -> None:
-        """Apply a fault now.
+        """Apply a fault immediately.
 
         :raises LabError: if it cannot be applied.
         """
         self.course.append(AppliedFault(now_ms() - self.began_ms, str(fault)))
-        await self._appliers[fault.verb](fault, [self.gateway_named(name) for name in fault.args])
+        await self._fault_handlers[fault.verb](fault, [self.gateway_named(name) for name in fault.args])
 
     async def _cut(self, fault: Fault, names: list[str]) -> None:
         self.links.cut(set(names), bool(fault.options.get("one_way", False)))
@@ -303,38 +309,41 @@
         self.processes[names[0]].wipe()
 
     async def _disk(self, fault: Fault, names: list[str]) -> None:
-        self.processes[names[0]].drill(fault.options)
+        self.processes[names[0]].set_disk_faults(fault.options)
 
     async def _list(self, fault: Fault, names: list[str]) -> None:
         self.discovery.change(fault.args[0], fault.args[1])
 
     async def _node(self, fault: Fault, names: list[str]) -> None:
-        node = next(each for each in self.nodes if each.name == fault.args[0])
+        node = next(candidate for candidate in self.nodes if candidate.name == fault.args[0])
         if fault.args[1] == "restart":
             await node.restart()
             self.discovery.change(node.name)
         elif fault.args[1] == "close":
             node.close()
         else:
-            raise LabError(f"fault {fault}: wants close or restart")
+            raise LabError(f"fault `{fault}`: expected `close` or `restart` after the node")
 
     async def _discovery(self, fault: Fault, names: list[str]) -> None:
         discovery, (mode, *rest) = self.discovery, fault.args
         discovery.silent, discovery.empty = mode == "silent", mode == "empty"
-        discovery.serves = frozenset(self.names[: int(float(rest[0]))]) if mode == "overbooked" else None
+        discovery.accepted_gateways = (
+            frozenset(self.names[: int(float(rest[0]))]) if mode == "overbooked" else None
+        )
         if mode == "back":
-            discovery.put_back(int(float(rest[0])))
+            discovery.restore_backup(int(float(rest[0])))
         elif mode not in ("silent", "up", "overbooked", "empty"):
-            raise LabError(f"fault {fault}: unknown")
+            raise LabError(f"fault `{fault}`: unknown mode of discovery")
 
     async def _operator_command(self, fault: Fault, names: list[str]) -> None:
         sent_ms = now_ms()
         via = self.processes[self.gateway_named(str(fault.options["via"]))]
-        answer = (await via.call(f"{fault.verb.upper()} {fault.args[0]}"))[0]
-        # Without a majority the command takes effect at this gateway alone, and no other is bound by it.
-        local_only = answer.startswith("error kept here only")
-        if not answer.startswith("done") and not local_only:
-            raise LabError(f"{via.name}: {fault}: {answer}")
+        response = (await via.call(f"{fault.verb.upper()} {fault.args[0]}"))[0]
+        # Without a majority the command takes effect at this gateway only, so the others are not checked for
+        # it.
+        local_only = response.startswith("error kept here only")
+        if not response.startswith("done") and not local_only:
+            raise LabError(f"gateway {via.name} rejected the command of fault `{fault}`: {response}")
         if fault.verb is FaultVerb.ENABLE:
             self._lift_ban(fault.args[0], sent_ms)
         elif not local_only:
--- a/shaletiller/lab/gateway_processes.py
+++ b/shaletiller/lab/gateway_processes.py
@@ -1,4 +1,4 @@
-"""Real gateway processes: configured, started, signalled, called at their admin ports, and measured."""
+"""Control of real gateway processes: configuration, start, signals, admin commands and resource usage."""
 
 from __future__ import annotations
 
@@ -16,33 +16,34 @@
 from shaletiller.lab.port_reservations import LOOPBACK, reserve_port
 from shaletiller.lab.storage_nodes import now_ms
 
-ROOT = Path(__file__).parent.parent.parent
-# Empirical: a process that is not ready by then has failed; longer delays the report of that, shorter fails
-# runs on a busy machine.
+REPOSITORY_ROOT = Path(__file__).parent.parent.parent
+# A process that is not ready by then counts as failed.  A larger value delays the error; a smaller value
+# fails runs on a busy machine.
 READY_TIMEOUT_S = 30.0
-READY_POLL_S = 0.02
-# Empirical: the admin port answers in milliseconds; shorter fails runs on a busy machine.
-CALL_TIMEOUT_S = 3.0
-# A process that shuts down accepts new connections for about this long.
+READY_POLL_INTERVAL_S = 0.02
+# Timeout of an admin command, which usually takes milliseconds; a smaller value fails runs on a busy machine.
+ADMIN_TIMEOUT_S = 3.0
+# Approximate time for which a process accepts new connections after SIGTERM.
 ACCEPTS_AFTER_SIGTERM_MS = 700.0
-# A graceful shutdown takes less: requests have timeouts of about a second.
+# A graceful shutdown takes less, because requests have timeouts of about a second.
 SHUTDOWN_TIMEOUT_S = 8.0
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 LOG_TAIL_CHARACTERS = 500
 
 
 class Downtime(NamedTuple):
-    """A span in which a process could not run: killed, suspended, or starting."""
+    """An interval in which a process could not serve: it was killed, suspended, or starting."""
 
     begin_ms: float
     end_ms: float = math.inf
 
 
 class GatewayProcess:
-    """One gateway; its folder, with its store, outlives restarts.
+    """One gateway process; its folder, which contains its store, is kept across restarts.
 
-    `config` is the content of the configuration file, `operator_path` the operators' file.  `up_ms` has the
-    times at which it began to serve, one for each start; `down` the spans in which it could not run.
+    `config` is the content of the configuration file, `operator_path` the path of the operators' file.
+    `ready_ms` contains the time at which the gateway became ready for each start, `down` the intervals
+    in which it could not serve.
     """
 
     def __init__(
@@ -53,10 +54,10 @@
         operator: str = "",
         seed: int = 0,
     ) -> None:
-        """Write the process's files, without starting it.
+        """Write the configuration of the process, without starting it.
 
-        :param config: entries of the configuration file; names, addresses and limits are added.
-        :param operator: content of the operators' file; empty: started without one.
+        :param config: entries of the configuration file; name, addresses, socket limit and seed are added.
+        :param operator: content of the operators' file; if empty, the process is started without one.
         """
         self.name, self.folder = name, folder
         folder.mkdir(parents=True, exist_ok=True)
@@ -76,7 +77,7 @@
         self._write_config()
         self._process: asyncio.subprocess.Process | None = None
         self.paused = False
-        self.up_ms: list[float] = []
+        self.ready_ms: list[float] = []
         self.down: list[Downtime] = []
 
     def write_operator(self, text: str) -> None:
@@ -93,7 +94,7 @@
         :raises LabError: if the process was never started.
         """
         if self._process is None:
-            raise LabError(f"{self.name}: not started")
+            raise LabError(f"gateway {self.name}: process was never started")
         return self._process.pid
 
     @property
@@ -101,13 +102,11 @@
         """Whether the process exists; it may be suspended."""
         return self._process is not None and self._process.returncode is None
 
-    # ---- its start
-
     async def start(self, known: dict[str, Any] | None = None) -> None:
         """Start the process, and wait until it is ready.
 
-        :param known: the node list that it is started with; by default that of the last start.
-        :raises LabError: if it ends, or is not ready in time.
+        :param known: the node list to start with; by default that of the last start.
+        :raises LabError: if the process exits, or is not ready in time.
         """
         if known is not None:
             self.config["known"] = known
@@ -120,7 +119,7 @@
                 sys.executable,
                 "-m",
                 "shaletiller",
-                cwd=ROOT,
+                cwd=REPOSITORY_ROOT,
                 env=self._environment(),
                 stdout=log,
                 stderr=log,
@@ -142,55 +141,56 @@
         end_ms = now_ms() + READY_TIMEOUT_S * 1000
         while now_ms() < end_ms:
             if not self.alive:
-                raise LabError(f"{self.name} ended: {self._log_path.read_text()[-LOG_TAIL_CHARACTERS:]}")
+                raise LabError(
+                    f"gateway {self.name}: process exited before it was ready; end of its log: "
+                    f"{self._log_path.read_text()[-LOG_TAIL_CHARACTERS:]}"
+                )
             if await self._is_ready():
-                self.up_ms.append(now_ms())
+                self.ready_ms.append(now_ms())
                 self._end_downtime()
                 return
-            await asyncio.sleep(READY_POLL_S)
-        raise LabError(f"{self.name}: not ready after {READY_TIMEOUT_S:.0f} s")
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
+        raise LabError(f"gateway {self.name}: not ready within {READY_TIMEOUT_S:.0f} s of its start")
 
     async def _is_ready(self) -> bool:
         try:
             return (await self.call("READY"))[0].startswith("done")
         except (OSError, LabError):
-            return False  # it does not listen yet
+            return False  # the admin port is not listening yet
 
     def _end_downtime(self) -> None:
         self.down[-1] = self.down[-1]._replace(end_ms=now_ms())
 
-    # ---- its admin port
-
     async def call(self, line: str) -> list[str]:
-        """Send a command to the admin port, and return the lines of the answer.
+        """Send a command to the admin port, and return the lines of the response.
 
-        :raises LabError: if there is no answer.
+        :raises LabError: if there is no response in time, or it is empty.
         """
         try:
-            async with asyncio.timeout(CALL_TIMEOUT_S):
+            async with asyncio.timeout(ADMIN_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(LOOPBACK, self.admin_port)
                 writer.write(line.encode() + b"\n")
-                answer = (await reader.read()).decode().splitlines()
+                response = (await reader.read()).decode().splitlines()
                 writer.close()
         except TimeoutError as error:
-            raise LabError(f"{self.name}: no answer to {line!r} in {CALL_TIMEOUT_S:.0f} s") from error
-        if not answer:
-            raise LabError(f"{self.name}: empty answer to {line!r}")
-        return answer
+            raise LabError(
+                f"gateway {self.name}: no response to admin command {line!r} within {ADMIN_TIMEOUT_S:.0f} s"
+            ) from error
+        if not response:
+            raise LabError(f"gateway {self.name}: empty response to admin command {line!r}")
+        return response
 
     async def stats(self) -> dict[str, int]:
-        """Return the gateway's own counters, by their names in STATS."""
+        """Return the gateway's counters from the STATS command, by name."""
         lines = await self.call("STATS")
         return {name: int(value) for name, _, value in (line.partition("=") for line in lines) if value}
 
-    # ---- faults
-
-    def _signal(self, number: signal.Signals) -> None:
+    def _signal(self, signal_number: signal.Signals) -> None:
         if self.alive:
-            os.kill(self.pid, number)
+            os.kill(self.pid, signal_number)
 
     async def kill(self) -> None:
-        """Send SIGKILL, and wait for the end."""
+        """Send SIGKILL, and wait until the process has ended."""
         if not self.alive:
             return
         if not self.paused:
@@ -200,23 +200,26 @@
         await self._process.wait()
 
     def wipe(self) -> None:
-        """Delete the store, as if the machine were lost with its disk; the configuration stays.
+        """Delete the store, as if the machine were lost with its disk; configuration and log are kept.
 
         :raises LabError: if the process is alive.
         """
         if self.alive:
-            raise LabError(f"{self.name}: its folder can be wiped only while it is down")
+            raise LabError(f"gateway {self.name}: cannot wipe the store while the process is running")
         for path in self.folder.iterdir():
             if path not in (self._config_path, self.operator_path, self._log_path):
                 shutil.rmtree(path) if path.is_dir() else path.unlink()
 
-    def drill(self, faults: dict[str, Any]) -> None:
-        """Set the faults of the disk under the store, for a process whose operators' file has a `drill`."""
-        self.drills.write_text(json.dumps(faults))
+    def set_disk_faults(self, faults: dict[str, Any]) -> None:
+        """Set the injected faults of the store's disk.
+
+        They take effect only if the operators' file names `disk_faults_path` as the store's `drill` file.
+        """
+        self.disk_faults_path.write_text(json.dumps(faults))
 
     @property
-    def drills(self) -> Path:
-        """The file with the disk's faults."""
+    def disk_faults_path(self) -> Path:
+        """The path of the file with the injected disk faults."""
         return self.folder / "drill.json"
 
     def pause(self) -> None:
@@ -233,7 +236,7 @@
             self._end_downtime()
 
     async def stop(self) -> None:
-        """Shut the process down with SIGTERM, and with SIGKILL if that takes too long."""
+        """Shut the process down with SIGTERM, or with SIGKILL if it does not exit in time."""
         if not self.alive:
             return
         self.resume()
@@ -246,11 +249,9 @@
         except TimeoutError:
             await self.kill()
 
-    # ---- measurements
-
     def was_down(self, begin_ms: float, end_ms: float) -> bool:
-        """Whether the process could not run at some time of a span."""
-        return any(span.begin_ms < end_ms and span.end_ms > begin_ms for span in self.down)
+        """Return whether the process could not serve at some time of an interval."""
+        return any(downtime.begin_ms < end_ms and downtime.end_ms > begin_ms for downtime in self.down)
 
     def usage(self) -> tuple[float, float]:
         """Return the CPU seconds used, and the resident memory in megabytes."""
--- a/shaletiller/lab/scenario.py
+++ b/shaletiller/lab/scenario.py
@@ -6,21 +6,26 @@
         at 0.60 { heal }
     }
 
-Times are parts of the run.  The faults:
-
-    cut NAME... [one-way=true]     all messages between these gateways and the others, or only those they send
-    heal                           no link has faults any more
-    worsen [loss=P] [doubled=P] [most-ms=T]     all links
-    kill NAME | stop NAME | start NAME | pause NAME | resume NAME     SIGKILL; SIGTERM, waiting for the exit
-                                   start NAME known="now" (the list it is started with), "old" or "nothing"
-    wipe NAME                      deletes its folder, while it is down
-    disable NODE via=NAME | enable NODE via=NAME     an operator's command at a gateway's admin port
-    node NODE close|restart
-    discovery silent|up|overbooked N|empty|back N     N: gateways that it serves, changes that it forgets
-    list NODE active|leaving|left     a line of discovery's list
-    disk NAME [slow-ms=T] [full=true] [sync-fails=true]     from now on; none of them: without faults again
-
-`granter` in place of a name is the gateway that grants the limit under test at that moment.
+Times are fractions of the run, from 0 to 1.  The faults (NAME is a gateway, NODE a storage node):
+
+    cut NAME... [one-way=true]     cut the links between these gateways and the others, or one direction
+    heal                           end the faults of all links
+    worsen [loss=P] [doubled=P] [most-ms=T]     set loss, duplication and maximum delay of all links
+    kill NAME                      send SIGKILL
+    stop NAME                      send SIGTERM, and wait for the exit
+    start NAME [known=LIST]        start it with a node list: "now" (the current one; the default), "old"
+                                   (that of its last start) or "nothing" (an empty one)
+    pause NAME | resume NAME       send SIGSTOP, SIGCONT
+    wipe NAME                      delete its store, while the process is down
+    disable NODE via=NAME | enable NODE via=NAME     send the command to the gateway's admin port
+    node NODE close|restart        crash the storage node, or restart it
+    discovery silent|up|empty      send no responses, work normally, or send lists without nodes
+    discovery overbooked N         reject the calls of all but the first N gateways
+    discovery back N               restore the list from a backup, which loses the last N changes
+    list NODE active|leaving|left  set the state of a node in discovery's list
+    disk NAME [slow-ms=T] [full=true] [sync-fails=true]     set its disk's faults; no options: end them
+
+`granter` in place of NAME is the gateway that grants the limit under test when the word is first used.
 """
 
 from __future__ import annotations
@@ -30,11 +35,11 @@
 from pathlib import Path
 from typing import Any
 
-FOLDER = Path(__file__).parent / "scenarios"
+SCENARIOS_FOLDER = Path(__file__).parent / "scenarios"
 
 
 class FaultVerb(StrEnum):
-    """The faults of a scenario file; their meaning is in the module's docstring."""
+    """The faults of a scenario file, described in the module's docstring."""
 
     CUT = "cut"
     HEAL = "heal"
@@ -57,18 +62,19 @@
 
 
 class ScenarioError(Exception):
-    """A scenario that cannot be read; the message names it and what is wrong."""
+    """A scenario cannot be read; the message names the scenario and the reason."""
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
     """One fault of a scenario.
 
-    :param at: when it is applied, as a part of the run.
-    :param options: the properties in the file, with `_` in place of `-`.
+    :param run_fraction: when it is applied, as a fraction of the length of the run.
+    :param args: the arguments in the file.
+    :param options: the properties in the file, with `_` in place of `-` in their names.
     """
 
-    at: float
+    run_fraction: float
     verb: FaultVerb
     args: tuple[str, ...]
     options: dict[str, Any]
@@ -81,42 +87,42 @@
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """Timed faults, in the order of their times."""
+    """Timed faults, ordered by time."""
 
     name: str
     about: str
     faults: tuple[Fault, ...]
 
     def span(self) -> tuple[float, float]:
-        """Return the times of the first fault and the last, as parts of the run; (1, 1) without faults.
+        """Return the times of the first and the last fault, as fractions of the run; (1, 1) without faults.
 
-        Operator's commands are no faults.
+        Operators' commands do not count as faults.
         """
-        times = [fault.at for fault in self.faults if fault.verb not in OPERATOR_COMMANDS]
+        times = [fault.run_fraction for fault in self.faults if fault.verb not in OPERATOR_COMMANDS]
         return (min(times), max(times)) if times else (1.0, 1.0)
 
 
 def names(kind: str = "") -> list[str]:
-    """Return the names of the laboratory's own scenarios.
+    """Return the names of the scenarios that come with the laboratory.
 
-    :param kind: a subfolder; by default the scenarios of a fleet.
+    :param kind: the subfolder of the scenarios; by default those of `lab fleet`.
     """
-    return sorted(path.stem for path in (FOLDER / kind).glob("*.kdl"))
+    return sorted(path.stem for path in (SCENARIOS_FOLDER / kind).glob("*.kdl"))
 
 
 def load(name: str, kind: str = "") -> Scenario:
     """Read a scenario.
 
-    :param name: the name of one of the laboratory's own, or the path of a file.
+    :param name: the name of a scenario that comes with the laboratory, or the path of a `.kdl` file.
     :param kind: see `names`.
-    :raises ScenarioError: if there is none, or its file has errors.
+    :raises ScenarioError: if the file cannot be read, or has errors.
     """
-    path = Path(name) if name.endswith(".kdl") else FOLDER / kind / f"{name}.kdl"
+    path = Path(name) if name.endswith(".kdl") else SCENARIOS_FOLDER / kind / f"{name}.kdl"
     try:
         text = path.read_text()
     except OSError as error:
         raise ScenarioError(
-            f"scenario {name!r}: {error.strerror}; there are {', '.join(names(kind))}"
+            f"cannot read scenario {name!r}: {error.strerror}; there are {', '.join(names(kind))}"
         ) from error
     about, faults = "", []
     for node in _root(path, text).nodes:
@@ -124,12 +130,12 @@
             about = str(node.args[0])
         else:
             faults += _faults_at(path, node)
-    return Scenario(path.stem, about, tuple(sorted(faults, key=lambda fault: fault.at)))
+    return Scenario(path.stem, about, tuple(sorted(faults, key=lambda fault: fault.run_fraction)))
 
 
 def _root(path: Path, text: str) -> Any:
     """Parse a file, and return its `scenario` node."""
-    # Loaded here: the parser is in the laboratory's requirements only.
+    # Imported here because only the laboratory's requirements include the parser.
     import kdl.errors
     import kdl.parsefuncs
 
@@ -138,19 +144,24 @@
     except kdl.errors.ParseError as error:
         raise ScenarioError(f"{path.name}: line {error.line}: {error.msg}") from error
     if len(document.nodes) != 1 or document.nodes[0].name != "scenario":
-        raise ScenarioError(f"{path.name}: wants one node `scenario`")
+        raise ScenarioError(f"{path.name}: expected exactly one top-level node, named `scenario`")
     return document.nodes[0]
 
 
 def _faults_at(path: Path, node: Any) -> list[Fault]:
-    """Return the faults of one `at` node."""
+    """Return the faults of one `at` node.
+
+    :raises ScenarioError: if it is no valid `at` node.
+    """
     if node.name != "at" or len(node.args) != 1 or not 0 <= float(node.args[0]) <= 1:
-        raise ScenarioError(f"{path.name}: {node.name}: wants `about TEXT` or `at PART`, of 0 to 1")
-    at = float(node.args[0])
+        raise ScenarioError(
+            f"{path.name}: node {node.name!r}: expected `about TEXT`, or `at TIME` with a time from 0 to 1"
+        )
+    run_fraction = float(node.args[0])
     faults = []
-    for each in node.nodes:
-        if each.name not in set(FaultVerb):
-            raise ScenarioError(f"{path.name}: at {node.args[0]}: unknown fault {each.name!r}")
-        options = {key.replace("-", "_"): value for key, value in each.props.items()}
-        faults.append(Fault(at, FaultVerb(each.name), tuple(map(str, each.args)), options))
+    for child in node.nodes:
+        if child.name not in set(FaultVerb):
+            raise ScenarioError(f"{path.name}: at {node.args[0]}: unknown fault {child.name!r}")
+        options = {key.replace("-", "_"): value for key, value in child.props.items()}
+        faults.append(Fault(run_fraction, FaultVerb(child.name), tuple(map(str, child.args)), options))
     return faults
--- a/shaletiller/lab/stand_in_discovery.py
+++ b/shaletiller/lab/stand_in_discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's discovery: serves the node list, can fail, and records each call."""
+"""A stand-in for the platform's discovery that serves the node list, can fail, and records each call."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryCall:
-    """A call that a gateway made."""
+    """A call by a gateway."""
 
     at_ms: float
     gateway: str
@@ -32,7 +32,10 @@
 
 @dataclass(slots=True, frozen=True)
 class _Watch:
-    """A call that is answered with the next change, or after its timeout."""
+    """A call whose response is sent with the next change of the list, or after its timeout.
+
+    :param since: the version of the list that the gateway has.
+    """
 
     gateway: str
     since: int
@@ -41,14 +44,17 @@
 
 @dataclass
 class StandInDiscovery:
-    """The node list, at an address for each gateway.
-
-    :param states: by node, where it is not `active`.
-    :param ports: by gateway.
-    :param silent: calls get no answer.
-    :param serves: if set, all gateways but these are rejected: discovery is overloaded.
-    :param empty: lists have no nodes in them, by mistake.
-    :param first_sent_ms: by node and state, when any gateway was first sent that.
+    """A discovery service that listens at a separate address for each gateway.
+
+    :param version: current version of the node list.
+    :param states: states of the nodes, by name; a node without an entry is `active`.
+    :param ports: the port for each gateway.
+    :param calls: all calls received.
+    :param silent: whether calls get no response.
+    :param accepted_gateways: if set, discovery is overloaded and rejects the calls of all other gateways.
+    :param empty: whether lists are sent without nodes, which simulates a fault of discovery.
+    :param changes: all changes of states.
+    :param first_sent_ms: when each state of a node was first sent to any gateway, by node and state.
     """
 
     nodes: list[StorageNode]
@@ -57,18 +63,18 @@
     ports: dict[str, int] = field(default_factory=dict)
     calls: list[DiscoveryCall] = field(default_factory=list)
     silent: bool = False
-    serves: frozenset[str] | None = None
+    accepted_gateways: frozenset[str] | None = None
     empty: bool = False
     changes: list[StateChange] = field(default_factory=list)
     first_sent_ms: dict[tuple[str, str], float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Begin without changed lines and without watches."""
-        self._changed_in: dict[str, int] = {}  # version of the last change, by node
+        """Create a list without changes, and no watches."""
+        self._changed_in: dict[str, int] = {}  # list version of the last change, by node
         self._watches: dict[HttpConnection, _Watch] = {}
 
     async def start(self, gateways: list[str]) -> None:
-        """Listen for each gateway at an address of its own."""
+        """Listen at a separate address for each gateway."""
         loop = asyncio.get_running_loop()
         for gateway in gateways:
             factory = functools.partial(
@@ -78,20 +84,20 @@
             self.ports[gateway] = server.sockets[0].getsockname()[1]
 
     def rows(self, gateway: str, since: int | None = None) -> list[dict[str, Any]]:
-        """Return the lines of the list that changed after a version, or the full list."""
-        found = []
+        """Return the entries that changed after version `since`; by default the full list."""
+        entries = []
         for node in self.nodes:
             state = self.states.get(node.name, "active")
             if since is None and state == "left":
                 continue
             if since is None or self._changed_in.get(node.name, 0) > since:
-                found.append(node.row(gateway, state))
-        return found
+                entries.append(node.row(gateway, state))
+        return entries
 
     def change(self, node: str, state: str | None = None) -> None:
-        """Change a node's line, and answer all watches with it.
+        """Change a node's entry, and respond to all watches.
 
-        :param state: its new state; by default only its address or start time has changed.
+        :param state: the new state; by default only the address or start time has changed.
         """
         if state is not None:
             self.states[node] = state
@@ -99,12 +105,15 @@
         self.version += 1
         self._changed_in[node] = self.version
         for connection in list(self._watches):
-            self._answer_watch(connection)
+            self._respond_to_watch(connection)
 
-    def put_back(self, versions: int) -> None:
-        """Restore the list from a backup: its version and the states are those before so many changes."""
-        self.version = max(1, self.version - versions)
-        for change in self.changes[-versions:]:
+    def restore_backup(self, change_count: int) -> None:
+        """Restore the list from a backup, which undoes the last changes and their increments of the version.
+
+        :param change_count: the number of changes to undo.
+        """
+        self.version = max(1, self.version - change_count)
+        for change in self.changes[-change_count:]:
             self.states.pop(change.node, None)
             self._changed_in.pop(change.node, None)
 
@@ -115,8 +124,8 @@
             self.first_sent_ms.setdefault((row["id"], row["state"]), now_ms())
         return json.dumps({"version": self.version, "full": full, "servers": rows}).encode()
 
-    def _serves(self, gateway: str) -> bool:
-        return self.serves is None or gateway in self.serves
+    def _accepts(self, gateway: str) -> bool:
+        return self.accepted_gateways is None or gateway in self.accepted_gateways
 
     def _on_closed(self, connection: HttpConnection) -> None:
         watch = self._watches.pop(connection, None)
@@ -127,7 +136,7 @@
         self.calls.append(DiscoveryCall(now_ms(), gateway))
         if self.silent:
             return
-        if not self._serves(gateway):
+        if not self._accepts(gateway):
             connection.write("HTTP/1.1 503 Overbooked", {})
             return
         query = dict(parse_qsl(message.start_line.split(" ")[1].partition("?")[2]))
@@ -136,13 +145,13 @@
             connection.write("HTTP/1.1 200 OK", {}, self._list_body(gateway, since))
             return
         timeout_s = int(query.get("timeout_ms", "0")) / 1000
-        timer = asyncio.get_running_loop().call_later(timeout_s, self._answer_watch, connection)
+        timer = asyncio.get_running_loop().call_later(timeout_s, self._respond_to_watch, connection)
         self._watches[connection] = _Watch(gateway, since, timer)
 
-    def _answer_watch(self, connection: HttpConnection) -> None:
+    def _respond_to_watch(self, connection: HttpConnection) -> None:
         watch = self._watches.pop(connection, None)
         if watch is None:
             return
         watch.timer.cancel()
-        if not self.silent and self._serves(watch.gateway):
+        if not self.silent and self._accepts(watch.gateway):
             connection.write("HTTP/1.1 200 OK", {}, self._list_body(watch.gateway, watch.since))
--- a/shaletiller/lab/storage_nodes.py
+++ b/shaletiller/lab/storage_nodes.py
@@ -1,9 +1,9 @@
-"""Stand-in storage nodes: they speak the platform's protocol, and record each attempt that arrives.
+"""Stand-in storage nodes that speak the platform's protocol and record each attempt that they receive.
 
-A node has a number of cores; a request occupies one for a time that depends on its units, in order of
-arrival, and is rejected when the queue is full.  It can be closed (its machine refuses connections) and
-restarted; after that it may warm up: its capacity rises linearly.  Each gateway reaches it at an address of
-its own, by which the node knows which gateway sent what.
+A node has a number of cores.  It executes requests in order of arrival; each occupies one core for a time
+proportional to its units.  It rejects requests while its queue is full.  A node can be closed, after which
+its machine refuses connections, and restarted, after which its capacity may rise linearly while it warms up.
+It listens at a separate address for each gateway, to identify the gateway that sent an attempt.
 """
 
 from __future__ import annotations
@@ -21,15 +21,16 @@
 
 
 def now_ms() -> float:
-    """Return the laboratory's time: milliseconds of the Unix epoch, from a clock that never goes back."""
+    """Return the laboratory's time, in milliseconds since the Unix epoch, from a monotonic clock."""
     return _EPOCH_OFFSET_MS + time.monotonic() * 1000
 
 
 @dataclass(slots=True, frozen=True)
 class Attempt:
-    """A complete request as a node received it.
+    """An attempt of a request, as a node received it.
 
-    :param key: its idempotency key, or empty.
+    :param at_ms: when it was received.
+    :param key: its idempotency key; empty if it has none.
     :param ran: whether it was executed; otherwise it was rejected.
     """
 
@@ -42,23 +43,26 @@
     ran: bool
 
     def story(self, began_ms: float) -> str:
-        """Return the attempt in one line; its time is of the run."""
-        how = "ran" if self.ran else "was rejected"
+        """Return a description of the attempt in one line.
+
+        :param began_ms: when the run began; the description has times since then.
+        """
+        result = "ran" if self.ran else "was rejected"
         at_ms = self.at_ms - began_ms
-        return f"attempt of {self.request} by {self.gateway} {how} at {self.node}, {at_ms:.0f} ms"
+        return f"attempt of {self.request} by {self.gateway} {result} at {self.node}, {at_ms:.0f} ms"
 
 
 class StorageNode:
     """One storage node of one shard.
 
     :param unit_ms: time that one core needs for one unit of a request.
-    :param queue: requests in the node at a time; more are rejected.
-    :param warm_up_ms: time after a restart until it has its full capacity.
-    :param start_part: part of the capacity that it has just after a restart.
+    :param queue: maximum number of requests in the node, running and waiting; more are rejected.
+    :param warm_up_ms: time from a restart to full capacity.
+    :param initial_capacity: capacity immediately after a restart, as a fraction of the full capacity.
 
-    `started_ms` is 0 for a node that has not restarted.  `runs` counts the executions by request id.
-    `units_of` returns the units of a request: a gateway forwards no more of a request than the protocol
-    requires, so the node has to get its size from the client.
+    `started_ms` is the time of the last restart, 0 if there was none.  `runs` counts the executions by
+    request id. `units_of` returns the units of a request by its id; a gateway does not forward them, so the
+    node has to get them from the client.
     """
 
     def __init__(
@@ -69,11 +73,11 @@
         unit_ms: float = 2.0,
         queue: int = 64,
         warm_up_ms: float = 0.0,
-        start_part: float = 1.0,
+        initial_capacity: float = 1.0,
     ) -> None:
         self.name, self.shard = name, shard
         self._cores, self._unit_ms, self._queue = cores, unit_ms, queue
-        self._warm_up_ms, self._start_part = warm_up_ms, start_part
+        self._warm_up_ms, self._initial_capacity = warm_up_ms, initial_capacity
         self.started_ms = 0.0
         self.state: Literal["up", "closed"] = "up"
         self._core_free_ms = [0.0] * cores
@@ -86,21 +90,21 @@
         self.units_of: Callable[[str], float] = lambda request: 1.0
 
     async def start(self, gateways: list[str]) -> None:
-        """Listen for each gateway at an address of its own; after a restart at the same ones."""
+        """Listen at a separate address for each gateway; after a restart the addresses are the same."""
         loop = asyncio.get_running_loop()
         for gateway in gateways:
-            factory = functools.partial(self._connection, gateway)
+            factory = functools.partial(self._create_connection, gateway)
             server = await loop.create_server(factory, "127.0.0.1", self.ports.get(gateway, 0))
             self._servers[gateway] = server
             self.ports[gateway] = server.sockets[0].getsockname()[1]
 
-    def _connection(self, gateway: str) -> HttpConnection:
+    def _create_connection(self, gateway: str) -> HttpConnection:
         connection = HttpConnection(functools.partial(self._on_request, gateway), self._connections.discard)
         self._connections.add(connection)
         return connection
 
     def close(self) -> None:
-        """Crash the process: its connections are reset, new ones refused."""
+        """Simulate a crash of the process: reset all connections, and refuse new ones."""
         self.state = "closed"
         for server in self._servers.values():
             server.close()
@@ -108,7 +112,7 @@
             connection.abort()
 
     async def restart(self) -> None:
-        """Start the process again, at the same addresses; it warms up."""
+        """Restart the process at the same addresses; its warm-up begins."""
         if self.state != "closed":
             self.close()
         self.state, self.started_ms = "up", now_ms()
@@ -117,11 +121,11 @@
 
     @property
     def capacity(self) -> float:
-        """The part of its full capacity that the node has now."""
+        """The current capacity, as a fraction of the full capacity."""
         if not self.started_ms or self._warm_up_ms <= 0:
             return 1.0
-        age = min(1.0, (now_ms() - self.started_ms) / self._warm_up_ms)
-        return self._start_part + (1 - self._start_part) * age
+        warm_up_progress = min(1.0, (now_ms() - self.started_ms) / self._warm_up_ms)
+        return self._initial_capacity + (1 - self._initial_capacity) * warm_up_progress
 
     def _on_request(self, gateway: str, connection: HttpConnection, message: HttpMessage) -> None:
         headers = message.headers
@@ -149,7 +153,7 @@
         asyncio.get_running_loop().call_later(max(0.0, done_ms - at_ms) / 1000, respond)
 
     def row(self, gateway: str, state: str = "active") -> dict[str, Any]:
-        """Return the node's line of the node list, as discovery sends it to a gateway."""
+        """Return the node's entry of the node list that discovery sends to a gateway."""
         return {
             "id": self.name,
             "addr": f"127.0.0.1:{self.ports[gateway]}",
--- a/tests/lab/test_fleet_testbed.py
+++ b/tests/lab/test_fleet_testbed.py
@@ -1,4 +1,4 @@
-"""What the testbed records of itself."""
+"""Stalls of the testbed's own process."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def test_a_stall_of_the_testbed_is_recorded(tmp_path: Path) -> None:
-    """The process of the testbed stands still.
+    """The process of the testbed stalls, and with it the links between the gateways.
 
-    Guards against failures that are taken for the gateways': their links stand still with it.
+    The stall must be recorded, so that its effects are not attributed to the gateways.
     """
 
     async def stall() -> list[str]:
