--- a/shaletiller/lab/errors.py
+++ b/shaletiller/lab/errors.py
@@ -1,7 +1,7 @@
-"""The errors of the laboratory."""
+"""Errors of the laboratory."""
 
 from __future__ import annotations
 
 
 class LabError(Exception):
-    """The laboratory could not complete a run; nothing was shown either way."""
+    """A run could not be completed, so its guarantees were neither confirmed nor violated."""
--- a/shaletiller/lab/fault_schedules.py
+++ b/shaletiller/lab/fault_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults for simulated fleets, and the guarantees checked in each run of one."""
+"""Seeded fault schedules for simulated fleets, and the checks of the guarantees after each schedule."""
 
 from __future__ import annotations
 
@@ -17,21 +17,22 @@
 from shaletiller.lab.limit_usage import Limit, overshoot, utilization
 from shaletiller.lab.virtual_fleet import VirtualFleet
 
-# Of each run, in virtual time: faults begin, all faults are over, the run ends.  The phases are long enough
-# for several lease terms each (1 to 3 s).
+# Virtual times in each run: when faults begin, when all faults are over, and when the run ends.  Each phase
+# is long enough for several lease terms (of 1 to 3 s).
 FAULTS_BEGIN_MS, HEAL_MS, END_MS = 5_000.0, 15_000.0, 22_000.0
-# The last fault begins so long before all are over, to have an effect.
-SHORTEST_FAULT_PHASE_MS = 3_000.0
-# Gateways have met by then, with the slowest of the timings drawn.
+# Shortest time from the begin of a fault to HEAL_MS: a shorter fault might have no effect.
+MIN_FAULT_PHASE_MS = 3_000.0
+# All gateways have discovered each other by then, even with the slowest timings drawn.
 LOAD_BEGIN_MS = 700.0
-# The mean over many schedules is far higher; a single run's seconds after healing may fall into a surge.
+# Lower bound for a single schedule, where a surge of load may fall into the seconds after healing; the mean
+# over many schedules is far higher.
 MIN_UTILIZATION_AFTER_HEALING = 0.5
-# Longer than any run: no health record expires in one.
+# Longer than any run, so that no health record expires during one.
 RECORD_TTL_MS = 600_000.0
 
 
 class FaultKind(StrEnum):
-    """The faults drawn; `GRANTER` kills or suspends the gateway that grants the limit at that moment."""
+    """The kinds of faults drawn; `GRANTER` kills or suspends the current granter of the limit."""
 
     LOSS = "loss"
     SLOW = "slow"
@@ -46,7 +47,7 @@
 
 LINK_FAULTS = (FaultKind.LOSS, FaultKind.SLOW, FaultKind.DOUBLED)
 PARTITIONS = (FaultKind.CUT, FaultKind.ONE_WAY, FaultKind.SPLIT)
-# An ejection is drawn twice as often as each other kind: it is the one that operators rely on.
+# An ejection is drawn twice as often as any other kind, because operators rely on it.
 RECORD_KINDS = [
     HealthKind.EJECTED,
     HealthKind.EJECTED,
@@ -61,12 +62,13 @@
     """The result of one schedule.
 
     :param faults: the faults drawn, as text.
-    :param overshoot_units: by limit, see `overshoot`.
-    :param utilization_before: of the strict limit: before, during and after the faults.
-    :param lost_records: health records in force that the last gateway is missing at the end.
-    :param messages_per_second: sent by one gateway.
-    :param violations: each guarantee that did not hold, as text; in it a `word` or `verdict` is a health
-        record (the texts of the report stay the same from release to release).
+    :param overshoot_units: the overshoot of each limit, see `overshoot`.
+    :param utilization_before: utilization of the strict limit before the faults; `utilization_during` and
+        `utilization_after` are those during and after them.
+    :param lost_records: number of health records in force that the last gateway lacks at the end.
+    :param messages_per_second: messages sent by one gateway, on average.
+    :param violations: each guarantee that did not hold, as text.  The texts are part of the report's format
+        and stay the same from release to release; in them a `word` or `verdict` is a health record.
     """
 
     seed: int
@@ -80,7 +82,7 @@
     violations: list[str] = field(default_factory=list)
 
     def report(self) -> dict[str, Any]:
-        """Return the result under the key names of the JSON report."""
+        """Return the result under the keys of the JSON report."""
         return {
             "seed": self.seed,
             "faults": self.faults,
@@ -96,7 +98,7 @@
 
 @dataclass(slots=True)
 class _ProcessFault:
-    """Kills or suspends one gateway, and later starts or continues the same one."""
+    """Kills or suspends one gateway, and later restarts or resumes the same one."""
 
     world: VirtualFleet
     select: Callable[[], int]
@@ -119,48 +121,48 @@
             gateway.resume()
 
 
-def schedule_faults(world: VirtualFleet, draw: random.Random, limit: Limit, most: int = 4) -> list[str]:
-    """Draw 1 to `most` faults for the middle of a run; all of them are over by HEAL_MS.
+def schedule_faults(world: VirtualFleet, draw: random.Random, limit: Limit, max_faults: int = 4) -> list[str]:
+    """Draw and schedule 1 to `max_faults` faults for the middle of a run; all of them are over by HEAL_MS.
 
-    :param limit: the limit whose granter is struck by a `GRANTER` fault.
+    :param limit: the limit whose granter a `GRANTER` fault kills or suspends.
     :returns: the faults, as text.
     """
-    descriptions = [_schedule_fault(world, draw, limit) for _ in range(draw.randint(1, most))]
+    descriptions = [_schedule_fault(world, draw, limit) for _ in range(draw.randint(1, max_faults))]
     world.time.at(HEAL_MS, world.heal)
     return descriptions
 
 
 def _schedule_fault(world: VirtualFleet, draw: random.Random, limit: Limit) -> str:
     kind = draw.choice(tuple(FaultKind))
-    begin_ms = draw.uniform(FAULTS_BEGIN_MS, HEAL_MS - SHORTEST_FAULT_PHASE_MS)
+    begin_ms = draw.uniform(FAULTS_BEGIN_MS, HEAL_MS - MIN_FAULT_PHASE_MS)
     end_ms = min(HEAL_MS, begin_ms + draw.uniform(200.0, 7_000.0))
     side = set(draw.sample(range(world.members), draw.randint(1, max(1, world.members // 2))))
     number = draw.randrange(world.members)
     if kind in LINK_FAULTS:
-        part = draw.uniform(0.05, 0.4)
-        world.time.at(begin_ms, lambda: _degrade_links(world, kind, part))
+        intensity = draw.uniform(0.05, 0.4)
+        world.time.at(begin_ms, lambda: _degrade_links(world, kind, intensity))
     elif kind in PARTITIONS:
         world.time.at(begin_ms, lambda: world.cut(side, kind is FaultKind.ONE_WAY))
     else:
         pause = kind is FaultKind.PAUSE or (kind is FaultKind.GRANTER and draw.random() < 0.5)
-        fault = _ProcessFault(world, lambda: _struck_gateway(world, kind, number, limit), pause)
+        fault = _ProcessFault(world, lambda: _target_gateway(world, kind, number, limit), pause)
         world.time.at(begin_ms, fault.begin)
         world.time.at(end_ms, fault.end)
     target = sorted(side) if kind in PARTITIONS else number
     return f"{kind} {target} {begin_ms:.0f}-{end_ms:.0f} ms"
 
 
-def _degrade_links(world: VirtualFleet, kind: FaultKind, part: float) -> None:
+def _degrade_links(world: VirtualFleet, kind: FaultKind, intensity: float) -> None:
     for link in world.all_links():
         if kind is FaultKind.LOSS:
-            link.loss = part
-        elif kind is FaultKind.SLOW:  # delays differ from message to message, so this reorders them too
-            link.most_ms = 1_500.0 * part
+            link.loss = intensity
+        elif kind is FaultKind.SLOW:  # also reorders messages, since each has its own delay
+            link.most_ms = 1_500.0 * intensity
         else:
-            link.doubled = part
+            link.doubled = intensity
 
 
-def _struck_gateway(world: VirtualFleet, kind: FaultKind, number: int, limit: Limit) -> int:
+def _target_gateway(world: VirtualFleet, kind: FaultKind, number: int, limit: Limit) -> int:
     fleet = world.gateways[number].fleet
     if kind is FaultKind.GRANTER and fleet is not None:
         return fleet.leases.granter_of(limit.name)
@@ -168,7 +170,7 @@
 
 
 def draw_options(draw: random.Random) -> FleetOptions:
-    """Draw timings as an operator might set them: the guarantees must not depend on one choice."""
+    """Draw timings that an operator might set; the guarantees must hold for all of them."""
     period_ms = draw.choice([100.0, 200.0, 400.0])
     membership = MembershipTiming(
         period_ms, period_ms * 0.4, max(period_ms, draw.choice([200.0, 600.0, 1_500.0]))
@@ -178,9 +180,11 @@
 
 
 def _schedule_load(world: VirtualFleet, draw: random.Random, limit: Limit, warm_up: Limit) -> int:
-    """Let one gateway request more than the limit all the time, and the others in surges.
+    """Schedule load on one gateway that exceeds the limit all the time, and surges of load on the others.
 
-    :returns: the number of the first.
+    Each gateway also requests units of the warm-up budget for some seconds.
+
+    :returns: the number of the gateway with constant load.
     """
     lead = draw.randrange(world.members)
     world.load(lead, limit, 1.6 * limit.allowance.rate, LOAD_BEGIN_MS, END_MS, world.members)
@@ -203,9 +207,9 @@
 
 
 def _schedule_records(world: VirtualFleet, draw: random.Random, published: list[HealthRecord]) -> None:
-    """Let operators eject nodes and readmit them, and gateways report on nodes that restart.
+    """Schedule health records: operators eject and readmit nodes, and gateways report on nodes that restart.
 
-    :param published: is extended by each record when it is published.
+    :param published: each record is appended when it is published.
     """
 
     def publish(number: int, node: str, kind: HealthKind, incarnation: int, value: int) -> None:
@@ -228,15 +232,16 @@
 
 
 def records_in_force(published: list[HealthRecord]) -> set[HealthRecord]:
-    """Return what must be in force of all that was published.
+    """Return the records that must be in force after all of these were published.
 
-    For each register that is the newest record about the node's newest incarnation.
+    For each register that is the newest record about the node's newest incarnation; ejections do not depend
+    on the incarnation.
     """
     incarnations: dict[str, int] = {}
     for record in published:
-        known = incarnations.get(record.node, 0)
-        own = record.incarnation if record.kind != HealthKind.EJECTED else 0
-        incarnations[record.node] = max(known, own)
+        newest_incarnation = incarnations.get(record.node, 0)
+        record_incarnation = record.incarnation if record.kind != HealthKind.EJECTED else 0
+        incarnations[record.node] = max(newest_incarnation, record_incarnation)
     newest: dict[RecordKey, HealthRecord] = {}
     for record in published:
         if record.kind != HealthKind.EJECTED and record.incarnation < incarnations[record.node]:
@@ -248,15 +253,15 @@
 
 
 def run_schedule(
-    seed: int, members: int = 5, world: VirtualFleet | None = None, most: int = 4
+    seed: int, members: int = 5, world: VirtualFleet | None = None, max_faults: int = 4
 ) -> ScheduleResult:
-    """Run one schedule, and check its guarantees after all faults are over.
+    """Run one schedule, and check the guarantees after all faults are over.
 
-    A strict limit is requested through several gateways in turn, the warm-up budget of a node through all of
-    them, and health records are published.
+    During the run several gateways request units of a strict limit, all of them request units of a node's
+    warm-up budget, and health records are published.
 
-    :param world: the fleet; by default one of `members` without replicated lease tables.
-    :param most: the largest number of faults.
+    :param world: the fleet; by default one of `members` gateways without replicated lease tables.
+    :param max_faults: maximum number of faults.
     """
     draw = random.Random(f"schedule {seed}")
     options = draw_options(draw)
@@ -267,7 +272,7 @@
     for gateway in world.gateways:
         world.time.at(draw.uniform(0, 500.0), gateway.start)
     lead = _schedule_load(world, draw, limit, warm_up)
-    result = ScheduleResult(seed, schedule_faults(world, draw, limit, most))
+    result = ScheduleResult(seed, schedule_faults(world, draw, limit, max_faults))
     published: list[HealthRecord] = []
     _schedule_records(world, draw, published)
     world.time.run(END_MS)
@@ -279,18 +284,20 @@
 
 
 def _check_limits(world: VirtualFleet, limit: Limit, warm_up: Limit, result: ScheduleResult) -> None:
-    """No limit is exceeded, neither by what was spent nor by the quotas together."""
-    for each in (limit, warm_up):
-        units = result.overshoot_units[each.name] = overshoot(world.spends, each, world.drift)
+    """Check that neither the units spent nor the sum of all quotas exceed a limit."""
+    for checked_limit in (limit, warm_up):
+        units = result.overshoot_units[checked_limit.name] = overshoot(
+            world.spends, checked_limit, world.drift
+        )
         if units > 0:
-            result.violations.append(f"limit {each.name} passed by {units:.3f} units")
+            result.violations.append(f"limit {checked_limit.name} passed by {units:.3f} units")
     if world.excess.get(limit.name):
         excess = world.excess[limit.name]
         result.violations.append(f"shares of {limit.name} add up to {excess:.3f} more than the limit")
 
 
 def _check_utilization(world: VirtualFleet, limit: Limit, lead: int, result: ScheduleResult) -> None:
-    """The limit is used again two lease terms after all faults are over."""
+    """Check that the limit is used again from two lease terms after the end of all faults."""
     assert world.options.lease_timing is not None
     term_ms = world.options.lease_timing.term_ms
     result.utilization_before = utilization(world.spends, limit, 1_000.0 + term_ms, FAULTS_BEGIN_MS)
@@ -305,7 +312,7 @@
 def _check_gateways(
     world: VirtualFleet, members: int, published: list[HealthRecord], result: ScheduleResult
 ) -> None:
-    """All gateways see each other, and agree on the health records in force."""
+    """Check that all gateways see each other, and agree on the health records in force."""
     in_force = records_in_force(published)
     for gateway in world.gateways:
         assert gateway.fleet is not None
@@ -313,7 +320,7 @@
         if alive < members:
             result.violations.append(f"gateway {gateway.number} sees {alive} of {members} after healing")
         records = set(gateway.fleet.health)
-        # A record that only its own gateway had when it was killed is lost with it, so some may be missing.
+        # A record is lost if its gateway is killed before it has sent the record, so some may be missing.
         if not records <= set(published) or records_in_force(list(records)) != records:
             result.violations.append(f"gateway {gateway.number} holds words that nobody said, or older ones")
         result.lost_records = len(in_force - records)
--- a/shaletiller/lab/guarantees.py
+++ b/shaletiller/lab/guarantees.py
@@ -1,4 +1,4 @@
-"""The guarantees checked after a run: each with its bound and what was measured."""
+"""The guarantees checked after a run, each with its bound and the measured value, and the report of a run."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from pathlib import Path
 from typing import Any, Literal
 
-MAX_PRINTED_VIOLATIONS = 10  # of one guarantee: enough to find a pattern
+MAX_PRINTED_VIOLATIONS = 10  # for each guarantee; enough to recognize a pattern
 
 
 @dataclass(slots=True, frozen=True)
 class Guarantee:
-    """One check; the field names are keys of the JSON report.
+    """A guarantee and its measured value; the field names are keys of the JSON report.
 
-    :param bound: the limit of what may be measured.
-    :param sense: `at most`: the measured value must not be above the bound; `at least`: not below it.
-    :param unit: of both values.
-    :param note: printed after the result.
-    :param violations: the story of each case that breaks it, printed where it is not kept.
+    :param bound: upper or lower bound of the measured value.
+    :param sense: whether `bound` is an upper bound (`at most`) or a lower bound (`at least`).
+    :param unit: unit of `bound` and `measured`.
+    :param note: additional text, printed after the result.
+    :param violations: a description of each violation, printed if the guarantee does not hold.
     """
 
     name: str
@@ -41,10 +41,10 @@
 class Outcome:
     """The result of a run; the field names are keys of the JSON report.
 
-    :param name: of the scenario.
-    :param guarantees: what was checked.
-    :param figures: other measurements, which are shown and not checked.
-    :param course: the faults as they were applied, with their times, as text.
+    :param name: name of the scenario.
+    :param guarantees: the guarantees checked.
+    :param figures: other measurements, which are reported but not checked.
+    :param course: the faults applied and their times, as text.
     """
 
     name: str
@@ -56,14 +56,14 @@
     @property
     def kept(self) -> bool:
         """Whether all guarantees hold."""
-        return all(each.kept for each in self.guarantees)
+        return all(guarantee.kept for guarantee in self.guarantees)
 
     def plain(self) -> dict[str, Any]:
         """Return the content of the JSON report."""
         return {
             **asdict(self),
             "kept": self.kept,
-            "guarantees": [{**asdict(each), "kept": each.kept} for each in self.guarantees],
+            "guarantees": [{**asdict(guarantee), "kept": guarantee.kept} for guarantee in self.guarantees],
         }
 
     def write(self, path: Path) -> None:
@@ -71,16 +71,16 @@
         path.write_text(json.dumps(self.plain(), indent=1, default=str) + "\n")
 
     def lines(self) -> Iterable[str]:
-        """Return a line for each guarantee, `ok` or `!!`, and what violates those that are not kept."""
-        width = max((len(each.name) for each in self.guarantees), default=0)
-        for each in self.guarantees:
-            result = f"{each.measured:10.3f} {each.unit:6} {each.sense} {each.bound:g}"
-            note = f"  {each.note}" if each.note else ""
-            yield f"{'ok' if each.kept else '!!'} {each.name:{width}} {result}{note}"
-            if not each.kept:
-                yield from (f"   {violation}" for violation in each.violations[:MAX_PRINTED_VIOLATIONS])
+        """Return a line for each guarantee, `ok` or `!!`, and descriptions of the violations."""
+        width = max((len(guarantee.name) for guarantee in self.guarantees), default=0)
+        for guarantee in self.guarantees:
+            result = f"{guarantee.measured:10.3f} {guarantee.unit:6} {guarantee.sense} {guarantee.bound:g}"
+            note = f"  {guarantee.note}" if guarantee.note else ""
+            yield f"{'ok' if guarantee.kept else '!!'} {guarantee.name:{width}} {result}{note}"
+            if not guarantee.kept:
+                yield from (f"   {violation}" for violation in guarantee.violations[:MAX_PRINTED_VIOLATIONS])
 
 
 def count(values: Iterable[str]) -> dict[str, int]:
-    """Return how often each value occurs, in the order of the values."""
+    """Return the number of occurrences of each value, ordered by value."""
     return dict(sorted(Counter(values).items()))
--- a/shaletiller/lab/http_messages.py
+++ b/shaletiller/lab/http_messages.py
@@ -1,6 +1,6 @@
-"""The subset of HTTP/1.1 that the laboratory's clients and stand-in servers speak.
+"""The subset of HTTP/1.1 that the laboratory's clients and stand-in servers support.
 
-Only complete messages with a Content-Length, one at a time on a connection.
+Messages are sent and received as a whole, with a Content-Length; a connection carries one request at a time.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     """A request or a response.
 
     :param start_line: the request line or the status line.
-    :param headers: by lower-case name.
+    :param headers: values of the header fields, by lower-case name.
     """
 
     start_line: str
@@ -32,9 +32,9 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """One connection, of a client or of a server.
+    """One connection, on the side of a client or of a server.
 
-    :param on_message: called with each complete message.
+    :param on_message: called with each complete message received.
     :param on_closed: called once, when the connection has ended.
     """
 
@@ -48,21 +48,21 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport of a new connection."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are not of that class
+        """Store the transport of a new connection."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are of another class
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection."""
+        """Call `on_closed` after the end of the connection."""
         self.transport = None
         self._on_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived, and report each complete message."""
+        """Parse received data, and call `on_message` with each complete message."""
         self._buffer += data
         while (end := self._buffer.find(END_OF_HEADERS)) >= 0:
             start_line, *lines = self._buffer[:end].decode("latin1").split("\r\n")
-            parts = [line.partition(":") for line in lines]
-            headers = {name.lower(): value.strip() for name, _, value in parts}
+            fields = [line.partition(":") for line in lines]
+            headers = {name.lower(): value.strip() for name, _, value in fields}
             body_begin = end + len(END_OF_HEADERS)
             body_end = body_begin + int(headers.get("content-length", "0"))
             if len(self._buffer) < body_end:
@@ -72,11 +72,11 @@
 
     @property
     def open(self) -> bool:
-        """Whether a message can still be sent."""
+        """Whether messages can be sent."""
         return self.transport is not None and not self.transport.is_closing()
 
     def write(self, start_line: str, headers: dict[str, str], body: bytes = b"") -> None:
-        """Send a message; on a connection that has ended it is dropped."""
+        """Send a message; it is dropped if the connection has ended."""
         if self.transport is not None:
             lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
             head = f"{start_line}\r\n{lines}Content-Length: {len(body)}\r\n\r\n"
--- a/shaletiller/lab/limit_usage.py
+++ b/shaletiller/lab/limit_usage.py
@@ -1,4 +1,4 @@
-"""Checks of a limit against what was really spent of it, in true time: overshoot and utilization."""
+"""Overshoot and utilization of a limit, computed from the units spent and the true times."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from shaletiller.fleet.quotas import Allowance
 
-# Sums of floating-point numbers are not exact: an excess up to this is none.
+# Overshoot up to this is ignored, because sums of floating-point numbers are not exact.
 ROUNDING_UNITS = 1e-6
 
 
@@ -16,11 +16,11 @@
 class Limit:
     """A limit under test.
 
-    :param name: the name by which gateways know it.
+    :param name: the name of the limit in the gateways.
     :param allowance: the limit of the entire fleet.
-    :param policy: `strict`, or `available`: what a partitioned gateway may spend.
-    :param settle_ms: above 0, length of the sliding window in which spent units count.
-    :param max_request_units: units of the largest request.
+    :param policy: `strict` or `available`; determines what a partitioned gateway may spend.
+    :param settle_ms: length of the sliding window in which spent units count; 0 for a token bucket.
+    :param max_request_units: maximum units of a request.
     """
 
     name: str
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Spend:
-    """Units that a gateway let through; `at_ms` is true time, not the gateway's clock."""
+    """Units of requests that a gateway admitted; `at_ms` is true time, not that of the gateway's clock."""
 
     at_ms: float
     member: int
@@ -41,18 +41,19 @@
 
 
 def overshoot(spends: list[Spend], limit: Limit, drift: float = 0.0) -> float:
-    """Return the most units by which the fleet has exceeded a limit, 0 where it never has.
+    """Return the maximum number of units by which the fleet exceeded a limit; 0 if it never did.
 
-    :param drift: relative error of the gateways' clocks; a fast clock fills buckets faster.
+    :param drift: maximum relative error of the gateways' clocks, which is tolerated: a fast clock refills
+        buckets faster.
     """
-    found = sorted((spend.at_ms, spend.units) for spend in spends if spend.limit == limit.name)
+    limit_spends = sorted((spend.at_ms, spend.units) for spend in spends if spend.limit == limit.name)
     if limit.settle_ms > 0:
-        return _window_overshoot(found, limit.allowance.burst, limit.settle_ms * (1 - drift))
-    return _bucket_overshoot(found, limit.allowance.rate * (1 + drift), limit.allowance.burst)
+        return _window_overshoot(limit_spends, limit.allowance.burst, limit.settle_ms * (1 - drift))
+    return _bucket_overshoot(limit_spends, limit.allowance.rate * (1 + drift), limit.allowance.burst)
 
 
-def _window_overshoot(spends: list[tuple[float, float]], most_units: float, window_ms: float) -> float:
-    """Return the excess of the worst sliding window over the units that one may contain."""
+def _window_overshoot(spends: list[tuple[float, float]], max_units: float, window_ms: float) -> float:
+    """Return the maximum excess of any sliding window over `max_units`, the units that one may contain."""
     worst, total = 0.0, 0.0
     window: deque[tuple[float, float]] = deque()
     for at_ms, units in spends:
@@ -60,27 +61,27 @@
             total -= window.popleft()[1]
         window.append((at_ms, units))
         total += units
-        worst = max(worst, total - most_units)
+        worst = max(worst, total - max_units)
     return worst
 
 
 def _bucket_overshoot(spends: list[tuple[float, float]], rate: float, burst: float) -> float:
-    """Return how far one token bucket for the entire fleet would have fallen below 0.
+    """Return how far the level of one token bucket for the entire fleet would have fallen below 0.
 
-    That it never does is the same as that no span of W seconds contains more than burst + W * rate.
+    It stays at or above 0 if and only if no interval of W seconds contains more than burst + W * rate units.
     """
-    worst, level, before_ms = 0.0, burst, -math.inf
+    worst, level, previous_ms = 0.0, burst, -math.inf
     for at_ms, units in spends:
-        if before_ms > -math.inf:
-            level = min(burst, level + rate * (at_ms - before_ms) / 1000)
-        before_ms = at_ms
+        if previous_ms > -math.inf:
+            level = min(burst, level + rate * (at_ms - previous_ms) / 1000)
+        previous_ms = at_ms
         level -= units
         worst = max(worst, -level)
     return worst if worst > ROUNDING_UNITS else 0.0
 
 
 def utilization(spends: list[Spend], limit: Limit, begin_ms: float, end_ms: float) -> float:
-    """Return the part of a limit's rate that was spent in a span."""
+    """Return the units spent in an interval, as a fraction of what the limit's rate permits."""
     units = sum(
         spend.units for spend in spends if spend.limit == limit.name and begin_ms <= spend.at_ms < end_ms
     )
--- a/shaletiller/lab/load_generator.py
+++ b/shaletiller/lab/load_generator.py
@@ -1,7 +1,8 @@
-"""Open-loop clients: requests are drawn in advance from a seed, and sent when due, however slow the answers.
+"""Open-loop clients: requests are drawn from a seed in advance, and sent when due, despite slow responses.
 
-Latency counts from the time at which a request was due, so a gateway that stalls cannot hide it (coordinated
-omission: Tene, "How NOT to Measure Latency", 2013).  Each connection carries one request at a time.
+Latency is measured from the time at which a request was due, which avoids coordinated omission: a stall of
+the gateway shows in the latencies (Tene, "How NOT to Measure Latency", 2013).  Each connection carries one
+request at a time.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 from shaletiller.lab.http_messages import HttpConnection, HttpMessage
 from shaletiller.lab.storage_nodes import now_ms
 
-# Beyond its own timeout a request without an answer counts as unanswered.  Empirical: shorter counts answers
-# that only the laboratory's own clients delayed.
+# Time that a client waits beyond the timeout of its request.  A smaller value counts requests as unanswered
+# whose responses were delayed only by the laboratory's own clients.
 ANSWER_SLACK_MS = 250.0
 
 
@@ -24,10 +25,15 @@
 class Stream:
     """Requests of one volume through one gateway, between two times of the run.
 
-    :param rate: units a second.
-    :param hosts: gateways through which the volume's clients send, as the requests state it.
+    :param service: the class of the requests.
+    :param rate: mean rate in units per second.
+    :param begin_ms: when the stream begins, in milliseconds of the run; `end_ms` is when it ends.
+    :param shards: number of shards among which the requests are spread.
+    :param hosts: number of gateways that the volume's clients use, as stated in the requests.
+    :param max_units: maximum units of a request.
     :param keyed: whether the requests have idempotency keys.
-    :param repeats: part of the requests that is sent again later through another gateway, with the same key.
+    :param repeats: fraction of the requests that is sent again later through another gateway, with the same
+        key.
     """
 
     gateway: str
@@ -50,10 +56,12 @@
 class ClientRequest:
     """A request and its result.
 
-    :param due_ms: when it is to be sent; `sent_ms`: when it was.
-    :param key: its idempotency key, or empty.
-    :param status: of the answer, 0 without one; `why` has the reason.
-    :param content: id of the request that this one repeats: it requests the same.
+    :param due_ms: when it is to be sent; `sent_ms` is when it was sent, `ended_ms` when it was answered or
+        failed.
+    :param request: the request id.
+    :param key: its idempotency key; empty if it has none.
+    :param status: status code of the response; 0 if there was none, and then `why` contains the reason.
+    :param content: id of the request that this one repeats with the same content; empty if it repeats none.
     """
 
     due_ms: float
@@ -71,8 +79,11 @@
     content: str = ""
 
     def story(self, began_ms: float) -> str:
-        """Return what became of the request, in one line; times are of the run."""
-        due, sent, ended = (each - began_ms for each in (self.due_ms, self.sent_ms, self.ended_ms))
+        """Return a description of the request and its result in one line.
+
+        :param began_ms: when the run began; the description has times since then.
+        """
+        due, sent, ended = (time_ms - began_ms for time_ms in (self.due_ms, self.sent_ms, self.ended_ms))
         key = f" key {self.key}" if self.key else ""
         return (
             f"request {self.request}{key} ({self.stream.service}) at {self.gateway}: due {due:.0f}, "
@@ -104,7 +115,7 @@
 class LoadGenerator:
     """Sends the requests of streams to gateways.
 
-    :param ports: each gateway's port for clients.
+    :param ports: the client port of each gateway.
     :param requests: the requests sent so far.
     """
 
@@ -113,78 +124,82 @@
     requests: list[ClientRequest] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Begin without connections."""
+        """Create a load generator without connections."""
         self._idle: dict[str, deque[_Client]] = {name: deque() for name in self.ports}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def draw(self, streams: list[Stream]) -> list[ClientRequest]:
-        """Return all requests of the streams in the order of their due times, in milliseconds of the run."""
-        found = [each for number, stream in enumerate(streams) for each in self._draw_stream(number, stream)]
-        return sorted(found, key=lambda each: each.due_ms)
+        """Draw all requests of the streams, ordered by due time in milliseconds of the run."""
+        requests = [
+            client_request
+            for number, stream in enumerate(streams)
+            for client_request in self._draw_stream(number, stream)
+        ]
+        return sorted(requests, key=lambda client_request: client_request.due_ms)
 
     def _draw_stream(self, number: int, stream: Stream) -> list[ClientRequest]:
         """Draw the requests of a Poisson stream."""
         draw = random.Random(f"{self.seed} stream {number} {stream.gateway} {stream.volume}")
         mean_units = (1 + stream.max_units) / 2
-        found: list[ClientRequest] = []
+        requests: list[ClientRequest] = []
         at_ms = stream.begin_ms
         while True:
             at_ms += draw.expovariate(stream.rate / mean_units) * 1000
             if at_ms >= stream.end_ms:
-                return found
+                return requests
             key = f"{draw.getrandbits(64):016x}" if stream.keyed else ""
-            request = f"{draw.getrandbits(64):016x}"
+            request_id = f"{draw.getrandbits(64):016x}"
             units, shard = draw.randint(1, stream.max_units), draw.randrange(stream.shards)
-            found.append(ClientRequest(at_ms, stream.gateway, request, stream, units, shard, key))
+            requests.append(ClientRequest(at_ms, stream.gateway, request_id, stream, units, shard, key))
 
     async def play(self, requests: list[ClientRequest], began_ms: float) -> None:
-        """Send each request when it is due, and wait until all have ended.
+        """Send each request when it is due, and wait until all have been answered or have failed.
 
-        :param began_ms: the time of the run's begin; it is added to each request's `due_ms`.
+        :param began_ms: when the run began; it is added to the `due_ms` of each request.
         """
-        for each in requests:
-            each.due_ms += began_ms
-            wait_ms = each.due_ms - now_ms()
+        for client_request in requests:
+            client_request.due_ms += began_ms
+            wait_ms = client_request.due_ms - now_ms()
             if wait_ms > 0:
                 await asyncio.sleep(wait_ms / 1000)
-            self.send(each)
+            self.send(client_request)
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    def send(self, each: ClientRequest) -> asyncio.Task[None]:
-        """Send a request now.
+    def send(self, client_request: ClientRequest) -> asyncio.Task[None]:
+        """Send a request immediately.
 
         :returns: a task that ends when the request has been answered or has failed.
         """
-        self.requests.append(each)
-        task = asyncio.ensure_future(self._send(each))
+        self.requests.append(client_request)
+        task = asyncio.ensure_future(self._send(client_request))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def _send(self, each: ClientRequest) -> None:
-        client = self._idle_client(each.gateway)
+    async def _send(self, client_request: ClientRequest) -> None:
+        client = self._idle_client(client_request.gateway)
         try:
-            async with asyncio.timeout((each.stream.timeout_ms + ANSWER_SLACK_MS) / 1000):
+            async with asyncio.timeout((client_request.stream.timeout_ms + ANSWER_SLACK_MS) / 1000):
                 if client is None:
-                    client = await _Client.connect(self.ports[each.gateway])
-                each.sent_ms = now_ms()
-                answer = await client.send(each.write_to)
-            each.status, each.body = answer.status, answer.body
-            if client.connection.open and answer.headers.get("connection", "") != "close":
-                self._idle[each.gateway].append(client)
+                    client = await _Client.connect(self.ports[client_request.gateway])
+                client_request.sent_ms = now_ms()
+                response = await client.send(client_request.write_to)
+            client_request.status, client_request.body = response.status, response.body
+            if client.connection.open and response.headers.get("connection", "") != "close":
+                self._idle[client_request.gateway].append(client)
             else:
                 client.connection.abort()
         except TimeoutError:
-            each.why = "no answer in time"
+            client_request.why = "no answer in time"
             if client is not None:
                 client.connection.abort()
         except OSError as error:
-            each.why = str(error) or type(error).__name__
-        each.ended_ms = now_ms()
+            client_request.why = str(error) or type(error).__name__
+        client_request.ended_ms = now_ms()
 
     def _idle_client(self, gateway: str) -> _Client | None:
-        """Return the connection used last of those that are idle and still open."""
+        """Return the most recently used connection that is idle and still open."""
         idle = self._idle[gateway]
         while idle:
             client = idle.pop()
@@ -197,7 +212,7 @@
     """A connection that carries one request at a time."""
 
     def __init__(self) -> None:
-        self._answer: asyncio.Future[HttpMessage] | None = None
+        self._response: asyncio.Future[HttpMessage] | None = None
         self.connection = HttpConnection(self._on_message, self._on_closed)
 
     @classmethod
@@ -207,14 +222,14 @@
         return client
 
     def _on_message(self, connection: HttpConnection, message: HttpMessage) -> None:
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_result(message)
+        if self._response is not None and not self._response.done():
+            self._response.set_result(message)
 
     def _on_closed(self, connection: HttpConnection) -> None:
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_exception(ConnectionResetError("connection ended without an answer"))
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(ConnectionResetError("connection ended without an answer"))
 
     async def send(self, write: Callable[[HttpConnection], None]) -> HttpMessage:
-        self._answer = asyncio.get_running_loop().create_future()
+        self._response = asyncio.get_running_loop().create_future()
         write(self.connection)
-        return await self._answer
+        return await self._response
--- a/tests/lab/test_port_reservations.py
+++ b/tests/lab/test_port_reservations.py
@@ -1,4 +1,4 @@
-"""Ports that gateways of one test run are started on."""
+"""Reservation of the ports of gateways."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 
 
 def test_two_processes_never_reserve_the_same_port() -> None:
-    """Two test runs begin to look at the same block of ports.
+    """Two processes begin their search at the same block of ports.
 
-    Guards against two gateways that share a port, each with a part of the other's clients.
+    They must reserve different ports; two gateways with the same port would share their clients.
     """
     program = [sys.executable, "-c", PRINT_A_PORT.format(pid=4242)]
-    runs = [
+    processes = [
         subprocess.Popen(program, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True) for _ in range(2)
     ]
     try:
-        ports = [run.stdout.readline() for run in runs if run.stdout is not None]
+        ports = [process.stdout.readline() for process in processes if process.stdout is not None]
     finally:
-        for run in runs:
-            run.communicate("\n")
+        for process in processes:
+            process.communicate("\n")
     assert len(set(ports)) == 2
 
 
-def test_a_reserved_port_takes_the_listeners_of_this_run_one_after_the_other() -> None:
-    """A gateway listens on a reserved port, ends, and listens again; nobody else can take it meanwhile."""
+def test_a_reserved_port_accepts_successive_listeners_of_this_run() -> None:
+    """A gateway listens on a reserved port, ends, and listens again; no other process can bind the port."""
 
     async def listen_with(reuse_port: bool) -> None:
         server = await asyncio.start_server(lambda *_: None, LOOPBACK, port, reuse_port=reuse_port)
@@ -46,7 +46,7 @@
         await server.wait_closed()
 
     port = reserve_port()
-    for reuse_port in (True, False, True):  # the client, admin and client listeners of gateways
+    for reuse_port in (True, False, True):  # listeners for clients, for the admin port, and for clients again
         uvloop.run(listen_with(reuse_port))
         with socket.socket() as other:
             assert other.connect_ex((LOOPBACK, port)) != 0
@@ -55,4 +55,4 @@
                 other.bind((LOOPBACK, port))
             except OSError:
                 continue
-            raise AssertionError("another process could take the port")
+            raise AssertionError("another socket could bind the reserved port")
