--- a/shaletiller/lab/guarantees.py
+++ b/shaletiller/lab/guarantees.py
@@ -58,7 +58,7 @@
         """Whether all guarantees hold."""
         return all(guarantee.kept for guarantee in self.guarantees)
 
-    def plain(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         """Return the content of the JSON report."""
         return {
             **asdict(self),
@@ -68,7 +68,7 @@
 
     def write(self, path: Path) -> None:
         """Write the JSON report."""
-        path.write_text(json.dumps(self.plain(), indent=1, default=str) + "\n")
+        path.write_text(json.dumps(self.to_json(), indent=1, default=str) + "\n")
 
     def lines(self) -> Iterable[str]:
         """Return a line for each guarantee, `ok` or `!!`, and descriptions of the violations."""
--- a/tests/fleet/test_fleet_process.py
+++ b/tests/fleet/test_fleet_process.py
@@ -71,7 +71,7 @@
     out = Outcome("x", 1, [Guarantee("a", 1.0, 1.0), Guarantee("b", 0.95, 0.94, "at least")])
     assert not out.kept
     assert [line[:2] for line in out.lines()] == ["ok", "!!"]
-    assert not out.plain()["kept"]
+    assert not out.to_json()["kept"]
 
 
 def test_only_a_violated_guarantee_prints_its_violations() -> None:
