--- a/shaletiller/lab/discovery_scenarios.py
+++ b/shaletiller/lab/discovery_scenarios.py
@@ -195,7 +195,7 @@
     bound_ms = _last_use_ms(testbed, node)
     found: list[LateAttempt] = []
     for attempt in node.attempts:
-        # A gateway that has just started learns of the departure within the same time.
+        # A gateway that has just started is notified of the departure within MAX_PROPAGATION_MS.
         starts_ms = [
             downtime.end_ms + MAX_PROPAGATION_MS
             for downtime in testbed.processes[attempt.gateway].down
--- a/shaletiller/lab/fault_schedules.py
+++ b/shaletiller/lab/fault_schedules.py
@@ -20,7 +20,7 @@
 # Virtual times in each run: when faults begin, when all faults are over, and when the run ends.  Each phase
 # is long enough for several lease terms (of 1 to 3 s).
 FAULTS_BEGIN_MS, HEAL_MS, END_MS = 5_000.0, 15_000.0, 22_000.0
-# Shortest time from the begin of a fault to HEAL_MS: a shorter fault might have no effect.
+# Minimum time from the start of a fault to HEAL_MS; a shorter fault might have no effect.
 MIN_FAULT_PHASE_MS = 3_000.0
 # All gateways have discovered each other by then, even with the slowest timings drawn.
 LOAD_BEGIN_MS = 700.0
--- a/shaletiller/lab/port_reservations.py
+++ b/shaletiller/lab/port_reservations.py
@@ -1,7 +1,7 @@
 """Reservation of loopback ports for this process, so that neither other test runs nor the kernel assign them.
 
 Without a reservation another process could take a port before its gateway listens, or between a kill and a
-restart. Gateways listen with SO_REUSEPORT, so two gateways with the same port would share its connections
+restart.  Gateways listen with SO_REUSEPORT, so two gateways with the same port would share its connections
 without an error.
 """
 
--- a/shaletiller/lab/scenario.py
+++ b/shaletiller/lab/scenario.py
@@ -8,7 +8,8 @@
 
 Times are fractions of the run, from 0 to 1.  The faults (NAME is a gateway, NODE a storage node):
 
-    cut NAME... [one-way=true]     cut the links between these gateways and the others, or one direction
+    cut NAME... [one-way=true]     cut the links between these gateways and the others; with one-way=true
+                                   only messages that these gateways send are affected
     heal                           end the faults of all links
     worsen [loss=P] [doubled=P] [most-ms=T]     set loss, duplication and maximum delay of all links
     kill NAME                      send SIGKILL
@@ -151,7 +152,7 @@
 def _faults_at(path: Path, node: Any) -> list[Fault]:
     """Return the faults of one `at` node.
 
-    :raises ScenarioError: if it is no valid `at` node.
+    :raises ScenarioError: if the node is not a valid `at` node.
     """
     if node.name != "at" or len(node.args) != 1 or not 0 <= float(node.args[0]) <= 1:
         raise ScenarioError(
--- a/shaletiller/lab/storage_nodes.py
+++ b/shaletiller/lab/storage_nodes.py
@@ -61,8 +61,8 @@
     :param initial_capacity: capacity immediately after a restart, as a fraction of the full capacity.
 
     `started_ms` is the time of the last restart, 0 if there was none.  `runs` counts the executions by
-    request id. `units_of` returns the units of a request by its id; a gateway does not forward them, so the
-    node has to get them from the client.
+    request id.  `units_of` returns the units of a request by its id: a gateway forwards only what the
+    protocol requires, which does not include the units, so the node has to get them from the client.
     """
 
     def __init__(
