--- a/shaletiller/lab/gateway_processes.py
+++ b/shaletiller/lab/gateway_processes.py
@@ -205,7 +205,7 @@
         :raises LabError: if the process is alive.
         """
         if self.alive:
-            raise LabError(f"gateway {self.name}: cannot wipe the store while the process is running")
+            raise LabError(f"{self.name}: its folder can be wiped only while it is down")
         for path in self.folder.iterdir():
             if path not in (self._config_path, self.operator_path, self._log_path):
                 shutil.rmtree(path) if path.is_dir() else path.unlink()
