--- a/shaletiller/config/model.py
+++ b/shaletiller/config/model.py
@@ -14,7 +14,8 @@
 
 # Sockets of the limit that are reserved for listeners, discovery, peers, telemetry, the interpreter's own
 # files, and closed connections whose descriptors the kernel has not released yet.  A larger process has more
-# of the latter, therefore the reserve is RESERVED_SOCKETS plus limit / RESERVED_DIVISOR.
+# of the latter, therefore the reserve is RESERVED_SOCKETS plus limit / RESERVED_DIVISOR.  The maximum number
+# of connections of NVMe hosts is added to it.
 RESERVED_SOCKETS = 32
 RESERVED_DIVISOR = 32
 # The reserve is at most limit / MAX_RESERVED_DIVISOR, so that a small limit leaves sockets for requests.
@@ -68,8 +69,10 @@
 class Config(msgspec.Struct, frozen=True):
     """The complete configuration of one gateway; addresses are pairs of host and port.
 
-    `known` is the endpoint list at the start of the process.  `admin` is the address for operators' calls.
-    `operator` is the operator file.  `state_dir` is shared by successive processes of this gateway.
+    `peer_listen` is the address for datagrams from other gateways.  `peers` are the addresses of all gateways
+    in the order of their numbers, and `peers_all` is an address that reaches all of them.  `known` is the
+    endpoint list at the start of the process.  `admin` is the address for operators' calls.  `operator` is
+    the operator file.  `state_dir` is shared by successive processes of this gateway.
     """
 
     name: str
--- a/shaletiller/config/operator_reader.py
+++ b/shaletiller/config/operator_reader.py
@@ -60,7 +60,7 @@
 
 
 def _parse(file_name: str, text: str) -> _Document:
-    # Imported only if there is such a file, because the library takes 60 ms to load.
+    # Imported only if there is an operator file, because the KDL library takes 60 ms to load.
     import kdl.errors
     import kdl.parsefuncs
     import kdl.parsing
--- a/shaletiller/net/overload_control.py
+++ b/shaletiller/net/overload_control.py
@@ -92,7 +92,7 @@
 
 
 def _ignore_rejection(head: bytes) -> None:
-    """Ignore a rejected request."""
+    """Ignore a rejected request; the default of `on_rejected`."""
 
 
 class OverloadControl:
@@ -121,7 +121,7 @@
     def reject_stale(self, queue: AcceptQueue, now_ms: float) -> Iterator[AcceptedSocket]:
         """Reject the connections that have been queued for too long.
 
-        :returns: the connections to start nevertheless: health checks, because the process is alive.
+        :returns: the connections to start nevertheless: health checks, as an overloaded process is alive.
         """
         silent = []
         for accepted in queue.take_stale(now_ms):
--- a/shaletiller/net/replication/lease_tables.py
+++ b/shaletiller/net/replication/lease_tables.py
@@ -20,7 +20,7 @@
 from shaletiller.replication.records import LeaseTableRecord, decode_value, pack
 
 LEASE_PREFIX = "lease:"  # Prefix of register keys. It is part of the stored data and must not change.
-# Less than half of the default lease duration. A table that is not committed by then supports no grant.
+# Less than half of the default lease duration. If a table is not committed by then, its grants are not sent.
 WRITE_TIMEOUT_MS = 400.0
 RETENTION_MS = 600_000.0  # Longer than the duration of any pledge.
 
@@ -99,6 +99,7 @@
         return True
 
     async def _write(self, limit: str, rate: int, burst: int) -> None:
+        # If this write fails, the stored table is unknown until it is taken over again.
         previous = self._tables.pop(limit, _CommittedTable())
         value = self._encode(rate, burst, int(self._clock.now_ms()))
         result = await self._port.propose(
--- a/shaletiller/policy/capacity_check.py
+++ b/shaletiller/policy/capacity_check.py
@@ -48,8 +48,11 @@
     def allows(self, pending: PendingRequest, upstream: Upstream, ignore_latency: bool = False) -> bool:
         """Return whether a request may be sent to the upstream's node now.
 
-        :param ignore_latency: skip the latency threshold, for a hedged request and for a request for the same
-            object as one that is sent at the same time.
+        A request that the work deficit of its class covers bypasses the concurrency limit and the latency
+        threshold while its queue has no requests in flight.
+
+        :param ignore_latency: skip the latency threshold, for a hedged request and for a request that joins
+            the batch of another one for the same object.
         """
         if not self._endpoints.accepts_requests(upstream):
             return False
--- a/shaletiller/policy/endpoint_table.py
+++ b/shaletiller/policy/endpoint_table.py
@@ -12,8 +12,8 @@
 from shaletiller.state.records import Upstream
 from shaletiller.state.runtime import PolicyState
 
-# A drain may be noticed this many rounds late.  Sending to a draining node stops that long before the end of
-# its grace period.
+# A drain may be noticed this many scheduling rounds late.  Sending to a draining node stops that long before
+# the end of its grace period.
 DRAIN_MARGIN_ROUNDS = 2
 
 
@@ -42,7 +42,7 @@
         return self._upstreams.values()
 
     def handle_list_update(self, event: EndpointListUpdate) -> None:
-        """Apply an update of the endpoint list; the caller must call `assign_node` for each upstream then."""
+        """Apply an update of the endpoint list; the caller must then call `assign_node` for each upstream."""
         previous = self._endpoints
         updated = {entry.node: entry for entry in event.entries}
         listed = previous | updated if event.kind is UpdateKind.CHANGES else updated
@@ -83,7 +83,7 @@
         self._down_until_ms = {node: until_ms for node, until_ms in reports if until_ms > now_ms}
 
     def record_response(self, node: str) -> None:
-        """Consider a node up that responded to this gateway, overriding the reports of other gateways."""
+        """Discard the report that a node is down, because the node has responded to this gateway."""
         self._down_until_ms.pop(node, None)
 
     def accepts_requests(self, upstream: Upstream) -> bool:
--- a/shaletiller/telemetry/otlp.py
+++ b/shaletiller/telemetry/otlp.py
@@ -1,4 +1,4 @@
-"""Exports metrics and traces of the engine over OTLP/HTTP, by OpenTelemetry's SDK.
+"""Exports metrics and traces of the engine over OTLP/HTTP, with OpenTelemetry's SDK.
 
 The export runs on the SDK's own threads.  Its queues are bounded and data beyond the bound is dropped, so
 that no request waits for the export.  The names and descriptions of metrics, spans and labels must not
@@ -42,7 +42,7 @@
 NS_PER_MS = 1_000_000
 
 ATTEMPT_PREFIX = "attempt."  # prefix of the engine's counters of attempts by outcome
-FORWARDS = "forwards"  # a counter for STATS, which is not exported
+FORWARDS = "forwards"  # a counter for the operators' call STATS; it is not exported
 CLIENT_DISCONNECTED = "left"  # the label of a request whose client disconnected before its response
 
 
