--- a/shaletiller/core/engine.py
+++ b/shaletiller/core/engine.py
@@ -327,7 +327,7 @@
         self.respond(exchange, response)
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
-        # The attempt is looked up in flight and not in its exchange, which may have ended before.
+        # The attempt is looked up among those in flight, because its exchange may have ended before.
         attempt = self.attempts.in_flight.get((action.request, action.attempt))
         if attempt is not None:
             self.attempts.stop(attempt, Outcome.CANCELLED)
--- a/shaletiller/core/interfaces.py
+++ b/shaletiller/core/interfaces.py
@@ -18,7 +18,7 @@
         """Accept a client request; `respond` is called exactly once unless the client disconnects first."""
 
     def on_client_disconnected(self, exchange: Exchange) -> None:
-        """Handle that the client has closed its connection; the request gets no response."""
+        """Handle a client that has closed its connection; its request gets no response."""
 
 
 class UpstreamClient(Protocol):
@@ -69,7 +69,7 @@
         """
 
     def on_request_ended(self, exchange: Exchange) -> None:
-        """Handle that a request has its final result or that its client has disconnected."""
+        """Handle the end of a request: its final result, or the disconnection of its client."""
 
 
 class NoServices:
--- a/shaletiller/core/respond.py
+++ b/shaletiller/core/respond.py
@@ -38,7 +38,7 @@
             return
         on_result = None if replicated else exchange.on_result
         if on_result is not None and response.result is FinalResult.SERVED:
-            # A success must not be reported to the client while the loss of one machine could still lose it.
+            # A success must not be reported to the client while the loss of one machine could still undo it.
             exchange.replicating_outcome = True
             on_result(response)
             return
--- a/shaletiller/gateway.py
+++ b/shaletiller/gateway.py
@@ -230,7 +230,7 @@
     async def start(self) -> None:
         """Load the stored state, then listen; HTTP clients are accepted before NVMe hosts."""
         self.telemetry = self._make_telemetry()
-        # Before the first endpoint list, so that a node ejected in the previous process gets no request.
+        # Loaded before any endpoint list, so that a node ejected in the previous process gets no request.
         self.ejections.reload()
         self.discovery.load_known_list()
         if self.replication is not None:
--- a/shaletiller/lab/scenario.py
+++ b/shaletiller/lab/scenario.py
@@ -26,7 +26,7 @@
     list NODE active|leaving|left  set the state of a node in discovery's list
     disk NAME [slow-ms=T] [full=true] [sync-fails=true]     set its disk's faults; no options: end them
 
-`granter` in place of NAME is the gateway that grants the limit under test when the word is first used.
+`granter` in place of NAME is the gateway that grants the limit under test when this name is first used.
 """
 
 from __future__ import annotations
--- a/shaletiller/net/client_connection.py
+++ b/shaletiller/net/client_connection.py
@@ -114,10 +114,10 @@
     fast_path: FastPath
 
     def connection_half_closed(self, connection: ClientConnection) -> None:
-        """Handle that the connection has closed its write side."""
+        """Handle a connection that has closed its write side."""
 
     def connection_lost(self, connection: ClientConnection) -> None:
-        """Handle that the connection is closed."""
+        """Handle the end of a connection."""
 
     def start_linger(self, linger: Coroutine[Any, Any, None], connection: ClientConnection) -> None:
         """Run `linger` in a separate task, then close the connection."""
--- a/shaletiller/net/connection_table.py
+++ b/shaletiller/net/connection_table.py
@@ -1,4 +1,4 @@
-"""Open connections of a listener: timeouts, and eviction in favour of new connections."""
+"""Open connections of a listener: timeouts, and eviction in favor of new connections."""
 
 from __future__ import annotations
 
--- a/shaletiller/net/discovery.py
+++ b/shaletiller/net/discovery.py
@@ -114,7 +114,10 @@
             self._complete_until_ms = max(self._complete_until_ms, started_ms)
 
     def on_agent_changed(self, now_ms: float) -> None:
-        """Handle a change of agent; changes of the new one count as announced now at the earliest."""
+        """Handle a change of agent.
+
+        If the previous agent has responded, changes from the new one count as announced now or later.
+        """
         if self._agent_responded:
             self._complete_until_ms = now_ms
         self._is_continuous = self._agent_responded = False
--- a/shaletiller/policy/dispatch.py
+++ b/shaletiller/policy/dispatch.py
@@ -57,7 +57,7 @@
     def _give_up_late(self, upstream: Upstream) -> None:
         """Give up queued requests that would miss their latency objective.
 
-        If they were sent, they would take slots from requests that can still meet theirs.
+        If they were sent, they would take slots from requests that can still meet their objectives.
         """
         for queue in upstream.by_priority:
             while queue.requests and self._would_be_late(queue.requests[0]):
--- a/shaletiller/settings/model.py
+++ b/shaletiller/settings/model.py
@@ -57,7 +57,7 @@
     writes: bool = False
 
     def __post_init__(self) -> None:
-        """Check the figures."""
+        """Check that the values are within their ranges."""
         _require_positive("latency_objective_ms", self.latency_objective_ms)
         _require_positive("deadline_ms", self.deadline_ms)
         _require_not_negative("priority_weight", self.priority_weight)
@@ -87,7 +87,7 @@
     limit_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        """Check the figures."""
+        """Check that the values are within their ranges."""
         for name in (
             "base_rate",
             "reserved_rate",
@@ -155,7 +155,7 @@
     connect_timeout_ms: float = 250.0
 
     def __post_init__(self) -> None:
-        """Check the figures."""
+        """Check that there are classes and plans, and that the values are within their ranges."""
         if not self.classes:
             raise SettingsError("classes: at least one class is needed")
         if not self.plans:
